--- a/Source/Programs/Router/Main.cpp
+++ b/Source/Programs/Router/Main.cpp
@@ -3,7 +3,7 @@
 
 #include "Common/Log.h"
 #include "Common/Program.h"
-#include "Gateway/Gateway.h"
+#include "RouteServing/Gateway/Gateway.h"
 #include "Router/Router.h"
 #include "platform/Adapter.h"
 
@@ -50,7 +50,7 @@
 // start.
 static void noteReload()
 {
-    auto checked = Common::recheckSettings(Gateway::GatewaySettings::table());
+    auto checked = Common::recheckSettings(RouteServing::Gateway::GatewaySettings::table());
     const auto* faults = std::get_if<std::vector<Common::Fault>>(&checked);
     Common::log(Common::LogLevel::Info, "router", "settings.reread",
         { { "valid", !faults }, { "faults", faults ? Common::describe(*faults) : "" } });
@@ -58,11 +58,12 @@
 
 static void serveRoutes()
 {
-    auto settings = Gateway::GatewaySettings::from(Common::loadSettings(Gateway::GatewaySettings::table()));
+    auto settings = RouteServing::Gateway::GatewaySettings::from(
+        Common::loadSettings(RouteServing::Gateway::GatewaySettings::table()));
     Common::blockSignals();
     Common::startProgramLogging(settings.id);
     auto& runtime = Common::FiberRuntime::start(settings.threads);
-    auto& gateway = *new Gateway::Gateway(
+    auto& gateway = *new RouteServing::Gateway::Gateway(
         runtime, settings, PlatformAdapter::dialect(), PlatformAdapter::sources(settings.store));
     if (auto status = gateway.start(); isError(status))
         failToStart(errorOf(status));
--- a/Source/Gateway/Dialect.h
+++ b/Source/RouteServing/Gateway/Dialect.h
@@ -3,8 +3,8 @@
 
 #include "Common/HttpClient.h"
 #include "Common/HttpServer.h"
-#include "Routing/Prompt.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/Prompt.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <functional>
 #include <optional>
@@ -14,7 +14,7 @@
 
 // How the callers and upstreams of one platform spell what the gateway means: names as data, what must be parsed as
 // hooks. The gateway itself knows no header of any platform.
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 struct CallerDialect {
     std::string requestIdHeader; // Chosen by the caller, new for each of its attempts; passed on unchanged.
@@ -45,4 +45,4 @@
     UpstreamDialect upstream;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/EventCutter.cpp
+++ b/Source/RouteServing/Gateway/EventCutter.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/EventCutter.h"
+#include "RouteServing/Gateway/EventCutter.h"
 
 #include <charconv>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 static constexpr std::string_view eventEnd = "\n\n";
 static constexpr std::string_view idField = "id:";
@@ -47,4 +47,4 @@
 
 std::string EventCutter::takeRest() { return std::exchange(m_buffer, {}); }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/EventCutter.h
+++ b/Source/RouteServing/Gateway/EventCutter.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // Cuts the bytes of an event stream at the ends of its events, without changing a byte, so that a stream that breaks
 // off is passed on up to its last whole event and can be taken up after it.
@@ -30,4 +30,4 @@
     std::optional<uint64_t> m_lastId;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/Follower.cpp
+++ b/Source/RouteServing/Gateway/Follower.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/Follower.h"
+#include "RouteServing/Gateway/Follower.h"
 
 #include "Common/FiberRuntime.h"
 #include "Common/Log.h"
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Common::LogLevel;
 using Common::Milliseconds;
@@ -150,4 +150,4 @@
     return Common::toMilliseconds(now - m_upstreamsConfirmed);
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/Follower.h
+++ b/Source/RouteServing/Gateway/Follower.h
@@ -2,13 +2,13 @@
 #pragma once
 
 #include "Common/Rcu.h"
-#include "Gateway/Sources.h"
-#include "Routing/FreshnessLease.h"
+#include "RouteServing/Gateway/Sources.h"
+#include "RouteServing/Routing/FreshnessLease.h"
 
 #include <atomic>
 #include <mutex>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // Follows what the platform knows: the configuration and the list of upstreams, read from the platform's store or told
 // by another router, with the moment at which they were confirmed. Keeps the newest of one life of the process.
@@ -73,4 +73,4 @@
     Common::TimePoint m_upstreamsConfirmed {};
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/Gateway.h"
+#include "RouteServing/Gateway/Gateway.h"
 
 #include "Common/Log.h"
 #include "Common/Metrics.h"
-#include "Gateway/RequestLife.h"
+#include "RouteServing/Gateway/RequestLife.h"
 
 #include <thread>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Common::ErrorKind;
 using Common::LogLevel;
@@ -161,4 +161,4 @@
         { { "in_flight", m_inFlight.load() }, { "ms", Common::toMilliseconds(Common::now() - started).count() } });
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -2,18 +2,18 @@
 #pragma once
 
 #include "Common/HttpServer.h"
-#include "Gateway/Dialect.h"
-#include "Gateway/Follower.h"
-#include "Gateway/GatewaySettings.h"
-#include "Gateway/PeerExchange.h"
-#include "Gateway/RetryWindows.h"
-#include "Gateway/Sources.h"
-#include "Routing/FreshnessLease.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Gateway/Dialect.h"
+#include "RouteServing/Gateway/Follower.h"
+#include "RouteServing/Gateway/GatewaySettings.h"
+#include "RouteServing/Gateway/PeerExchange.h"
+#include "RouteServing/Gateway/RetryWindows.h"
+#include "RouteServing/Gateway/Sources.h"
+#include "RouteServing/Routing/FreshnessLease.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <atomic>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // A router that serves routes: it wires the parts together and owns their background fibers. Lives until the process
 // ends.
@@ -52,4 +52,4 @@
     std::atomic<size_t> m_inFlight { 0 };
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/GatewayMetrics.h"
+#include "RouteServing/Gateway/GatewayMetrics.h"
 
 #include "Common/Metrics.h"
 
-namespace Brassladder::Gateway::GatewayMetrics {
+namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
 using Common::Metrics::counter;
 using Common::Metrics::seconds;
@@ -33,4 +33,4 @@
         .Increment();
 }
 
-} // namespace Brassladder::Gateway::GatewayMetrics
+} // namespace Brassladder::RouteServing::Gateway::GatewayMetrics
--- a/Source/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "Routing/Fate.h"
+#include "RouteServing/Routing/Fate.h"
 
 #include <string_view>
 
 // Counters and histograms of a router that serves routes. Labels are reasons and fates, whose number is bounded.
-namespace Brassladder::Gateway::GatewayMetrics {
+namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
 // A request got its final answer. `reason`: of our own refusal or of a broken stream; empty when the upstream's answer
 // was passed on.
@@ -17,4 +17,4 @@
 // A try gave no answer; `again`: the request goes on to another upstream.
 void tryFailed(Routing::Fate, bool again);
 
-} // namespace Brassladder::Gateway::GatewayMetrics
+} // namespace Brassladder::RouteServing::Gateway::GatewayMetrics
--- a/Source/Gateway/GatewaySettings.cpp
+++ b/Source/RouteServing/Gateway/GatewaySettings.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/GatewaySettings.h"
+#include "RouteServing/Gateway/GatewaySettings.h"
 
 #include <array>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Common::Json;
 using Common::SettingSpec;
@@ -70,4 +70,4 @@
     return result;
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/GatewaySettings.h
+++ b/Source/RouteServing/Gateway/GatewaySettings.h
@@ -8,7 +8,7 @@
 #include <span>
 #include <string>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // The settings of a router that serves routes, read from its table of rows.
 struct GatewaySettings {
@@ -36,4 +36,4 @@
     static GatewaySettings from(const Common::Settings&);
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/HeaderRules.cpp
+++ b/Source/RouteServing/Gateway/HeaderRules.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/HeaderRules.h"
+#include "RouteServing/Gateway/HeaderRules.h"
 
 #include <algorithm>
 #include <array>
 #include <cctype>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 static bool concernsOneConnection(std::string_view lower)
 {
@@ -46,4 +46,4 @@
     return headers;
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/HeaderRules.h
+++ b/Source/RouteServing/Gateway/HeaderRules.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 // Which headers are passed on between callers and upstreams. Those that concern one connection never are.
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // The request's headers for its upstream, without those of the names (in lower case) that are withheld.
 std::vector<Common::HttpHeader> headersForUpstream(const Common::HttpRequest&, std::span<const std::string> withheld);
@@ -17,4 +17,4 @@
 // The answer's headers for its caller.
 std::vector<Common::HttpHeader> headersForCaller(const Common::HttpAnswer&);
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/KnowledgeCodec.cpp
+++ b/Source/RouteServing/Gateway/KnowledgeCodec.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/KnowledgeCodec.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 uint32_t ageForWire(Common::Milliseconds age)
 {
@@ -60,4 +60,4 @@
     return records;
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/KnowledgeCodec.h
+++ b/Source/RouteServing/Gateway/KnowledgeCodec.h
@@ -2,13 +2,13 @@
 #pragma once
 
 #include "Inner/Inner.pb.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <optional>
 #include <vector>
 
 // Between the messages of routers (Inner/Inner.proto) and what the board knows.
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // An age as it travels. What was never confirmed is as old as the clock, which may not fit: it stays as old as fits.
 uint32_t ageForWire(Common::Milliseconds);
@@ -22,4 +22,4 @@
 // None when the message carries no list. Entries without an address are left out.
 std::optional<std::vector<Routing::UpstreamRecord>> readUpstreams(const Inner::Wire::Knowledge&);
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/PeerExchange.h"
+#include "RouteServing/Gateway/PeerExchange.h"
 
 #include "Common/Digest.h"
 #include "Common/Log.h"
-#include "Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/KnowledgeCodec.h"
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Common::LogLevel;
 using Common::Milliseconds;
@@ -359,4 +359,4 @@
     m_leaving = true;
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Gateway/Follower.h"
-#include "Gateway/PendingAsks.h"
 #include "Inner/Mesh.h"
-#include "Routing/HubRanking.h"
-#include "Routing/LoadSums.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Gateway/Follower.h"
+#include "RouteServing/Gateway/PendingAsks.h"
+#include "RouteServing/Routing/HubRanking.h"
+#include "RouteServing/Routing/LoadSums.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <map>
 #include <mutex>
 #include <string>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // Tells routers of each other: what they have under way at the upstreams, and what they know of the platform, with
 // ages. Routers ask their hub a few times a second; hubs tell each other sums (Routing/HubRanking.h). Nothing here must
@@ -82,4 +82,4 @@
     bool m_leaving { false };
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/PendingAsks.cpp
+++ b/Source/RouteServing/Gateway/PendingAsks.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/PendingAsks.h"
+#include "RouteServing/Gateway/PendingAsks.h"
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
@@ -49,4 +49,4 @@
     return m_at && m_version == version && now - *m_at < longestWay;
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/PendingAsks.h
+++ b/Source/RouteServing/Gateway/PendingAsks.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // Asks of this router whose answers are awaited: more than one when the way there and back takes longer than the pause
 // between two. Not safe for several threads.
@@ -50,4 +50,4 @@
     std::optional<Common::TimePoint> m_at;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/RequestLife.cpp
+++ b/Source/RouteServing/Gateway/RequestLife.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/RequestLife.h"
+#include "RouteServing/Gateway/RequestLife.h"
 
 #include "Common/Digest.h"
 #include "Common/Log.h"
-#include "Gateway/GatewayMetrics.h"
-#include "Gateway/HeaderRules.h"
+#include "RouteServing/Gateway/GatewayMetrics.h"
+#include "RouteServing/Gateway/HeaderRules.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Common::ErrorKind;
 using Common::Json;
@@ -385,4 +385,4 @@
     Common::log(LogLevel::Info, "gateway", "request.end", std::move(fields));
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/RequestLife.h
+++ b/Source/RouteServing/Gateway/RequestLife.h
@@ -2,22 +2,22 @@
 #pragma once
 
 #include "Common/HttpServer.h"
-#include "Gateway/Dialect.h"
-#include "Gateway/EventCutter.h"
-#include "Gateway/Follower.h"
-#include "Gateway/RetryWindows.h"
-#include "Gateway/RunBackup.h"
-#include "Gateway/StreamTimes.h"
-#include "Gateway/UpstreamTry.h"
-#include "Routing/FreshnessLease.h"
-#include "Routing/RouteTable.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Gateway/Dialect.h"
+#include "RouteServing/Gateway/EventCutter.h"
+#include "RouteServing/Gateway/Follower.h"
+#include "RouteServing/Gateway/RetryWindows.h"
+#include "RouteServing/Gateway/RunBackup.h"
+#include "RouteServing/Gateway/StreamTimes.h"
+#include "RouteServing/Gateway/UpstreamTry.h"
+#include "RouteServing/Routing/FreshnessLease.h"
+#include "RouteServing/Routing/RouteTable.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <memory>
 #include <string>
 #include <vector>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // What all requests share.
 struct RequestParts {
@@ -93,4 +93,4 @@
     std::string m_reason;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/RetryWindows.h
+++ b/Source/RouteServing/Gateway/RetryWindows.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "Routing/RetryWindow.h"
+#include "RouteServing/Routing/RetryWindow.h"
 
 #include <map>
 #include <memory>
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // One retry window for each service that was asked for.
 class RetryWindows {
@@ -43,4 +43,4 @@
     std::map<std::string, std::unique_ptr<Routing::RetryWindow>, std::less<>> m_windows;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/RunBackup.cpp
+++ b/Source/RouteServing/Gateway/RunBackup.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/RunBackup.h"
+#include "RouteServing/Gateway/RunBackup.h"
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Routing::UpstreamBoard;
 
@@ -29,4 +29,4 @@
         call.headers.push_back({ m_words.continueHeader, m_words.copyName(*m_source, requestId) });
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/RunBackup.h
+++ b/Source/RouteServing/Gateway/RunBackup.h
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "Common/HttpClient.h"
-#include "Gateway/Dialect.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Gateway/Dialect.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // A second engine that is sent the memory of a run while it grows. When the first engine breaks off, the same run goes
 // on at the second one after its last whole event; it is no second run, so this also serves requests that may run only
@@ -40,4 +40,4 @@
     std::optional<Common::Endpoint> m_source; // The run goes on from the copy kept there.
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/Sources.h
+++ b/Source/RouteServing/Gateway/Sources.h
@@ -4,8 +4,8 @@
 #include "Common/Clock.h"
 #include "Common/Error.h"
 #include "Inner/Mesh.h"
-#include "Routing/RouteTable.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/RouteTable.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <functional>
 #include <memory>
@@ -16,7 +16,7 @@
 
 // Where the gateway learns what the platform knows, as hooks that an adapter fills. All are called by one fiber at a
 // time and may suspend it. An error means that nothing is known of the moment; it is always PlatformUnavailable.
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // One version of the configuration: compiled, and as its operators wrote it, to be told to other routers.
 struct Configuration {
@@ -50,4 +50,4 @@
     RosterSource roster;
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/StreamTimes.h
+++ b/Source/RouteServing/Gateway/StreamTimes.h
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // When the events of one stream came: for the line that a request ends with.
 class StreamTimes {
@@ -38,4 +38,4 @@
     Common::Milliseconds m_longestPause { 0 };
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/UpstreamTry.cpp
+++ b/Source/RouteServing/Gateway/UpstreamTry.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Gateway/UpstreamTry.h"
+#include "RouteServing/Gateway/UpstreamTry.h"
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using Routing::Fate;
 using Routing::TryOutcome;
@@ -110,4 +110,4 @@
         m_connection->close();
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Gateway/UpstreamTry.h
+++ b/Source/RouteServing/Gateway/UpstreamTry.h
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "Common/HttpClient.h"
-#include "Gateway/Dialect.h"
-#include "Routing/Fate.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Gateway/Dialect.h"
+#include "RouteServing/Routing/Fate.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <memory>
 #include <string>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 // One try of a request at one upstream: connects, sends, checks that the answer belongs to the request, and tells the
 // board how it went. Belongs to one fiber; `cancel` may be called by another one of the same thread.
@@ -58,4 +58,4 @@
     bool m_cancelled { false };
 };
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/EnginePlacement.h"
+#include "RouteServing/Routing/EnginePlacement.h"
 
 #include "Common/Digest.h"
 
@@ -7,7 +7,7 @@
 #include <limits>
 #include <numeric>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -133,4 +133,4 @@
     return best;
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/EnginePlacement.h
+++ b/Source/RouteServing/Routing/EnginePlacement.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "Routing/Prompt.h"
+#include "RouteServing/Routing/Prompt.h"
 
 #include <cstdint>
 #include <optional>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // What is known of one model engine when a generation is to be placed.
 struct EngineState {
@@ -54,4 +54,4 @@
     Common::TimePoint m_writerEnginesAt {};
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/Fate.cpp
+++ b/Source/RouteServing/Routing/Fate.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/Fate.h"
+#include "RouteServing/Routing/Fate.h"
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 std::string_view name(Fate fate)
 {
@@ -18,4 +18,4 @@
     return "maybe_ran";
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/Fate.h
+++ b/Source/RouteServing/Routing/Fate.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // What is known about one try of a request at one upstream. It alone decides what may follow: only `NotSent` and
 // `Refused` allow another upstream for a request that must not run twice, or an answer that promises it did not run.
@@ -17,4 +17,4 @@
 
 std::string_view name(Fate);
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/FreshnessLease.h
+++ b/Source/RouteServing/Routing/FreshnessLease.h
@@ -5,7 +5,7 @@
 
 #include <atomic>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Says whether the configuration in force was confirmed recently enough to serve requests that show a key. A key may be
 // withdrawn at any moment, so a router that cannot read the configuration must stop using keys within a bound.
@@ -40,4 +40,4 @@
     std::atomic<Common::Duration::rep> m_confirmed { 0 };
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/HubRanking.h"
+#include "RouteServing/Routing/HubRanking.h"
 
 #include "Common/Digest.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Fewer routers than this are all hubs: one hub alone would leave nobody to take over at once.
 static constexpr size_t leastRoutersWithHubs = 4;
@@ -55,4 +55,4 @@
         m_source = pickSource(readers, self);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/HubRanking.h
+++ b/Source/RouteServing/Routing/HubRanking.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Who tells whom, in a fleet of any size. All routers are ranked by a hash of their ids; the first ones, about as many
 // as the square root of the fleet, are hubs, and the first few hubs are store readers. These read the platform's store,
@@ -38,4 +38,4 @@
     std::vector<std::string> m_otherHubs;
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/LoadSums.cpp
+++ b/Source/RouteServing/Routing/LoadSums.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/LoadSums.h"
+#include "RouteServing/Routing/LoadSums.h"
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 void addLoads(LoadsByUpstream& sum, const LoadsByUpstream& more)
 {
@@ -44,4 +44,4 @@
     return count;
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/LoadSums.h
+++ b/Source/RouteServing/Routing/LoadSums.h
@@ -2,13 +2,13 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <map>
 #include <string>
 #include <string_view>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Adds up what routers tell of the requests that they have under way. What was told longer than `life` ago is
 // forgotten: its teller may be gone. Not safe for several threads.
@@ -42,4 +42,4 @@
 // Adds the second to the first.
 void addLoads(LoadsByUpstream&, const LoadsByUpstream&);
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/Prompt.cpp
+++ b/Source/RouteServing/Routing/Prompt.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/Prompt.h"
+#include "RouteServing/Routing/Prompt.h"
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 uint32_t Prompt::sharedTokens() const
 {
@@ -11,4 +11,4 @@
     return shared;
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/Prompt.h
+++ b/Source/RouteServing/Routing/Prompt.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // One part of a prompt. Requests share parts; an engine that keeps a part and all parts before it does not read it
 // again.
@@ -25,4 +25,4 @@
     uint32_t sharedTokens() const;
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/RetryWindow.h"
+#include "RouteServing/Routing/RetryWindow.h"
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // A part of the fraction is left unused: other routers' windows and ours do not begin at the same moment.
 static constexpr double usedShareOfRatio = 0.9;
@@ -58,4 +58,4 @@
     return true;
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/RetryWindow.h
+++ b/Source/RouteServing/Routing/RetryWindow.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <mutex>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Bounds the retries that the whole fleet may send to one service: within any sliding window, at most a fraction of the
 // requests for it plus a fixed allowance. Each router keeps to the fraction of its own requests and to its share of the
@@ -44,4 +44,4 @@
     std::array<Slice, slices> m_slices;
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/RouteTable.cpp
+++ b/Source/RouteServing/Routing/RouteTable.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/RouteTable.h"
+#include "RouteServing/Routing/RouteTable.h"
 
 #include <algorithm>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 const Route* RouteTable::find(std::string_view host, std::string_view path) const
 {
@@ -72,4 +72,4 @@
     return std::move(m_table);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // Whether a request may reach an upstream more than once.
 enum class RouteKind : uint8_t { Repeatable, OnceOnly, Stream };
@@ -109,4 +109,4 @@
     RouteTable m_table;
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/UpstreamBoard.cpp
+++ b/Source/RouteServing/Routing/UpstreamBoard.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include "Common/Digest.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -261,4 +261,4 @@
     return digest;
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/UpstreamBoard.h
+++ b/Source/RouteServing/Routing/UpstreamBoard.h
@@ -3,9 +3,9 @@
 
 #include "Common/Clock.h"
 #include "Common/Endpoint.h"
-#include "Routing/EnginePlacement.h"
-#include "Routing/Prompt.h"
-#include "Routing/UpstreamHealth.h"
+#include "RouteServing/Routing/EnginePlacement.h"
+#include "RouteServing/Routing/Prompt.h"
+#include "RouteServing/Routing/UpstreamHealth.h"
 
 #include <map>
 #include <mutex>
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // One start of an upstream, as the platform lists it. Another start has another id, also at the same address.
 struct UpstreamRecord {
@@ -128,4 +128,4 @@
     std::optional<Common::TimePoint> m_brokeOff; // The last time that an engine did in the middle of an answer.
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "Routing/UpstreamHealth.h"
+#include "RouteServing/Routing/UpstreamHealth.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -47,4 +47,4 @@
     return m_failureShare * std::exp2(-Common::toSeconds(now - m_lastTry) / forgetSeconds);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/Routing/UpstreamHealth.h
+++ b/Source/RouteServing/Routing/UpstreamHealth.h
@@ -5,7 +5,7 @@
 
 #include <cstdint>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 // How a try ended, as far as it tells something of the upstream.
 enum class TryOutcome : uint8_t {
@@ -34,4 +34,4 @@
     double m_failureShare { 0 };
 };
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/Gateway/EventCutterTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/EventCutterTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Gateway/EventCutter.h"
+#include "RouteServing/Gateway/EventCutter.h"
 
 #include <gtest/gtest.h>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 TEST(EventCutterTest, EventsPassWholeAndUnchanged)
 {
@@ -41,4 +41,4 @@
     EXPECT_EQ(cutter.lastId(), 6U);
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Gateway/HeaderRules.h"
+#include "RouteServing/Gateway/HeaderRules.h"
 
 #include <gtest/gtest.h>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 TEST(HeaderRulesTest, HeadersOfOneConnectionAndWithheldOnesAreNotPassedOn)
 {
@@ -28,4 +28,4 @@
     EXPECT_EQ(passed[0].name, "Content-Type");
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/Gateway/KnowledgeCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/KnowledgeCodecTest.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/KnowledgeCodec.h"
 
 #include <gtest/gtest.h>
 #include <limits>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
@@ -37,4 +37,4 @@
     EXPECT_EQ(readUpstreams(message), std::vector { record });
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/Gateway/PendingAsksTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PendingAsksTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Gateway/PendingAsks.h"
+#include "RouteServing/Gateway/PendingAsks.h"
 
 #include <gtest/gtest.h>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
@@ -52,4 +52,4 @@
     EXPECT_FALSE(sent.mayBeUnderWay(7, s_now + 500ms));
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/Gateway/StreamTimesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/StreamTimesTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Gateway/StreamTimes.h"
+#include "RouteServing/Gateway/StreamTimes.h"
 
 #include <gtest/gtest.h>
 
-namespace Brassladder::Gateway {
+namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
@@ -21,4 +21,4 @@
     EXPECT_EQ(times.longestPause(), 300ms);
 }
 
-} // namespace Brassladder::Gateway
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/Routing/BoundsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Routing/FreshnessLease.h"
-#include "Routing/RetryWindow.h"
-#include "Routing/UpstreamHealth.h"
+#include "RouteServing/Routing/FreshnessLease.h"
+#include "RouteServing/Routing/RetryWindow.h"
+#include "RouteServing/Routing/UpstreamHealth.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -109,4 +109,4 @@
     EXPECT_LT(health.failureShare(now + 20s), 0.05);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Routing/EnginePlacement.h"
+#include "RouteServing/Routing/EnginePlacement.h"
 
 #include <gtest/gtest.h>
 #include <set>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -141,4 +141,4 @@
 
 TEST(EnginePlacementTest, NoEngineNoPlace) { EXPECT_FALSE(EnginePlacement().place(writer(), {}, s_batch, s_now)); }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Routing/HubRanking.h"
-#include "Routing/LoadSums.h"
+#include "RouteServing/Routing/HubRanking.h"
+#include "RouteServing/Routing/LoadSums.h"
 
 #include <gtest/gtest.h>
 #include <map>
 #include <set>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -108,4 +108,4 @@
     EXPECT_EQ(sums.routers(now + 1600ms), 0U);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/Routing/RouteTableTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "Routing/RouteTable.h"
+#include "RouteServing/Routing/RouteTable.h"
 
 #include <gtest/gtest.h>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 static Route route(std::string host, std::string prefix)
 {
@@ -65,4 +65,4 @@
     EXPECT_TRUE(once.mayRepeat());
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/Routing/UpstreamBoardTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamBoardTest.cpp
@@ -2,12 +2,12 @@
 #include "Common/Precompiled.h"
 
 #include "Common/Digest.h"
-#include "Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamBoard.h"
 
 #include <gtest/gtest.h>
 #include <set>
 
-namespace Brassladder::Routing {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
@@ -138,4 +138,4 @@
     EXPECT_EQ(chosen.size(), 2U);
 }
 
-} // namespace Brassladder::Routing
+} // namespace Brassladder::RouteServing::Routing
