--- a/Source/Benchmarks/PathCost.cpp
+++ b/Source/Benchmarks/PathCost.cpp
@@ -39,7 +39,7 @@
 
 // The same call over and over on one kept connection.
 static Latencies timeCalls(
-    Common::FiberRuntime& runtime, const Common::Endpoint& endpoint, const Common::HttpCall& call, int count)
+    Common::FiberRuntime& runtime, const Common::Endpoint& endpoint, const Common::HttpClientRequest& call, int count)
 {
     return runtime.call([&] {
         Latencies latencies;
@@ -57,8 +57,8 @@
 }
 
 // Calls a second with many connections at once.
-static double throughput(Common::FiberRuntime& runtime, const Common::Endpoint& endpoint, const Common::HttpCall& call,
-    int connections, int each)
+static double throughput(Common::FiberRuntime& runtime, const Common::Endpoint& endpoint,
+    const Common::HttpClientRequest& call, int connections, int each)
 {
     std::atomic<int> left { connections };
     auto start = Common::now();
@@ -98,8 +98,8 @@
     std::vector<Common::HttpHeader> headers { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey },
         { "Brassladder-Class", "stock" } };
     int count = absl::GetFlag(FLAGS_calls);
-    Common::HttpCall direct { "POST", "/x", "{}", {} };
-    Common::HttpCall routed { "POST", "/services/orders/x", "{}", headers };
+    Common::HttpClientRequest direct { "POST", "/x", "{}", {} };
+    Common::HttpClientRequest routed { "POST", "/services/orders/x", "{}", headers };
     const auto& service = cluster.node("orders-1").endpoint;
     const auto& router = cluster.node("router-1").endpoint;
     timeCalls(runtime, router, routed, count / 4);
@@ -109,9 +109,9 @@
         "plain calls at once", throughput(runtime, service, direct, 64, count / 16),
         throughput(runtime, router, routed, 64, count / 16));
     headers.back().value = "urgent";
-    Common::HttpCall stream { "POST", "/v1/chat/completions",
+    Common::HttpClientRequest stream { "POST", "/v1/chat/completions",
         R"({"stream":true,"messages":[{"role":"user","content":"nonce=a len=16"}]})", {} };
-    Common::HttpCall routedStream = stream;
+    Common::HttpClientRequest routedStream = stream;
     routedStream.headers = headers;
     const auto& engine = cluster.node("engine-1").endpoint;
     compare("stream of 16 tokens", timeCalls(runtime, engine, stream, count / 4),
@@ -141,10 +141,10 @@
             Common::HttpConnection connection;
             if (auto status = connection.connect(router, 10'000ms); isError(status))
                 std::cerr << errorOf(status).message << "\n";
-            Common::HttpCall call { "POST", "/v1/chat/completions",
+            Common::HttpClientRequest call { "POST", "/v1/chat/completions",
                 R"({"stream":true,"messages":[{"role":"user","content":"nonce=a len=9"}]})",
                 { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey } } };
-            call.answerTimeout = Common::Milliseconds(600'000);
+            call.responseTimeout = Common::Milliseconds(600'000);
             if (auto answer = connection.start(call); isError(answer))
                 std::cerr << errorOf(answer).message << "\n";
         });
--- a/Source/ClassServing/BackingServices/InstanceList.cpp
+++ b/Source/ClassServing/BackingServices/InstanceList.cpp
@@ -10,7 +10,7 @@
 using Common::member;
 
 static constexpr Common::Milliseconds connectTimeout { 500 };
-static constexpr Common::Milliseconds answerTimeout { 2000 };
+static constexpr Common::Milliseconds responseTimeout { 2000 };
 
 static Common::Endpoint endpointMember(const Json& entry, std::string_view key)
 {
@@ -20,10 +20,10 @@
 
 static Common::Result<std::vector<Instance>> read(const Common::Endpoint& endpoint)
 {
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.target = "/instances";
     call.connectTimeout = connectTimeout;
-    call.answerTimeout = answerTimeout;
+    call.responseTimeout = responseTimeout;
     auto answer = Common::callOnce(endpoint, call);
     if (isError(answer))
         return Common::makeError(ErrorKind::PlatformUnavailable, "instance list: " + errorOf(answer).message);
--- a/Source/ClassServing/BackingServices/LogService.cpp
+++ b/Source/ClassServing/BackingServices/LogService.cpp
@@ -10,7 +10,7 @@
 using Common::member;
 
 static constexpr Common::Milliseconds connectTimeout { 500 };
-static constexpr Common::Milliseconds answerTimeout { 2000 };
+static constexpr Common::Milliseconds responseTimeout { 2000 };
 
 std::string claimStream(uint32_t partition) { return "claims-" + std::to_string(partition); }
 
@@ -25,12 +25,12 @@
 
 static Common::Result<uint64_t> append(const Common::Endpoint& endpoint, std::string_view stream, std::string_view data)
 {
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.method = "POST";
     call.target = recordsPath(stream);
     call.body = data;
     call.connectTimeout = connectTimeout;
-    call.answerTimeout = answerTimeout;
+    call.responseTimeout = responseTimeout;
     auto answer = Common::callOnce(endpoint, call);
     if (isError(answer))
         return unavailable(errorOf(answer).ran, "log append: " + errorOf(answer).message);
@@ -45,10 +45,10 @@
 static Common::Result<LogPage> read(
     const Common::Endpoint& endpoint, std::string_view stream, uint64_t from, Common::Milliseconds wait)
 {
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.target = recordsPath(stream) + "?from=" + std::to_string(from) + "&wait_ms=" + std::to_string(wait.count());
     call.connectTimeout = connectTimeout;
-    call.answerTimeout = answerTimeout + wait;
+    call.responseTimeout = responseTimeout + wait;
     auto answer = Common::callOnce(endpoint, call);
     if (isError(answer))
         return unavailable(Common::Ran::No, "log read: " + errorOf(answer).message);
--- a/Source/ClassServing/Frontend/ChatHandler.cpp
+++ b/Source/ClassServing/Frontend/ChatHandler.cpp
@@ -31,7 +31,7 @@
 
     Attempt tryOn(const Membership::Upstream&);
     void answerWhole();
-    void answerError(const Error&);
+    void responseError(const Error&);
     uint32_t tokens() const { return m_tokens; }
 
 private:
@@ -201,7 +201,7 @@
     m_context.exchange.respond(response);
 }
 
-void Generation::answerError(const Error& error)
+void Generation::responseError(const Error& error)
 {
     if (error.kind == ErrorKind::CallerGone)
         return m_context.exchange.closeAfterAnswer();
@@ -240,7 +240,7 @@
     else
         status = m_loop.run(context, [&](const Membership::Upstream& upstream) { return generation.tryOn(upstream); });
     if (isError(status)) {
-        generation.answerError(errorOf(status));
+        generation.responseError(errorOf(status));
         return status;
     }
     RequestMetrics::completed(context.policy().name, generation.tokens());
--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -17,7 +17,7 @@
     return kind == ErrorKind::UpstreamRefused ? Outcome::RefusedByWorker : Outcome::Broken;
 }
 
-static Common::HttpResponse responseOf(const Common::HttpAnswer& answer, const std::string& requestId)
+static Common::HttpResponse responseOf(const Common::HttpClientResponse& answer, const std::string& requestId)
 {
     Common::HttpResponse response { answer.status, answer.body, std::string(answer.header("Content-Type")), {} };
     for (const auto& header : answer.headers) {
@@ -30,7 +30,7 @@
 
 Status ServiceHandler::handle(RequestContext& context, std::string_view target)
 {
-    Common::HttpAnswer answer;
+    Common::HttpClientResponse answer;
     auto tryOnce = [&](const Membership::Upstream& upstream) -> Attempt {
         auto call = std::make_shared<Upstream::ServiceCall>(upstream.endpoint, context.requestId);
         context.exchange.watchCaller(
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -6,7 +6,7 @@
 namespace Brassladder::ClassServing::Upstream {
 
 using Common::ErrorKind;
-using Common::HttpCall;
+using Common::HttpClientRequest;
 using Common::Status;
 
 static constexpr std::string_view endMarker = "[DONE]";
@@ -25,10 +25,10 @@
 EngineStream::~EngineStream()
 {
     if (m_connection && m_finished && m_mayRepeat)
-        Common::HttpConnectionPool::here().giveBack(m_engine, std::move(m_connection));
+        Common::HttpConnectionPool::here().release(m_engine, std::move(m_connection));
 }
 
-Common::Error statusError(const Common::HttpAnswer& answer)
+Common::Error statusError(const Common::HttpClientResponse& answer)
 {
     auto message = "the upstream answered " + std::to_string(answer.status);
     if (answer.header(ranHeader) == "no")
@@ -39,7 +39,7 @@
 Status EngineStream::start(
     std::string_view body, Scheduling::Tier tier, bool mayRepeat, const UpstreamTimeouts& timeouts)
 {
-    HttpCall call;
+    HttpClientRequest call;
     call.method = "POST";
     call.target = "/v1/chat/completions";
     call.body = body;
@@ -50,14 +50,14 @@
 
 Status EngineStream::resume(uint32_t fromToken, Scheduling::Tier tier, const UpstreamTimeouts& timeouts)
 {
-    HttpCall call;
+    HttpClientRequest call;
     call.method = "POST";
     call.target = "/v1/requests/" + m_requestId + "/resume?from=" + std::to_string(fromToken);
     call.headers = { { std::string(priorityHeader), std::to_string(tier) } };
     return open(call, true, timeouts);
 }
 
-Status EngineStream::open(const HttpCall& call, bool mayRepeat, const UpstreamTimeouts& timeouts)
+Status EngineStream::open(const HttpClientRequest& call, bool mayRepeat, const UpstreamTimeouts& timeouts)
 {
     m_mayRepeat = mayRepeat;
     if (mayRepeat) {
@@ -71,8 +71,8 @@
         if (auto status = m_connection->connect(m_engine, timeouts.connect); isError(status))
             return status;
     }
-    HttpCall timed = call;
-    timed.answerTimeout = timeouts.answer;
+    HttpClientRequest timed = call;
+    timed.responseTimeout = timeouts.answer;
     auto answer = m_connection->start(timed);
     if (isError(answer))
         return errorOf(answer);
@@ -110,10 +110,10 @@
 void EngineStream::pause()
 {
     Common::FiberRuntime::spawnHere([engine = m_engine, id = m_requestId] {
-        HttpCall call;
+        HttpClientRequest call;
         call.method = "POST";
         call.target = "/v1/requests/" + id + "/pause";
-        call.answerTimeout = Common::Milliseconds(2000);
+        call.responseTimeout = Common::Milliseconds(2000);
         // An engine that does not pause goes on, and its slot comes free at the end of the generation.
         Common::callOnce(engine, call);
     });
--- a/Source/ClassServing/Upstream/EngineStream.h
+++ b/Source/ClassServing/Upstream/EngineStream.h
@@ -52,7 +52,7 @@
     void cancel();
 
 private:
-    Common::Status open(const Common::HttpCall&, bool mayRepeat, const UpstreamTimeouts&);
+    Common::Status open(const Common::HttpClientRequest&, bool mayRepeat, const UpstreamTimeouts&);
 
     Common::Endpoint m_engine;
     std::string m_requestId;
@@ -63,6 +63,6 @@
 };
 
 // Turns a refusal of an upstream (503 with `Brassladder-Ran: no`) or another bad status into an error.
-Common::Error statusError(const Common::HttpAnswer&);
+Common::Error statusError(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::ClassServing::Upstream
--- a/Source/ClassServing/Upstream/LoadProbe.cpp
+++ b/Source/ClassServing/Upstream/LoadProbe.cpp
@@ -10,10 +10,10 @@
 
 Common::Result<Scheduling::LoadReport> readLoad(const Common::Endpoint& endpoint)
 {
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.target = "/load";
     call.connectTimeout = Common::Milliseconds(300);
-    call.answerTimeout = Common::Milliseconds(500);
+    call.responseTimeout = Common::Milliseconds(500);
     auto answer = Common::callOnce(endpoint, call);
     if (isError(answer))
         return errorOf(answer);
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -6,8 +6,8 @@
 namespace Brassladder::ClassServing::Upstream {
 
 namespace beast = boost::beast;
-using Common::HttpAnswer;
-using Common::HttpCall;
+using Common::HttpClientRequest;
+using Common::HttpClientResponse;
 using Common::Result;
 
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
@@ -24,14 +24,14 @@
         && std::find(s_dropped.begin(), s_dropped.end(), lower) == s_dropped.end();
 }
 
-Result<HttpAnswer> ServiceCall::run(
+Result<HttpClientResponse> ServiceCall::run(
     const Common::HttpRequest& request, std::string_view target, bool mayRepeat, const UpstreamTimeouts& timeouts)
 {
-    HttpCall call;
+    HttpClientRequest call;
     call.method = std::string(request.method_string().data(), request.method_string().size());
     call.target = target;
     call.body = request.body();
-    call.answerTimeout = timeouts.answer;
+    call.responseTimeout = timeouts.answer;
     for (const auto& field : request) {
         std::string name(field.name_string().data(), field.name_string().size());
         if (isForwarded(name))
@@ -59,7 +59,7 @@
         return statusError(valueOf(answer));
     valueOf(answer).body = std::move(valueOf(body));
     if (mayRepeat)
-        Common::HttpConnectionPool::here().giveBack(m_service, std::move(m_connection));
+        Common::HttpConnectionPool::here().release(m_service, std::move(m_connection));
     return answer;
 }
 
--- a/Source/ClassServing/Upstream/ServiceCall.h
+++ b/Source/ClassServing/Upstream/ServiceCall.h
@@ -16,7 +16,7 @@
     }
 
     // The whole answer, whatever its status; UpstreamRefused when the service says that the request did not run.
-    Common::Result<Common::HttpAnswer> run(
+    Common::Result<Common::HttpClientResponse> run(
         const Common::HttpRequest&, std::string_view target, bool mayRepeat, const UpstreamTimeouts&);
     void cancel();
 
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -18,7 +18,7 @@
 // Kept connections for each endpoint and thread.
 static constexpr size_t maxIdleConnections = 32;
 
-std::string_view HttpAnswer::header(std::string_view name) const
+std::string_view HttpClientResponse::header(std::string_view name) const
 {
     for (const auto& header : headers) {
         if (beast::iequals({ header.name.data(), header.name.size() }, { name.data(), name.size() }))
@@ -53,7 +53,7 @@
     if (m_deadline)
         m_stream.expires_at(*m_deadline);
     else
-        m_stream.expires_after(m_answerTimeout);
+        m_stream.expires_after(m_responseTimeout);
 }
 
 // Reads `Keep-Alive: timeout=SECONDS`.
@@ -72,13 +72,13 @@
     return std::chrono::seconds(seconds);
 }
 
-static Error answerError(const beast::error_code& error)
+static Error responseError(const beast::error_code& error)
 {
     auto kind = error == beast::error::timeout ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamBroken;
     return makeError(kind, "no whole answer from the upstream: " + error.message());
 }
 
-Result<HttpAnswer> HttpConnection::start(const HttpCall& call)
+Result<HttpClientResponse> HttpConnection::start(const HttpClientRequest& call)
 {
     http::request<http::string_body> request;
     request.method_string(call.method);
@@ -91,13 +91,13 @@
     request.body() = call.body;
     request.prepare_payload();
 
-    m_answerTimeout = call.answerTimeout;
+    m_responseTimeout = call.responseTimeout;
     m_deadline = call.deadline;
     armTimeout();
     auto sent = awaitIo([&](auto handler) { http::async_write(m_stream, request, std::move(handler)); });
     if (!sent.ok()) {
         m_broken = true;
-        return answerError(sent.error);
+        return responseError(sent.error);
     }
     m_parser.emplace();
     // Not boost::none: with it, Beast 1.74 takes any body for too large.
@@ -108,10 +108,10 @@
         = awaitIo([&](auto handler) { http::async_read_header(m_stream, m_buffer, *m_parser, std::move(handler)); });
     if (!read.ok()) {
         m_broken = true;
-        return answerError(read.error);
+        return responseError(read.error);
     }
     m_keepAliveTime = keepAliveTimeOf(m_parser->get());
-    HttpAnswer answer;
+    HttpClientResponse answer;
     answer.status = m_parser->get().result_int();
     for (const auto& field : m_parser->get()) {
         auto name = field.name_string();
@@ -135,7 +135,7 @@
             = awaitIo([&](auto handler) { http::async_read_some(m_stream, m_buffer, *m_parser, std::move(handler)); });
         if (!read.ok() && read.error != http::error::need_buffer) {
             m_broken = true;
-            return answerError(read.error);
+            return responseError(read.error);
         }
         size_t filled = m_piece.size() - body.size;
         if (filled || m_parser->is_done())
@@ -183,7 +183,7 @@
     return error == asio::error::would_block;
 }
 
-Result<HttpAnswer> callOnce(const Endpoint& endpoint, const HttpCall& call, size_t bodyLimit)
+Result<HttpClientResponse> callOnce(const Endpoint& endpoint, const HttpClientRequest& call, size_t bodyLimit)
 {
     HttpConnection connection;
     if (auto status = connection.connect(endpoint, call.connectTimeout); isError(status))
@@ -207,7 +207,7 @@
 
 Result<std::unique_ptr<HttpConnection>> HttpConnectionPool::take(const Endpoint& endpoint, Milliseconds connectTimeout)
 {
-    if (auto kept = takeKept(endpoint, Milliseconds::max()))
+    if (auto kept = acquireIdle(endpoint, Milliseconds::max()))
         return kept;
     auto connection = std::make_unique<HttpConnection>();
     if (auto status = connection->connect(endpoint, connectTimeout); isError(status))
@@ -215,7 +215,7 @@
     return connection;
 }
 
-std::unique_ptr<HttpConnection> HttpConnectionPool::takeKept(const Endpoint& endpoint, Milliseconds longestRest)
+std::unique_ptr<HttpConnection> HttpConnectionPool::acquireIdle(const Endpoint& endpoint, Milliseconds maxIdleTime)
 {
     auto found = m_idle.find(endpoint);
     if (found == m_idle.end())
@@ -230,7 +230,7 @@
             idle.clear();
             break;
         }
-        if (longestRest != Milliseconds::max() && rest > longestRest)
+        if (maxIdleTime != Milliseconds::max() && rest > maxIdleTime)
             return nullptr;
         auto connection = std::move(idle.back().connection);
         idle.pop_back();
@@ -241,7 +241,7 @@
     return nullptr;
 }
 
-void HttpConnectionPool::giveBack(const Endpoint& endpoint, std::unique_ptr<HttpConnection> connection)
+void HttpConnectionPool::release(const Endpoint& endpoint, std::unique_ptr<HttpConnection> connection)
 {
     if (!connection->isReusable())
         return;
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -7,17 +7,17 @@
 
 namespace Brassladder::Common {
 
-struct HttpCall {
+struct HttpClientRequest {
     std::string method { "GET" };
     std::string target;
     std::string body;
     std::vector<HttpHeader> headers;
     Milliseconds connectTimeout { 1000 };
-    Milliseconds answerTimeout { 10'000 }; // Until the head of the answer, and then between two pieces of its body.
-    std::optional<TimePoint> deadline; // When given, bounds the whole call in place of `answerTimeout`.
+    Milliseconds responseTimeout { 10'000 }; // Until the head of the answer, and then between two pieces of its body.
+    std::optional<TimePoint> deadline; // When given, bounds the whole call in place of `responseTimeout`.
 };
 
-struct HttpAnswer {
+struct HttpClientResponse {
     unsigned status { 0 };
     std::string body;
     std::vector<HttpHeader> headers;
@@ -35,7 +35,7 @@
 
     Status connect(const Endpoint&, Milliseconds timeout);
     // Sends the request and reads the head of the answer.
-    Result<HttpAnswer> start(const HttpCall&);
+    Result<HttpClientResponse> start(const HttpClientRequest&);
     // Reads the next piece of the body; empty at the end. An end without the announced length is UpstreamBroken.
     Result<std::string_view> readPiece();
     // The rest of the body.
@@ -58,14 +58,14 @@
     std::vector<char> m_piece;
     void armTimeout();
 
-    Milliseconds m_answerTimeout { 0 };
+    Milliseconds m_responseTimeout { 0 };
     std::optional<TimePoint> m_deadline;
     std::optional<Milliseconds> m_keepAliveTime;
     bool m_broken { false };
 };
 
 // Connects, sends, and reads the whole answer: for short calls where a pool of connections would not pay.
-Result<HttpAnswer> callOnce(const Endpoint&, const HttpCall&, size_t bodyLimit = 16 * 1024 * 1024);
+Result<HttpClientResponse> callOnce(const Endpoint&, const HttpClientRequest&, size_t bodyLimit = 16 * 1024 * 1024);
 
 // Kept connections of one thread, by endpoint. A kept connection can be closed by the other side at the moment of the
 // write, and then nobody knows whether the request ran: a request that may not be repeated takes none, or one that has
@@ -76,10 +76,10 @@
     static HttpConnectionPool& here();
 
     Result<std::unique_ptr<HttpConnection>> take(const Endpoint&, Milliseconds connectTimeout);
-    // The most recently used kept connection that has rested for at most `longestRest`, or null. Those that are past
+    // The most recently used kept connection that has rested for at most `maxIdleTime`, or null. Those that are past
     // half of the time that the other side keeps them are closed.
-    std::unique_ptr<HttpConnection> takeKept(const Endpoint&, Milliseconds longestRest);
-    void giveBack(const Endpoint&, std::unique_ptr<HttpConnection>);
+    std::unique_ptr<HttpConnection> acquireIdle(const Endpoint&, Milliseconds maxIdleTime);
+    void release(const Endpoint&, std::unique_ptr<HttpConnection>);
 
 private:
     struct Kept {
--- a/Source/Operator/Commands.cpp
+++ b/Source/Operator/Commands.cpp
@@ -97,7 +97,7 @@
 static Common::Result<Json> askRouter(
     const Common::Endpoint& router, const CtlOptions& options, std::string method, std::string target)
 {
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.method = std::move(method);
     call.target = std::move(target);
     call.headers = { { "Authorization", "Bearer " + options.fleetKey } };
--- a/Source/Programs/Router/Main.cpp
+++ b/Source/Programs/Router/Main.cpp
@@ -65,7 +65,7 @@
     Common::startProgramLogging(settings.id);
     auto& runtime = Common::FiberRuntime::start(settings.threads);
     auto& gateway = *new RouteServing::Gateway::Gateway(
-        runtime, settings, PlatformAdapter::dialect(), PlatformAdapter::sources(settings.store));
+        runtime, settings, PlatformAdapter::headerScheme(), PlatformAdapter::sources(settings.store));
     if (auto status = gateway.start(); isError(status))
         failToStart(errorOf(status));
     Common::Endpoint callers { settings.callers.address, gateway.callerPort() };
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -3,7 +3,7 @@
 
 #include "Common/Log.h"
 #include "Common/Metrics.h"
-#include "RouteServing/Gateway/RequestLife.h"
+#include "RouteServing/Gateway/RequestHandler.h"
 
 #include <thread>
 
@@ -35,28 +35,29 @@
 static constexpr Milliseconds balancerNotice = 2500ms;
 // Before the end of the grace, what is still in flight is given up.
 static constexpr Milliseconds graceMargin = 250ms;
-static constexpr Milliseconds drainLook = 20ms;
+static constexpr Milliseconds drainPollInterval = 20ms;
 
-static Follower::Pace paceOf(const GatewaySettings& settings)
+static PlatformWatcher::RefreshIntervals intervalsFrom(const GatewaySettings& settings)
 {
-    Follower::Pace pace;
-    pace.configurationWait = settings.configuration * configurationWaitPercent / 100;
-    pace.configurationLate = settings.configuration * configurationLatePercent / 100;
+    PlatformWatcher::RefreshIntervals pace;
+    pace.configurationLongPoll = settings.configuration * configurationWaitPercent / 100;
+    pace.configurationStaleAfter = settings.configuration * configurationLatePercent / 100;
     pace.upstreamInterval = settings.leaving * upstreamIntervalPercent / 100;
-    pace.upstreamsLate = settings.leaving * upstreamsLatePercent / 100;
-    pace.longestRetryPause = settings.configuration * longestRetryPercent / 100;
+    pace.upstreamsStaleAfter = settings.leaving * upstreamsLatePercent / 100;
+    pace.maxBackoff = settings.configuration * longestRetryPercent / 100;
     return pace;
 }
 
-Gateway::Gateway(Common::FiberRuntime& runtime, GatewaySettings settings, Dialect dialect, const Sources& sources)
+Gateway::Gateway(
+    Common::FiberRuntime& runtime, GatewaySettings settings, HeaderScheme headerScheme, const PlatformSources& sources)
     : m_runtime(runtime)
     , m_settings(std::move(settings))
-    , m_dialect(std::move(dialect))
+    , m_headers(std::move(headerScheme))
     , m_lease(m_settings.revocation - m_settings.revocation / leaseMarginParts)
-    , m_board(m_settings.failureDomain)
+    , m_registry(m_settings.failureDomain)
     , m_retries({ m_settings.retryRatio, 0, m_settings.retryWindow })
-    , m_follower(sources, paceOf(m_settings), m_lease, m_board)
-    , m_peers(runtime, { sources.roster, m_follower, m_lease, m_board }, m_settings.id, m_settings.fleetKey)
+    , m_watcher(sources, intervalsFrom(m_settings), m_lease, m_registry)
+    , m_peers(runtime, { sources.roster, m_watcher, m_lease, m_registry }, m_settings.id, m_settings.fleetKey)
 {
 }
 
@@ -70,7 +71,7 @@
     auto callerLimits = [this] {
         Common::HttpLimits limits;
         limits.connections = m_settings.callerConnections;
-        if (auto configuration = m_follower.configuration()) {
+        if (auto configuration = m_watcher.configuration()) {
             const auto& told = configuration->table.limits();
             limits.headerBytes = told.headerBytes;
             limits.bodyBytes = told.bodyBytes;
@@ -98,9 +99,9 @@
         return errorOf(metrics);
     if (auto inner = m_peers.listen(m_settings.inner); isError(inner))
         return errorOf(inner);
-    m_runtime.spawn([this] { m_follower.followConfiguration(); });
-    m_runtime.spawn([this] { m_follower.followUpstreams(); });
-    m_runtime.spawn([this] { m_peers.followRoster(); });
+    m_runtime.spawn([this] { m_watcher.watchConfiguration(); });
+    m_runtime.spawn([this] { m_watcher.watchUpstreams(); });
+    m_runtime.spawn([this] { m_peers.watchRoster(); });
     m_runtime.spawn([this] { m_peers.exchange(); });
     m_runtime.spawn([this] { shareAllowance(); });
     return Common::Done {};
@@ -117,14 +118,14 @@
 
 bool Gateway::isReady() const
 {
-    return !m_draining && m_follower.configuration() && m_follower.knowsUpstreams() && m_lease.isFresh(Common::now());
+    return !m_draining && m_watcher.configuration() && m_watcher.knowsUpstreams() && m_lease.isFresh(Common::now());
 }
 
 void Gateway::serveReadiness(Common::HttpExchange& exchange) const
 {
-    if (exchange.path() != m_dialect.caller.readinessPath)
+    if (exchange.path() != m_headers.caller.readinessPath)
         return (void)exchange.respond(
-            Common::errorResponse(Common::makeError(ErrorKind::UnknownRoute, m_dialect.caller.readinessPath)));
+            Common::errorResponse(Common::makeError(ErrorKind::UnknownRoute, m_headers.caller.readinessPath)));
     if (isReady())
         exchange.respond(Common::jsonResponse({ { "status", "ready" } }));
     else
@@ -137,7 +138,7 @@
     m_inFlight.fetch_add(1);
     if (m_draining)
         exchange.closeAfterAnswer();
-    RequestLife({ m_dialect, m_follower, m_lease, m_board, m_retries, m_closing }, exchange).run();
+    RequestHandler({ m_headers, m_watcher, m_lease, m_registry, m_retries, m_closing }, exchange).run();
     if (m_draining)
         exchange.closeAfterAnswer();
     m_inFlight.fetch_sub(1);
@@ -152,11 +153,11 @@
     auto noticed = started + std::min(balancerNotice, m_settings.grace / 2);
     auto end = started + m_settings.grace - std::min(graceMargin, m_settings.grace / 4);
     while (Common::now() < noticed)
-        std::this_thread::sleep_for(drainLook);
+        std::this_thread::sleep_for(drainPollInterval);
     m_closing = true;
     m_callers->closeIdle();
     while (Common::now() < end && m_inFlight.load())
-        std::this_thread::sleep_for(drainLook);
+        std::this_thread::sleep_for(drainPollInterval);
     Common::log(LogLevel::Info, "gateway", "drain.end",
         { { "in_flight", m_inFlight.load() }, { "ms", Common::toMilliseconds(Common::now() - started).count() } });
 }
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "Common/HttpServer.h"
-#include "RouteServing/Gateway/Dialect.h"
-#include "RouteServing/Gateway/Follower.h"
 #include "RouteServing/Gateway/GatewaySettings.h"
+#include "RouteServing/Gateway/HeaderScheme.h"
 #include "RouteServing/Gateway/PeerExchange.h"
+#include "RouteServing/Gateway/PlatformSources.h"
+#include "RouteServing/Gateway/PlatformWatcher.h"
 #include "RouteServing/Gateway/RetryWindows.h"
-#include "RouteServing/Gateway/Sources.h"
 #include "RouteServing/Routing/FreshnessLease.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <atomic>
 
@@ -19,7 +19,7 @@
 // ends.
 class Gateway {
 public:
-    Gateway(Common::FiberRuntime&, GatewaySettings, Dialect, const Sources&);
+    Gateway(Common::FiberRuntime&, GatewaySettings, HeaderScheme, const PlatformSources&);
 
     // Binds the ports and starts to serve. PlatformUnavailable when a port cannot be had.
     Common::Status start();
@@ -39,11 +39,11 @@
 
     Common::FiberRuntime& m_runtime;
     GatewaySettings m_settings;
-    Dialect m_dialect;
+    HeaderScheme m_headers;
     Routing::FreshnessLease m_lease;
-    Routing::UpstreamBoard m_board;
+    Routing::UpstreamRegistry m_registry;
     RetryWindows m_retries;
-    Follower m_follower;
+    PlatformWatcher m_watcher;
     PeerExchange m_peers;
     Common::HttpServer* m_callers { nullptr };
     Common::HttpServer* m_readiness { nullptr };
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -26,7 +26,7 @@
     s_time.Observe(Common::toSeconds(time));
 }
 
-void tryFailed(Routing::Fate fate, bool again)
+void attemptFailed(Routing::Fate fate, bool again)
 {
     counter("brassladder_gateway_failed_tries_total", "Tries at an upstream that gave no answer",
         { { "fate", std::string(Routing::name(fate)) }, { "again", again ? "yes" : "no" } })
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -15,6 +15,6 @@
 // The first event of a stream, or a whole answer, is on its way to the caller.
 void firstByte(Common::Duration);
 // A try gave no answer; `again`: the request goes on to another upstream.
-void tryFailed(Routing::Fate, bool again);
+void attemptFailed(Routing::Fate, bool again);
 
 } // namespace Brassladder::RouteServing::Gateway::GatewayMetrics
--- a/Source/RouteServing/Gateway/HeaderRules.cpp
+++ b/Source/RouteServing/Gateway/HeaderRules.cpp
@@ -36,7 +36,7 @@
     return headers;
 }
 
-std::vector<Common::HttpHeader> headersForCaller(const Common::HttpAnswer& answer)
+std::vector<Common::HttpHeader> headersForCaller(const Common::HttpClientResponse& answer)
 {
     std::vector<Common::HttpHeader> headers;
     for (const auto& header : answer.headers) {
--- a/Source/RouteServing/Gateway/HeaderRules.h
+++ b/Source/RouteServing/Gateway/HeaderRules.h
@@ -15,6 +15,6 @@
 std::vector<Common::HttpHeader> headersForUpstream(const Common::HttpRequest&, std::span<const std::string> withheld);
 
 // The answer's headers for its caller.
-std::vector<Common::HttpHeader> headersForCaller(const Common::HttpAnswer&);
+std::vector<Common::HttpHeader> headersForCaller(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/PendingAsks.cpp
+++ b/Source/RouteServing/Gateway/OutstandingRequests.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/PendingAsks.h"
+#include "RouteServing/Gateway/OutstandingRequests.h"
 
 namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
 // A way there and back takes at most so long, unless the other side is dead or cut off.
-static constexpr Common::Milliseconds longestWay = 500ms;
+static constexpr Common::Milliseconds responseTimeout = 500ms;
 
-void PendingAsks::askFrom(std::string source, bool asHub)
+void OutstandingRequests::setTarget(std::string source, bool asHub)
 {
     if (m_source == source && m_asHub == asHub)
         return;
@@ -17,13 +17,13 @@
     m_sent.clear();
 }
 
-uint64_t PendingAsks::add(Common::TimePoint now)
+uint64_t OutstandingRequests::add(Common::TimePoint now)
 {
     m_sent.emplace(++m_last, now);
     return m_last;
 }
 
-std::optional<Common::TimePoint> PendingAsks::take(std::string_view from, uint64_t number)
+std::optional<Common::TimePoint> OutstandingRequests::take(std::string_view from, uint64_t number)
 {
     auto found = m_sent.find(number);
     if (m_source != from || found == m_sent.end())
@@ -33,20 +33,20 @@
     return sent;
 }
 
-bool PendingAsks::isSilent(Common::TimePoint now) const
+bool OutstandingRequests::isOverdue(Common::TimePoint now) const
 {
-    return !m_sent.empty() && now - m_sent.begin()->second >= longestWay;
+    return !m_sent.empty() && now - m_sent.begin()->second >= responseTimeout;
 }
 
-void LastSent::note(uint64_t version, Common::TimePoint now)
+void LastSentVersion::note(uint64_t version, Common::TimePoint now)
 {
     m_version = version;
     m_at = now;
 }
 
-bool LastSent::mayBeUnderWay(uint64_t version, Common::TimePoint now) const
+bool LastSentVersion::isInFlight(uint64_t version, Common::TimePoint now) const
 {
-    return m_at && m_version == version && now - *m_at < longestWay;
+    return m_at && m_version == version && now - *m_at < responseTimeout;
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/PendingAsks.h
+++ b/Source/RouteServing/Gateway/OutstandingRequests.h
@@ -13,11 +13,11 @@
 
 // Asks of this router whose answers are awaited: more than one when the way there and back takes longer than the pause
 // between two. Not safe for several threads.
-class PendingAsks {
+class OutstandingRequests {
 public:
     // Whom this router asks from now on: a hub, or for a hub a store reader; empty when it asks nobody. Asks to another
     // one are forgotten.
-    void askFrom(std::string source, bool asHub);
+    void setTarget(std::string source, bool asHub);
     const std::string& source() const { return m_source; }
     // Whether this router asked as a hub.
     bool asHub() const { return m_asHub; }
@@ -29,7 +29,7 @@
     std::optional<Common::TimePoint> take(std::string_view from, uint64_t number);
 
     // Whether an answer is awaited for longer than any way takes.
-    bool isSilent(Common::TimePoint now) const;
+    bool isOverdue(Common::TimePoint now) const;
     void clear() { m_sent.clear(); }
 
 private:
@@ -40,10 +40,10 @@
 };
 
 // What a peer was sent last, whole: it is not sent again with each ask while it may be under way.
-class LastSent {
+class LastSentVersion {
 public:
     void note(uint64_t version, Common::TimePoint now);
-    bool mayBeUnderWay(uint64_t version, Common::TimePoint now) const;
+    bool isInFlight(uint64_t version, Common::TimePoint now) const;
 
 private:
     uint64_t m_version { 0 };
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -3,7 +3,7 @@
 
 #include "Common/Digest.h"
 #include "Common/Log.h"
-#include "RouteServing/Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/SnapshotCodec.h"
 
 namespace Brassladder::RouteServing::Gateway {
 
@@ -14,12 +14,12 @@
 
 static constexpr Milliseconds exchangeInterval = 100ms;
 // Word of loads is used for so long.
-static constexpr Milliseconds loadLife = 1500ms;
+static constexpr Milliseconds loadReportMaxAge = 1500ms;
 // A hub that is silent is taken for dead, for a time that doubles.
-static constexpr Milliseconds firstSuspicion = 2000ms;
-static constexpr unsigned mostDoublings = 4;
+static constexpr Milliseconds initialHubBackoff = 2000ms;
+static constexpr unsigned maxDoublings = 4;
 // Those that asked within this time are told news.
-static constexpr Milliseconds askerLife = 1500ms;
+static constexpr Milliseconds subscriberTimeout = 1500ms;
 // The roster is read anew for peers that have just started and do not ask this router.
 static constexpr Milliseconds rosterInterval = 6000ms;
 static constexpr Milliseconds rosterRetry = 300ms;
@@ -28,11 +28,11 @@
     : m_parts(std::move(parts))
     , m_id(std::move(id))
     , m_mesh(runtime, { m_id, Common::randomNumber() }, fleetKey)
-    , m_askers(loadLife)
-    , m_hubs(loadLife)
+    , m_subscriberLoads(loadReportMaxAge)
+    , m_hubLoads(loadReportMaxAge)
 {
-    m_parts.follower.readsWhile([this] { return readsStore(); });
-    m_parts.follower.onNews([this] { tellNews(); });
+    m_parts.watcher.setStoreReaderCheck([this] { return readsStore(); });
+    m_parts.watcher.setOnChange([this] { notifySubscribers(); });
 }
 
 Common::Result<uint16_t> PeerExchange::listen(const Common::Endpoint& endpoint)
@@ -49,7 +49,7 @@
 
 // Peers
 
-void PeerExchange::followRoster()
+void PeerExchange::watchRoster()
 {
     bool announced = false;
     while (true) {
@@ -80,8 +80,8 @@
         if (peer.endpoint == endpoint)
             return;
         peer.endpoint = endpoint;
-        peer.unusableUntil = {};
-        peer.silences = 0;
+        peer.ignoredUntil = {};
+        peer.timeouts = 0;
     }
     setMeshPeers();
 }
@@ -103,7 +103,7 @@
     std::vector<std::string> ids;
     for (const auto& [id, peer] : m_peers)
         ids.push_back(id);
-    return { ids, m_id, [&](const std::string& id) { return m_peers.at(id).unusableUntil <= now; } };
+    return { ids, m_id, [&](const std::string& id) { return m_peers.at(id).ignoredUntil <= now; } };
 }
 
 bool PeerExchange::isHub() const
@@ -141,7 +141,7 @@
     std::optional<Routing::HubRanking> ranked;
     {
         std::lock_guard lock(m_mutex);
-        noteSilence();
+        checkOverdueHub();
         ranked = ranking();
         if (m_isHub != ranked->isHub() || m_readsStore != ranked->readsStore())
             Common::log(LogLevel::Info, "gateway", "hub.role",
@@ -149,65 +149,65 @@
                     { "asks", ranked->source().value_or("") }, { "peers", m_peers.size() } });
         m_isHub = ranked->isHub();
         m_readsStore = ranked->readsStore();
-        m_pending.askFrom(ranked->source().value_or(""), ranked->isHub());
-        auto others = m_hubs.sumWithout({}, Common::now());
-        Routing::addLoads(others, m_askers.sumWithout({}, Common::now()));
-        m_parts.board.setOtherLoads(std::move(others));
+        m_outstanding.setTarget(ranked->source().value_or(""), ranked->isHub());
+        auto others = m_hubLoads.sumExcluding({}, Common::now());
+        Routing::addLoads(others, m_subscriberLoads.sumExcluding({}, Common::now()));
+        m_parts.registry.setPeerLoads(std::move(others));
     }
     if (ranked->isHub())
-        tellHubs(ranked->otherHubs());
+        sendLoadsToHubs(ranked->otherHubs());
     if (ranked->source())
         ask(*ranked->source(), ranked->isHub());
 }
 
 // The caller holds the lock.
-void PeerExchange::noteSilence()
+void PeerExchange::checkOverdueHub()
 {
     auto now = Common::now();
-    if (!m_pending.isSilent(now))
+    if (!m_outstanding.isOverdue(now))
         return;
-    auto& source = m_peers[m_pending.source()];
-    auto doublings = std::min(source.silences++, mostDoublings);
-    source.unusableUntil = now + firstSuspicion * (1U << doublings);
-    m_hubs.forget(m_pending.source());
-    Common::log(
-        LogLevel::Warning, "gateway", "hub.silent", { { "hub", m_pending.source() }, { "times", source.silences } });
-    m_pending.clear();
+    auto& source = m_peers[m_outstanding.source()];
+    auto doublings = std::min(source.timeouts++, maxDoublings);
+    source.ignoredUntil = now + initialHubBackoff * (1U << doublings);
+    m_hubLoads.forget(m_outstanding.source());
+    Common::log(LogLevel::Warning, "gateway", "hub.silent",
+        { { "hub", m_outstanding.source() }, { "times", source.timeouts } });
+    m_outstanding.clear();
 }
 
 void PeerExchange::ask(const std::string& source, bool asHub)
 {
     Item item;
     auto& question = *item.mutable_knowledge_ask();
-    auto configuration = m_parts.follower.configuration();
+    auto configuration = m_parts.watcher.configuration();
     question.set_endpoint(m_endpoint.text());
     question.set_configuration_version(configuration ? configuration->table.version() : 0);
-    question.set_upstreams_digest(m_parts.follower.knowsUpstreams() ? m_parts.board.digest() : 0);
+    question.set_upstreams_digest(m_parts.watcher.knowsUpstreams() ? m_parts.registry.digest() : 0);
     question.set_is_hub(asHub);
     Routing::LoadsByUpstream loads;
     if (!asHub)
-        loads = m_parts.board.ownLoads();
+        loads = m_parts.registry.ownLoads();
     {
         std::lock_guard lock(m_mutex);
         if (!asHub)
-            Routing::addLoads(loads, m_askers.sumWithout(source, Common::now()));
-        question.set_nonce(m_pending.add(Common::now()));
+            Routing::addLoads(loads, m_subscriberLoads.sumExcluding(source, Common::now()));
+        question.set_nonce(m_outstanding.add(Common::now()));
     }
-    writeLoads(loads, *question.mutable_loads());
+    encodeLoads(loads, *question.mutable_loads());
     m_mesh.send(source, std::move(item));
 }
 
-void PeerExchange::tellHubs(const std::vector<std::string>& hubs)
+void PeerExchange::sendLoadsToHubs(const std::vector<std::string>& hubs)
 {
     Item item;
-    auto loads = m_parts.board.ownLoads();
+    auto loads = m_parts.registry.ownLoads();
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
-        Routing::addLoads(loads, m_askers.sumWithout({}, now));
-        item.mutable_hub_loads()->set_routers(1 + m_askers.routers(now));
+        Routing::addLoads(loads, m_subscriberLoads.sumExcluding({}, now));
+        item.mutable_hub_loads()->set_routers(1 + m_subscriberLoads.routers(now));
     }
-    writeLoads(loads, *item.mutable_hub_loads()->mutable_loads());
+    encodeLoads(loads, *item.mutable_hub_loads()->mutable_loads());
     for (const auto& hub : hubs)
         m_mesh.send(hub, item);
 }
@@ -217,49 +217,49 @@
 void PeerExchange::onItem(const Inner::Mesh::Sender& sender, const Item& item)
 {
     if (item.has_knowledge_ask())
-        onAsk(sender.id, item.knowledge_ask());
+        onSnapshotRequest(sender.id, item.knowledge_ask());
     else if (item.has_knowledge())
-        onKnowledge(sender.id, item.knowledge());
+        onSnapshot(sender.id, item.knowledge());
     else if (item.has_hub_loads())
         onHubLoads(sender.id, item.hub_loads());
 }
 
-Inner::Wire::Knowledge PeerExchange::knowledgeFor(uint64_t version, uint64_t digest) const
+Inner::Wire::Knowledge PeerExchange::buildSnapshot(uint64_t version, uint64_t digest) const
 {
     Inner::Wire::Knowledge knowledge;
     auto now = Common::now();
-    if (auto configuration = m_parts.follower.configuration()) {
+    if (auto configuration = m_parts.watcher.configuration()) {
         knowledge.set_configuration_version(configuration->table.version());
-        knowledge.set_configuration_age_ms(ageForWire(m_parts.lease.age(now)));
+        knowledge.set_configuration_age_ms(encodeAge(m_parts.lease.age(now)));
         if (configuration->table.version() > version)
             knowledge.set_configuration(configuration->text);
     }
-    knowledge.set_upstreams_age_ms(ageForWire(m_parts.follower.upstreamsAge(now)));
-    if (m_parts.follower.knowsUpstreams() && m_parts.board.digest() != digest) {
+    knowledge.set_upstreams_age_ms(encodeAge(m_parts.watcher.upstreamsAge(now)));
+    if (m_parts.watcher.knowsUpstreams() && m_parts.registry.digest() != digest) {
         knowledge.set_has_upstreams(true);
-        for (const auto& record : m_parts.board.upstreams())
-            writeUpstream(record, *knowledge.add_upstreams());
+        for (const auto& record : m_parts.registry.upstreams())
+            encodeUpstream(record, *knowledge.add_upstreams());
     }
     return knowledge;
 }
 
 // The knowledge for a peer that asks, without what is under way to it.
-Inner::Wire::Knowledge PeerExchange::answerTo(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
+Inner::Wire::Knowledge PeerExchange::snapshotFor(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
 {
     auto now = Common::now();
-    auto configuration = m_parts.follower.configuration();
+    auto configuration = m_parts.watcher.configuration();
     auto version = configuration ? configuration->table.version() : 0;
-    auto digest = m_parts.board.digest();
+    auto digest = m_parts.registry.digest();
     auto asksFor = std::pair(question.configuration_version(), question.upstreams_digest());
     {
         std::lock_guard lock(m_mutex);
         auto& peer = m_peers[from];
-        if (peer.configuration.mayBeUnderWay(version, now))
+        if (peer.configuration.isInFlight(version, now))
             asksFor.first = version;
-        if (peer.upstreams.mayBeUnderWay(digest, now))
+        if (peer.upstreams.isInFlight(digest, now))
             asksFor.second = digest;
     }
-    auto knowledge = knowledgeFor(asksFor.first, asksFor.second);
+    auto knowledge = buildSnapshot(asksFor.first, asksFor.second);
     std::lock_guard lock(m_mutex);
     auto& peer = m_peers[from];
     if (!knowledge.configuration().empty())
@@ -269,13 +269,13 @@
     return knowledge;
 }
 
-void PeerExchange::onAsk(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
+void PeerExchange::onSnapshotRequest(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
 {
     if (auto endpoint = Common::parseEndpoint(question.endpoint()); !isError(endpoint))
         addPeer(from, valueOf(endpoint));
     Item item;
     auto& knowledge = *item.mutable_knowledge();
-    knowledge = answerTo(from, question);
+    knowledge = snapshotFor(from, question);
     knowledge.set_nonce(question.nonce());
     Routing::LoadsByUpstream loads;
     {
@@ -283,73 +283,73 @@
         auto now = Common::now();
         auto& peer = m_peers[from];
         peer.asked = now;
-        peer.unusableUntil = {};
+        peer.ignoredUntil = {};
         knowledge.set_leaving(m_leaving);
         // A hub tells its loads to all hubs, and hears theirs.
         if (!question.is_hub()) {
-            m_askers.told(from, readLoads(question.loads()), 1, now);
-            loads = m_parts.board.ownLoads();
-            Routing::addLoads(loads, m_askers.sumWithout(from, now));
-            Routing::addLoads(loads, m_hubs.sumWithout(from, now));
-            knowledge.set_routers(m_askers.routers(now) + m_hubs.routers(now));
+            m_subscriberLoads.record(from, decodeLoads(question.loads()), 1, now);
+            loads = m_parts.registry.ownLoads();
+            Routing::addLoads(loads, m_subscriberLoads.sumExcluding(from, now));
+            Routing::addLoads(loads, m_hubLoads.sumExcluding(from, now));
+            knowledge.set_routers(m_subscriberLoads.routers(now) + m_hubLoads.routers(now));
         }
     }
-    writeLoads(loads, *knowledge.mutable_loads());
+    encodeLoads(loads, *knowledge.mutable_loads());
     m_mesh.send(from, std::move(item));
 }
 
-void PeerExchange::onKnowledge(const std::string& from, const Inner::Wire::Knowledge& knowledge)
+void PeerExchange::onSnapshot(const std::string& from, const Inner::Wire::Knowledge& knowledge)
 {
     std::optional<Common::TimePoint> asked;
     {
         std::lock_guard lock(m_mutex);
         // Ages hold only for the answer to our own ask: news may have been under way for any time.
         if (knowledge.nonce()) {
-            m_peers[from].silences = 0;
-            m_peers[from].unusableUntil = {};
+            m_peers[from].timeouts = 0;
+            m_peers[from].ignoredUntil = {};
         }
-        asked = m_pending.take(from, knowledge.nonce());
+        asked = m_outstanding.take(from, knowledge.nonce());
         if (asked) {
             if (knowledge.leaving())
-                m_peers[from].unusableUntil = Common::now() + firstSuspicion;
-            if (!m_pending.asHub())
-                m_hubs.told(from, readLoads(knowledge.loads()), knowledge.routers(), Common::now());
+                m_peers[from].ignoredUntil = Common::now() + initialHubBackoff;
+            if (!m_outstanding.asHub())
+                m_hubLoads.record(from, decodeLoads(knowledge.loads()), knowledge.routers(), Common::now());
         }
     }
     auto confirmedBy = [&](uint32_t ageMs) { return asked ? *asked - Milliseconds(ageMs) : Common::TimePoint::min(); };
     if (knowledge.configuration_version())
-        m_parts.follower.learnConfiguration(knowledge.configuration_version(), knowledge.configuration(),
+        m_parts.watcher.updateConfigurationFromPeer(knowledge.configuration_version(), knowledge.configuration(),
             confirmedBy(knowledge.configuration_age_ms()));
     if (!knowledge.nonce())
         return Common::FiberRuntime::spawnHere([this] { step(); });
     if (asked)
-        m_parts.follower.learnUpstreams(readUpstreams(knowledge), confirmedBy(knowledge.upstreams_age_ms()));
+        m_parts.watcher.updateUpstreamsFromPeer(decodeUpstreams(knowledge), confirmedBy(knowledge.upstreams_age_ms()));
 }
 
 void PeerExchange::onHubLoads(const std::string& from, const Inner::Wire::HubLoads& word)
 {
     std::lock_guard lock(m_mutex);
     if (m_isHub)
-        m_hubs.told(from, readLoads(word.loads()), word.routers(), Common::now());
+        m_hubLoads.record(from, decodeLoads(word.loads()), word.routers(), Common::now());
 }
 
 // A change is told at once to those that ask this router, and they ask for the rest.
-void PeerExchange::tellNews()
+void PeerExchange::notifySubscribers()
 {
-    std::vector<std::string> askers;
+    std::vector<std::string> subscribers;
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
         for (const auto& [id, peer] : m_peers) {
-            if (now - peer.asked < askerLife)
-                askers.push_back(id);
+            if (now - peer.asked < subscriberTimeout)
+                subscribers.push_back(id);
         }
     }
-    if (askers.empty())
+    if (subscribers.empty())
         return;
     Item item;
-    *item.mutable_knowledge() = knowledgeFor(0, m_parts.board.digest());
-    for (const auto& asker : askers)
+    *item.mutable_knowledge() = buildSnapshot(0, m_parts.registry.digest());
+    for (const auto& asker : subscribers)
         m_mesh.send(asker, item);
 }
 
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "Inner/Mesh.h"
-#include "RouteServing/Gateway/Follower.h"
-#include "RouteServing/Gateway/PendingAsks.h"
+#include "RouteServing/Gateway/OutstandingRequests.h"
+#include "RouteServing/Gateway/PlatformWatcher.h"
 #include "RouteServing/Routing/HubRanking.h"
 #include "RouteServing/Routing/LoadSums.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <map>
 #include <mutex>
@@ -21,9 +21,9 @@
 public:
     struct Parts {
         RosterSource roster;
-        Follower& follower;
+        PlatformWatcher& watcher;
         Routing::FreshnessLease& lease;
-        Routing::UpstreamBoard& board;
+        Routing::UpstreamRegistry& registry;
     };
 
     PeerExchange(Common::FiberRuntime&, Parts, std::string id, std::string_view fleetKey);
@@ -31,7 +31,7 @@
     // Listens for peers; the port in use, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&);
     // Each runs until the process ends, as a fiber of its own.
-    void followRoster();
+    void watchRoster();
     void exchange();
 
     bool isHub() const;
@@ -46,23 +46,23 @@
     // What is known of one peer.
     struct PeerState {
         Common::Endpoint endpoint;
-        unsigned silences { 0 }; // Times in a row that it was taken for dead.
-        Common::TimePoint unusableUntil {};
+        unsigned timeouts { 0 }; // Times in a row that it was taken for dead.
+        Common::TimePoint ignoredUntil {};
         Common::TimePoint asked {}; // The last time it asked this router.
-        LastSent configuration;
-        LastSent upstreams; // The version is the list's digest.
+        LastSentVersion configuration;
+        LastSentVersion upstreams; // The version is the list's digest.
     };
     void onItem(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
-    void onAsk(const std::string& from, const Inner::Wire::KnowledgeAsk&);
-    void onKnowledge(const std::string& from, const Inner::Wire::Knowledge&);
+    void onSnapshotRequest(const std::string& from, const Inner::Wire::KnowledgeAsk&);
+    void onSnapshot(const std::string& from, const Inner::Wire::Knowledge&);
     void onHubLoads(const std::string& from, const Inner::Wire::HubLoads&);
-    void tellNews();
+    void notifySubscribers();
     void step();
     void ask(const std::string& source, bool asHub);
-    Inner::Wire::Knowledge answerTo(const std::string& from, const Inner::Wire::KnowledgeAsk&);
-    void tellHubs(const std::vector<std::string>& hubs);
-    void noteSilence();
-    Inner::Wire::Knowledge knowledgeFor(uint64_t version, uint64_t digest) const;
+    Inner::Wire::Knowledge snapshotFor(const std::string& from, const Inner::Wire::KnowledgeAsk&);
+    void sendLoadsToHubs(const std::vector<std::string>& hubs);
+    void checkOverdueHub();
+    Inner::Wire::Knowledge buildSnapshot(uint64_t version, uint64_t digest) const;
     void addPeer(const std::string& id, const Common::Endpoint&);
     void setMeshPeers();
     Routing::HubRanking ranking() const;
@@ -73,9 +73,9 @@
     Inner::Mesh m_mesh;
     mutable std::mutex m_mutex;
     std::map<std::string, PeerState> m_peers;
-    Routing::LoadSums m_askers; // Word of those that ask this router.
-    Routing::LoadSums m_hubs; // Word of other hubs, or of the own one.
-    PendingAsks m_pending;
+    Routing::LoadSums m_subscriberLoads; // Word of those that ask this router.
+    Routing::LoadSums m_hubLoads; // Word of other hubs, or of the own one.
+    OutstandingRequests m_outstanding;
     bool m_isHub { true };
     bool m_readsStore { true };
     bool m_knowsRoster { false };
--- a/Source/RouteServing/Gateway/Sources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -5,7 +5,7 @@
 #include "Common/Error.h"
 #include "Inner/Mesh.h"
 #include "RouteServing/Routing/RouteTable.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <functional>
 #include <memory>
@@ -44,7 +44,7 @@
     std::function<Common::Result<std::vector<Inner::Peer>>()> read;
 };
 
-struct Sources {
+struct PlatformSources {
     ConfigurationSource configuration;
     UpstreamSource upstreams;
     RosterSource roster;
--- a/Source/RouteServing/Gateway/Follower.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/Follower.h"
+#include "RouteServing/Gateway/PlatformWatcher.h"
 
 #include "Common/FiberRuntime.h"
 #include "Common/Log.h"
@@ -11,23 +11,24 @@
 using namespace std::chrono_literals;
 
 // How often a router that is told looks whether word is late.
-static constexpr Milliseconds restStep = 100ms;
+static constexpr Milliseconds pollInterval = 100ms;
 
-Follower::Follower(Sources sources, Pace pace, Routing::FreshnessLease& lease, Routing::UpstreamBoard& board)
+PlatformWatcher::PlatformWatcher(
+    PlatformSources sources, RefreshIntervals pace, Routing::FreshnessLease& lease, Routing::UpstreamRegistry& registry)
     : m_sources(std::move(sources))
     , m_pace(pace)
     , m_lease(lease)
-    , m_board(board)
+    , m_registry(registry)
 {
 }
 
-void Follower::Dependency::noteFailure(const Common::Error& error)
+void PlatformWatcher::Dependency::recordFailure(const Common::Error& error)
 {
     if (!failures++)
         Common::log(LogLevel::Warning, "gateway", "dependency.lost", { { "what", name }, { "error", error.message } });
 }
 
-void Follower::Dependency::noteSuccess()
+void PlatformWatcher::Dependency::recordSuccess()
 {
     if (failures)
         Common::log(LogLevel::Info, "gateway", "dependency.regained", { { "what", name } });
@@ -35,33 +36,33 @@
 }
 
 // A store that is down is not asked by all routers many times a second.
-void Follower::restAfterFailure(const Dependency& dependency) const
+void PlatformWatcher::backOff(const Dependency& dependency) const
 {
-    auto pause = m_pace.retryPause;
-    for (unsigned failure = 1; failure < dependency.failures && pause < m_pace.longestRetryPause; ++failure)
+    auto pause = m_pace.initialBackoff;
+    for (unsigned failure = 1; failure < dependency.failures && pause < m_pace.maxBackoff; ++failure)
         pause *= 2;
-    Common::sleepFor(std::min(pause, m_pace.longestRetryPause));
+    Common::sleepFor(std::min(pause, m_pace.maxBackoff));
 }
 
-bool Follower::mayRest(Milliseconds age, Milliseconds late) const { return !m_readsStore() && age < late; }
+bool PlatformWatcher::isFresh(Milliseconds age, Milliseconds late) const { return !m_readsStore() && age < late; }
 
-void Follower::followConfiguration()
+void PlatformWatcher::watchConfiguration()
 {
     Dependency dependency { "configuration" };
     while (true) {
         auto started = Common::now();
-        if (mayRest(m_lease.age(started), m_pace.configurationLate)) {
-            Common::sleepFor(restStep);
+        if (isFresh(m_lease.age(started), m_pace.configurationStaleAfter)) {
+            Common::sleepFor(pollInterval);
             continue;
         }
         // One that is only late for once asks for no more than a confirmation.
-        auto reading = m_sources.configuration.read(m_readsStore() ? m_pace.configurationWait : 0ms);
+        auto reading = m_sources.configuration.read(m_readsStore() ? m_pace.configurationLongPoll : 0ms);
         if (isError(reading)) {
-            dependency.noteFailure(errorOf(reading));
-            restAfterFailure(dependency);
+            dependency.recordFailure(errorOf(reading));
+            backOff(dependency);
             continue;
         }
-        dependency.noteSuccess();
+        dependency.recordSuccess();
         // The lease stands for the table that requests see: confirmed only after the new version is in force.
         if (valueOf(reading))
             adopt(valueOf(reading), "store");
@@ -69,7 +70,7 @@
     }
 }
 
-void Follower::adopt(const ConfigurationPtr& next, std::string_view from)
+void PlatformWatcher::adopt(const ConfigurationPtr& next, std::string_view from)
 {
     ConfigurationPtr current;
     {
@@ -82,10 +83,10 @@
     Common::log(LogLevel::Info, "gateway", "configuration.adopted",
         { { "version", next->table.version() }, { "routes", next->table.routeCount() }, { "from", from },
             { "before", current ? current->table.version() : 0 } });
-    m_onNews();
+    m_onChange();
 }
 
-void Follower::learnConfiguration(uint64_t version, std::string_view text, Common::TimePoint confirmed)
+void PlatformWatcher::updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmed)
 {
     if (!text.empty()) {
         auto next = m_sources.configuration.parse(text);
@@ -98,22 +99,22 @@
         m_lease.confirm(confirmed);
 }
 
-void Follower::followUpstreams()
+void PlatformWatcher::watchUpstreams()
 {
     Dependency dependency { "upstreams" };
     while (true) {
         auto started = Common::now();
-        if (mayRest(upstreamsAge(started), m_pace.upstreamsLate)) {
-            Common::sleepFor(restStep);
+        if (isFresh(upstreamsAge(started), m_pace.upstreamsStaleAfter)) {
+            Common::sleepFor(pollInterval);
             continue;
         }
         auto reading = m_sources.upstreams.read();
         if (isError(reading)) {
-            dependency.noteFailure(errorOf(reading));
-            restAfterFailure(dependency);
+            dependency.recordFailure(errorOf(reading));
+            backOff(dependency);
             continue;
         }
-        dependency.noteSuccess();
+        dependency.recordSuccess();
         setUpstreams(std::move(valueOf(reading)), started);
         auto rest = m_pace.upstreamInterval - (Common::now() - started);
         if (rest.count() > 0)
@@ -121,7 +122,8 @@
     }
 }
 
-void Follower::learnUpstreams(std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmed)
+void PlatformWatcher::updateUpstreamsFromPeer(
+    std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmed)
 {
     {
         std::lock_guard lock(m_mutex);
@@ -131,20 +133,21 @@
     setUpstreams(std::move(list), confirmed);
 }
 
-void Follower::setUpstreams(std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmed)
+void PlatformWatcher::setUpstreams(
+    std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmed)
 {
     if (list) {
-        auto before = m_board.digest();
-        m_board.setUpstreams(std::move(*list));
+        auto before = m_registry.digest();
+        m_registry.setUpstreams(std::move(*list));
         m_knowsUpstreams = true;
-        if (m_board.digest() != before)
-            m_onNews();
+        if (m_registry.digest() != before)
+            m_onChange();
     }
     std::lock_guard lock(m_mutex);
     m_upstreamsConfirmed = std::max(m_upstreamsConfirmed, confirmed);
 }
 
-Milliseconds Follower::upstreamsAge(Common::TimePoint now) const
+Milliseconds PlatformWatcher::upstreamsAge(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
     return Common::toMilliseconds(now - m_upstreamsConfirmed);
--- a/Source/RouteServing/Gateway/Follower.h
+++ b/Source/RouteServing/Gateway/PlatformWatcher.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/Rcu.h"
-#include "RouteServing/Gateway/Sources.h"
+#include "RouteServing/Gateway/PlatformSources.h"
 #include "RouteServing/Routing/FreshnessLease.h"
 
 #include <atomic>
@@ -15,31 +15,31 @@
 //
 // Some routers read the store at a steady pace and tell the others (PeerExchange). The others read for themselves as
 // soon as word is late.
-class Follower {
+class PlatformWatcher {
 public:
-    struct Pace {
-        Common::Milliseconds configurationWait { 800 }; // One reading of the store waits so long for a change.
-        Common::Milliseconds configurationLate { 2200 }; // Word that is older is late.
+    struct RefreshIntervals {
+        Common::Milliseconds configurationLongPoll { 800 }; // One reading of the store waits so long for a change.
+        Common::Milliseconds configurationStaleAfter { 2200 }; // Word that is older is late.
         Common::Milliseconds upstreamInterval { 900 };
-        Common::Milliseconds upstreamsLate { 1400 };
-        Common::Milliseconds retryPause { 100 }; // After a reading that failed; doubles with each one more...
-        Common::Milliseconds longestRetryPause { 800 }; // ...up to this.
+        Common::Milliseconds upstreamsStaleAfter { 1400 };
+        Common::Milliseconds initialBackoff { 100 }; // After a reading that failed; doubles with each one more...
+        Common::Milliseconds maxBackoff { 800 }; // ...up to this.
     };
 
-    Follower(Sources, Pace, Routing::FreshnessLease&, Routing::UpstreamBoard&);
+    PlatformWatcher(PlatformSources, RefreshIntervals, Routing::FreshnessLease&, Routing::UpstreamRegistry&);
 
     // Whether this router reads the store at a steady pace; must be set before following.
-    void readsWhile(std::function<bool()> readsStore) { m_readsStore = std::move(readsStore); }
+    void setStoreReaderCheck(std::function<bool()> readsStore) { m_readsStore = std::move(readsStore); }
     // Called after each change, by the fiber that learned of it.
-    void onNews(std::function<void()> hook) { m_onNews = std::move(hook); }
+    void setOnChange(std::function<void()> hook) { m_onChange = std::move(hook); }
 
     // Each runs until the process ends, as a fiber of its own.
-    void followConfiguration();
-    void followUpstreams();
+    void watchConfiguration();
+    void watchUpstreams();
 
     // Word of another router. `confirmed`: the moment, on our clock, up to which it is known to be the newest.
-    void learnConfiguration(uint64_t version, std::string_view text, Common::TimePoint confirmed);
-    void learnUpstreams(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmed);
+    void updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmed);
+    void updateUpstreamsFromPeer(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmed);
 
     // Null until the first version is known.
     ConfigurationPtr configuration() const { return m_configuration.load(); }
@@ -51,22 +51,22 @@
     struct Dependency {
         std::string_view name;
         unsigned failures { 0 }; // In a row.
-        void noteFailure(const Common::Error&);
-        void noteSuccess();
+        void recordFailure(const Common::Error&);
+        void recordSuccess();
     };
 
     // Afterwards that version is in force, or a newer one.
     void adopt(const ConfigurationPtr&, std::string_view from);
     void setUpstreams(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmed);
-    void restAfterFailure(const Dependency&) const;
-    bool mayRest(Common::Milliseconds age, Common::Milliseconds late) const;
+    void backOff(const Dependency&) const;
+    bool isFresh(Common::Milliseconds age, Common::Milliseconds late) const;
 
-    Sources m_sources;
-    Pace m_pace;
+    PlatformSources m_sources;
+    RefreshIntervals m_pace;
     Routing::FreshnessLease& m_lease;
-    Routing::UpstreamBoard& m_board;
+    Routing::UpstreamRegistry& m_registry;
     std::function<bool()> m_readsStore { [] { return true; } };
-    std::function<void()> m_onNews { [] {} };
+    std::function<void()> m_onChange { [] {} };
     Common::RcuCell<Configuration> m_configuration { nullptr };
     std::atomic<bool> m_knowsUpstreams { false };
     mutable std::mutex m_mutex;
--- a/Source/RouteServing/Gateway/RequestLife.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/RequestLife.h"
+#include "RouteServing/Gateway/RequestHandler.h"
 
 #include "Common/Digest.h"
 #include "Common/Log.h"
@@ -20,42 +20,42 @@
 using namespace std::chrono_literals;
 
 // Largest answer that is held whole. Streams are passed on as they come.
-static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
+static constexpr size_t maxResponseBytes = 16 * 1024 * 1024;
 // A request that may not run twice takes a kept connection only when it has just been used.
-static constexpr Milliseconds freshRest = 1000ms;
-static constexpr Milliseconds leastConnectTimeout = 50ms;
-static constexpr Milliseconds mostConnectTimeout = 500ms;
+static constexpr Milliseconds maxIdleForOnceOnly = 1000ms;
+static constexpr Milliseconds minConnectTimeout = 50ms;
+static constexpr Milliseconds maxConnectTimeout = 500ms;
 // Connections that fail are tried elsewhere, as many times as there may be upstreams that just ended.
 static constexpr size_t maxConnectFailures = 4;
 static constexpr unsigned firstServerFailure = 500;
 
-RequestLife::RequestLife(RequestParts parts, Common::HttpExchange& exchange)
+RequestHandler::RequestHandler(RequestServices parts, Common::HttpExchange& exchange)
     : m_parts(parts)
     , m_exchange(exchange)
     , m_arrived(Common::now())
-    , m_configuration(parts.follower.configuration())
+    , m_configuration(parts.watcher.configuration())
     , m_table(m_configuration ? &m_configuration->table : nullptr)
-    , m_requestId(exchange.header(parts.dialect.caller.requestIdHeader))
+    , m_requestId(exchange.header(parts.headerScheme.caller.requestIdHeader))
     , m_path(exchange.path())
-    , m_backup(parts.dialect.upstream)
+    , m_backup(parts.headerScheme.upstream)
     , m_times(m_arrived)
 {
 }
 
-void RequestLife::run()
+void RequestHandler::run()
 {
     if (admit())
-        tryUpstreams();
+        attemptUpstreams();
     logEnd();
 }
 
 // Admission
 
-bool RequestLife::admit()
+bool RequestHandler::admit()
 {
     if (m_parts.isClosing)
         return refuse(ErrorKind::Draining, "this instance is stopping"), false;
-    if (!m_table || !m_parts.follower.knowsUpstreams())
+    if (!m_table || !m_parts.watcher.knowsUpstreams())
         return refuse(ErrorKind::NotReady, "no configuration yet"), false;
     if (!findRoute() || !findWorkspace())
         return false;
@@ -64,15 +64,15 @@
     const auto* service = m_table->service(m_service);
     m_isGeneration = service && service->engine;
     if (m_isGeneration) {
-        m_prompt = m_parts.dialect.caller.prompt(m_exchange.request());
+        m_prompt = m_parts.headerScheme.caller.prompt(m_exchange.request());
         m_batch = service->engine->batch;
-        m_keepsBackups = service->engine->keepsBackups;
+        m_replicatesKvCache = service->engine->replicatesKvCache;
     }
     m_parts.retries.of(m_service).countRequest(m_arrived);
     return true;
 }
 
-bool RequestLife::findRoute()
+bool RequestHandler::findRoute()
 {
     auto host = m_exchange.header("Host");
     host = host.substr(0, host.find(':'));
@@ -82,26 +82,26 @@
     return true;
 }
 
-bool RequestLife::findWorkspace()
+bool RequestHandler::findWorkspace()
 {
     if (m_route->anonymous || !m_table->wantsKeys())
         return true;
     if (!keyIsUsable())
         return refuse(ErrorKind::PlatformUnavailable, "keys were not confirmed recently"), false;
-    m_workspace = m_table->workspaceOfKey(m_parts.dialect.caller.key(m_exchange.request()));
+    m_workspace = m_table->workspaceOfKey(m_parts.headerScheme.caller.key(m_exchange.request()));
     if (!m_workspace)
         return refuse(ErrorKind::Unauthenticated, "unknown key"), false;
     return true;
 }
 
-bool RequestLife::keyIsUsable() const
+bool RequestHandler::keyIsUsable() const
 {
     return m_route->anonymous || !m_table->wantsKeys() || m_parts.lease.isFresh(Common::now());
 }
 
-void RequestLife::readDeadline()
+void RequestHandler::readDeadline()
 {
-    auto text = m_exchange.header(m_parts.dialect.caller.deadlineHeader);
+    auto text = m_exchange.header(m_parts.headerScheme.caller.deadlineHeader);
     auto patience = m_route->timeout;
     int64_t told = 0;
     if (std::from_chars(text.data(), text.data() + text.size(), told).ec == std::errc() && told > 0)
@@ -109,7 +109,7 @@
     m_deadline = m_arrived + patience;
 }
 
-std::string_view RequestLife::pickService() const
+std::string_view RequestHandler::pickService() const
 {
     const auto& shares = m_route->shares;
     uint64_t total = 0;
@@ -128,7 +128,7 @@
 
 // Tries
 
-void RequestLife::tryUpstreams()
+void RequestHandler::attemptUpstreams()
 {
     m_exchange.watchCaller([this] {
         // What may not be repeated runs on: its caller could not ask again.
@@ -144,41 +144,41 @@
         auto choice = chooseUpstream(now);
         if (!choice)
             return refuse(m_mayHaveRun ? ErrorKind::UpstreamBroken : ErrorKind::NoUpstream, "no upstream is left");
-        if (tryOne(*choice) == Next::Done)
+        if (runAttempt(*choice) == Next::Done)
             return;
     }
 }
 
-std::optional<Routing::UpstreamBoard::Choice> RequestLife::chooseUpstream(Common::TimePoint now)
+std::optional<Routing::UpstreamRegistry::Placement> RequestHandler::chooseUpstream(Common::TimePoint now)
 {
     const auto* prompt = m_isGeneration ? &m_prompt : nullptr;
-    auto choice = m_takeOver ? std::exchange(m_takeOver, std::nullopt)
-                             : m_parts.board.choose({ m_service, prompt, m_batch, m_tried }, now);
+    auto choice = m_failover ? std::exchange(m_failover, std::nullopt)
+                             : m_parts.registry.choose({ m_service, prompt, m_batch, m_attempted }, now);
     if (!choice)
         return std::nullopt;
-    m_tried.push_back(choice->upstream.id);
-    m_awaitedTokens = choice->awaitedTokens;
-    m_unreadTokens = choice->unreadTokens;
-    if (wantsBackup(now))
-        m_backup.choose(m_parts.board, { m_service, prompt, m_batch, m_tried }, now);
+    m_attempted.push_back(choice->upstream.id);
+    m_queuedPrefillTokens = choice->queuedPrefillTokens;
+    m_prefillTokens = choice->prefillTokens;
+    if (wantsReplica(now))
+        m_backup.choose(m_parts.registry, { m_service, prompt, m_batch, m_attempted }, now);
     else
         m_backup.drop();
     return choice;
 }
 
-bool RequestLife::wantsBackup(Common::TimePoint now) const
+bool RequestHandler::wantsReplica(Common::TimePoint now) const
 {
-    return m_keepsBackups && m_route->kind == RouteKind::Stream && !m_route->mayRepeat()
-        && Routing::EnginePlacement::isWriter(m_prompt) && m_parts.board.enginesBreakOff(now);
+    return m_replicatesKvCache && m_route->kind == RouteKind::Stream && !m_route->mayRepeat()
+        && Routing::EnginePlacement::isDecodeHeavy(m_prompt) && m_parts.registry.enginesFailMidStream(now);
 }
 
-RequestLife::Next RequestLife::tryOne(const Routing::UpstreamBoard::Choice& choice)
+RequestHandler::Next RequestHandler::runAttempt(const Routing::UpstreamRegistry::Placement& choice)
 {
-    UpstreamTry attempt(m_parts.dialect, m_parts.board, choice);
-    UpstreamTry::Terms terms;
+    UpstreamAttempt attempt(m_parts.headerScheme, m_parts.registry, choice);
+    UpstreamAttempt::Terms terms;
     terms.requestId = m_requestId;
-    terms.connectTimeout = std::clamp(m_route->objective / 2, leastConnectTimeout, mostConnectTimeout);
-    terms.longestRest = m_route->mayRepeat() ? Milliseconds::max() : freshRest;
+    terms.connectTimeout = std::clamp(m_route->objective / 2, minConnectTimeout, maxConnectTimeout);
+    terms.maxIdleTime = m_route->mayRepeat() ? Milliseconds::max() : maxIdleForOnceOnly;
     m_current = &attempt;
     auto fate = attempt.start(callFor(choice.upstream), terms);
     auto next = Next::Done;
@@ -186,7 +186,7 @@
         m_exchange.abandon();
         m_reason = "caller_gone";
     } else if (fate != Fate::Ran) {
-        next = onNotAnswered(fate, attempt);
+        next = onFailedAttempt(fate, attempt);
     } else if (m_route->kind == RouteKind::Stream && attempt.head().status < 400) {
         next = relayStream(attempt);
     } else {
@@ -196,14 +196,14 @@
     return next;
 }
 
-bool RequestLife::mayTryAgain(Fate fate)
+bool RequestHandler::mayRetry(Fate fate)
 {
     if (Common::now() >= m_deadline)
         return false;
     if (m_mayHaveRun && !m_route->mayRepeat())
-        return mayTakeOver(fate);
+        return mayFailOver(fate);
     if (fate == Fate::NotSent)
-        return m_tried.size() - m_sent <= maxConnectFailures;
+        return m_attempted.size() - m_sent <= maxConnectFailures;
     bool isSafe = fate == Fate::Refused || m_route->mayRepeat();
     if (!isSafe || m_sent >= std::max(1u, m_route->maxAttempts))
         return false;
@@ -212,27 +212,27 @@
 
 // The run itself goes on, at the engine that keeps its copy. Before the first event there may be no copy, and an engine
 // without one might run the request anew before it says so.
-bool RequestLife::mayTakeOver(Fate fate)
+bool RequestHandler::mayFailOver(Fate fate)
 {
     if (fate != Fate::MaybeRan || !m_events.lastId())
         return false;
-    m_takeOver = m_backup.takeOver(m_parts.board);
-    return m_takeOver && m_parts.retries.of(m_service).takeRetry(Common::now());
+    m_failover = m_backup.failOver(m_parts.registry);
+    return m_failover && m_parts.retries.of(m_service).takeRetry(Common::now());
 }
 
-RequestLife::Next RequestLife::onNotAnswered(Fate fate, UpstreamTry& attempt)
+RequestHandler::Next RequestHandler::onFailedAttempt(Fate fate, UpstreamAttempt& attempt)
 {
     if (fate != Fate::NotSent)
         ++m_sent;
     if (fate == Fate::MaybeRan)
         m_mayHaveRun = true;
-    bool again = mayTryAgain(fate);
-    GatewayMetrics::tryFailed(fate, again);
+    bool again = mayRetry(fate);
+    GatewayMetrics::attemptFailed(fate, again);
     Common::log(LogLevel::Info, "gateway", "try.failed",
         { { "request", m_requestId }, { "upstream", attempt.upstream().id }, { "fate", Routing::name(fate) },
             { "problem", attempt.problem() }, { "again", again } });
     if (again) {
-        m_events.dropPartialEvent();
+        m_events.discardPartialEvent();
         return Next::TryAnother;
     }
     if (m_streaming) {
@@ -248,15 +248,15 @@
     return Next::Done;
 }
 
-RequestLife::Next RequestLife::relayWhole(UpstreamTry& attempt)
+RequestHandler::Next RequestHandler::relayWhole(UpstreamAttempt& attempt)
 {
-    auto body = attempt.readBody(maxAnswerBytes);
+    auto body = attempt.readBody(maxResponseBytes);
     if (isError(body))
-        return onNotAnswered(Fate::MaybeRan, attempt);
+        return onFailedAttempt(Fate::MaybeRan, attempt);
     attempt.finish();
     ++m_sent;
     bool failed = attempt.head().status >= firstServerFailure;
-    if (failed && mayTryAgain(Fate::MaybeRan)) {
+    if (failed && mayRetry(Fate::MaybeRan)) {
         m_mayHaveRun = true;
         return Next::TryAnother;
     }
@@ -264,7 +264,7 @@
     return Next::Done;
 }
 
-RequestLife::Next RequestLife::relayStream(UpstreamTry& attempt)
+RequestHandler::Next RequestHandler::relayStream(UpstreamAttempt& attempt)
 {
     while (true) {
         auto piece = attempt.readPiece();
@@ -274,15 +274,15 @@
             return Next::Done;
         }
         if (isError(piece))
-            return onNotAnswered(Fate::MaybeRan, attempt);
+            return onFailedAttempt(Fate::MaybeRan, attempt);
         bool ended = valueOf(piece).empty();
         m_events.feed(valueOf(piece));
         auto events = m_events.takeEvents();
         if (ended)
-            events += m_events.takeRest();
+            events += m_events.takeRemainder();
         if (!events.empty()) {
-            attempt.notePromptRead();
-            m_times.noteEvents(Common::now());
+            attempt.recordPrefillDone();
+            m_times.recordEvents(Common::now());
         }
         // The head waits for the first event: before it, another upstream may still take over.
         if (!m_streaming && (ended || !events.empty())) {
@@ -307,18 +307,18 @@
 
 // What is sent
 
-Common::HttpCall RequestLife::callFor(const Routing::UpstreamRecord& upstream) const
+Common::HttpClientRequest RequestHandler::callFor(const Routing::UpstreamRecord& upstream) const
 {
-    const auto& words = m_parts.dialect.upstream;
+    const auto& words = m_parts.headerScheme.upstream;
     const auto& request = m_exchange.request();
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     call.method = std::string(request.method_string().data(), request.method_string().size());
     call.target = m_exchange.target();
     call.body = request.body();
     call.deadline = m_deadline;
     call.headers = headersForUpstream(request, words.withheldHeaders);
     auto left = std::max(Common::toMilliseconds(m_deadline - Common::now()), 1ms);
-    call.headers.push_back({ m_parts.dialect.caller.deadlineHeader, std::to_string(left.count()) });
+    call.headers.push_back({ m_parts.headerScheme.caller.deadlineHeader, std::to_string(left.count()) });
     call.headers.push_back({ words.expectedInstanceHeader, upstream.id });
     if (m_workspace)
         call.headers.push_back({ words.workspaceHeader, m_workspace->name });
@@ -331,14 +331,14 @@
     return call;
 }
 
-void RequestLife::answerWith(const Common::HttpAnswer& answer, std::string body)
+void RequestHandler::answerWith(const Common::HttpClientResponse& answer, std::string body)
 {
     m_status = answer.status;
     GatewayMetrics::firstByte(Common::now() - m_arrived);
     m_exchange.respond({ m_status, std::move(body), {}, headersForCaller(answer) });
 }
 
-void RequestLife::refuse(ErrorKind kind, std::string_view why)
+void RequestHandler::refuse(ErrorKind kind, std::string_view why)
 {
     // Most kinds promise that the request did not run.
     if (m_mayHaveRun && Common::traits(kind).ran == Common::Ran::No)
@@ -353,13 +353,13 @@
     m_status = response.status;
     std::erase_if(response.headers, [](const auto& header) { return header.name == "Retry-After"; });
     if (error.retryAfter.count() > 0 && !m_mayHaveRun)
-        response.headers.push_back({ "Retry-After", m_parts.dialect.caller.retryAfter(error.retryAfter) });
+        response.headers.push_back({ "Retry-After", m_parts.headerScheme.caller.retryAfter(error.retryAfter) });
     if (!m_requestId.empty())
-        response.headers.push_back({ m_parts.dialect.caller.requestIdHeader, m_requestId });
+        response.headers.push_back({ m_parts.headerScheme.caller.requestIdHeader, m_requestId });
     m_exchange.respond(response);
 }
 
-void RequestLife::logEnd() const
+void RequestHandler::logEnd() const
 {
     auto now = Common::now();
     GatewayMetrics::requestEnded(m_status, m_reason, now - m_arrived);
@@ -372,13 +372,13 @@
     if (m_table) {
         fields["version"] = m_table->version();
         fields["version_age_ms"] = m_parts.lease.age(now).count();
-        fields["upstreams_age_ms"] = m_parts.follower.upstreamsAge(now).count();
+        fields["upstreams_age_ms"] = m_parts.watcher.upstreamsAge(now).count();
     }
-    if (!m_tried.empty())
-        fields["upstreams"] = m_tried;
+    if (!m_attempted.empty())
+        fields["upstreams"] = m_attempted;
     if (m_times.hasEvents()) {
-        fields["awaited_tokens"] = m_awaitedTokens;
-        fields["unread_tokens"] = m_unreadTokens;
+        fields["awaited_tokens"] = m_queuedPrefillTokens;
+        fields["unread_tokens"] = m_prefillTokens;
         fields["first_event_ms"] = m_times.firstEvent().count();
         fields["longest_pause_ms"] = m_times.longestPause().count();
     }
--- a/Source/RouteServing/Gateway/RequestLife.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -2,16 +2,16 @@
 #pragma once
 
 #include "Common/HttpServer.h"
-#include "RouteServing/Gateway/Dialect.h"
-#include "RouteServing/Gateway/EventCutter.h"
-#include "RouteServing/Gateway/Follower.h"
+#include "RouteServing/Gateway/HeaderScheme.h"
+#include "RouteServing/Gateway/KvReplica.h"
+#include "RouteServing/Gateway/PlatformWatcher.h"
 #include "RouteServing/Gateway/RetryWindows.h"
-#include "RouteServing/Gateway/RunBackup.h"
+#include "RouteServing/Gateway/SseFramer.h"
 #include "RouteServing/Gateway/StreamTimes.h"
-#include "RouteServing/Gateway/UpstreamTry.h"
+#include "RouteServing/Gateway/UpstreamAttempt.h"
 #include "RouteServing/Routing/FreshnessLease.h"
 #include "RouteServing/Routing/RouteTable.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <memory>
 #include <string>
@@ -20,19 +20,19 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // What all requests share.
-struct RequestParts {
-    const Dialect& dialect;
-    const Follower& follower;
+struct RequestServices {
+    const HeaderScheme& headerScheme;
+    const PlatformWatcher& watcher;
     const Routing::FreshnessLease& lease;
-    Routing::UpstreamBoard& board;
+    Routing::UpstreamRegistry& registry;
     RetryWindows& retries;
     bool isClosing { false }; // Late in a planned stop: nothing new is begun.
 };
 
 // One caller's request from its arrival to its final answer. Belongs to the fiber that serves the connection.
-class RequestLife {
+class RequestHandler {
 public:
-    RequestLife(RequestParts, Common::HttpExchange&);
+    RequestHandler(RequestServices, Common::HttpExchange&);
 
     void run();
 
@@ -46,24 +46,24 @@
     void readDeadline();
     bool keyIsUsable() const;
 
-    void tryUpstreams();
-    Next tryOne(const Routing::UpstreamBoard::Choice&);
-    Next onNotAnswered(Routing::Fate, UpstreamTry&);
-    Next relayWhole(UpstreamTry&);
-    Next relayStream(UpstreamTry&);
-    bool mayTryAgain(Routing::Fate);
-    bool mayTakeOver(Routing::Fate);
+    void attemptUpstreams();
+    Next runAttempt(const Routing::UpstreamRegistry::Placement&);
+    Next onFailedAttempt(Routing::Fate, UpstreamAttempt&);
+    Next relayWhole(UpstreamAttempt&);
+    Next relayStream(UpstreamAttempt&);
+    bool mayRetry(Routing::Fate);
+    bool mayFailOver(Routing::Fate);
     // Long answers that may run only once are worth a copy of their run, while engines break off.
-    bool wantsBackup(Common::TimePoint now) const;
-    std::optional<Routing::UpstreamBoard::Choice> chooseUpstream(Common::TimePoint now);
+    bool wantsReplica(Common::TimePoint now) const;
+    std::optional<Routing::UpstreamRegistry::Placement> chooseUpstream(Common::TimePoint now);
 
     std::string_view pickService() const;
-    Common::HttpCall callFor(const Routing::UpstreamRecord&) const;
+    Common::HttpClientRequest callFor(const Routing::UpstreamRecord&) const;
     void refuse(Common::ErrorKind, std::string_view why);
-    void answerWith(const Common::HttpAnswer&, std::string body);
+    void answerWith(const Common::HttpClientResponse&, std::string body);
     void logEnd() const;
 
-    RequestParts m_parts;
+    RequestServices m_parts;
     Common::HttpExchange& m_exchange;
     Common::TimePoint m_arrived;
     Common::TimePoint m_deadline;
@@ -74,19 +74,19 @@
     std::string m_service;
     Routing::Prompt m_prompt;
     bool m_isGeneration { false };
-    bool m_keepsBackups { false }; // The service's engines do.
+    bool m_replicatesKvCache { false }; // The service's engines do.
     unsigned m_batch { 1 };
     std::string m_requestId;
     std::string m_path;
-    std::vector<std::string> m_tried;
-    RunBackup m_backup;
-    std::optional<Routing::UpstreamBoard::Choice> m_takeOver; // Where the run goes on, when it broke off.
+    std::vector<std::string> m_attempted;
+    KvReplica m_backup;
+    std::optional<Routing::UpstreamRegistry::Placement> m_failover; // Where the run goes on, when it broke off.
     unsigned m_sent { 0 }; // Tries that may have reached an upstream.
-    UpstreamTry* m_current { nullptr };
-    EventCutter m_events;
+    UpstreamAttempt* m_current { nullptr };
+    SseFramer m_events;
     bool m_streaming { false };
-    uint64_t m_awaitedTokens { 0 }; // What the last choice was made on.
-    uint64_t m_unreadTokens { 0 };
+    uint64_t m_queuedPrefillTokens { 0 }; // What the last choice was made on.
+    uint64_t m_prefillTokens { 0 };
     StreamTimes m_times;
     bool m_mayHaveRun { false };
     unsigned m_status { 0 };
--- a/Source/RouteServing/Gateway/KnowledgeCodec.cpp
+++ b/Source/RouteServing/Gateway/SnapshotCodec.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/SnapshotCodec.h"
 
 #include <algorithm>
 #include <limits>
 
 namespace Brassladder::RouteServing::Gateway {
 
-uint32_t ageForWire(Common::Milliseconds age)
+uint32_t encodeAge(Common::Milliseconds age)
 {
     static constexpr int64_t most = std::numeric_limits<uint32_t>::max();
     return static_cast<uint32_t>(std::clamp<int64_t>(age.count(), 0, most));
 }
 
-void writeLoads(const Routing::LoadsByUpstream& loads, Inner::Wire::LoadTable& table)
+void encodeLoads(const Routing::LoadsByUpstream& loads, Inner::Wire::LoadTable& table)
 {
     for (const auto& [upstream, load] : loads) {
         if (!load.requests)
@@ -20,11 +20,11 @@
         table.add_upstreams(upstream);
         table.add_requests(load.requests);
         table.add_writers(load.writers);
-        table.add_unread_tokens(static_cast<uint32_t>(load.unreadTokens));
+        table.add_unread_tokens(static_cast<uint32_t>(load.prefillTokens));
     }
 }
 
-Routing::LoadsByUpstream readLoads(const Inner::Wire::LoadTable& table)
+Routing::LoadsByUpstream decodeLoads(const Inner::Wire::LoadTable& table)
 {
     auto rows = table.upstreams_size();
     if (table.requests_size() != rows || table.writers_size() != rows || table.unread_tokens_size() != rows)
@@ -35,7 +35,7 @@
     return loads;
 }
 
-void writeUpstream(const Routing::UpstreamRecord& record, Inner::Wire::UpstreamEntry& entry)
+void encodeUpstream(const Routing::UpstreamRecord& record, Inner::Wire::UpstreamEntry& entry)
 {
     entry.set_id(record.id);
     entry.set_service(record.service);
@@ -45,7 +45,7 @@
     entry.set_leaving(record.leaving);
 }
 
-std::optional<std::vector<Routing::UpstreamRecord>> readUpstreams(const Inner::Wire::Knowledge& knowledge)
+std::optional<std::vector<Routing::UpstreamRecord>> decodeUpstreams(const Inner::Wire::Knowledge& knowledge)
 {
     if (!knowledge.has_upstreams())
         return std::nullopt;
--- a/Source/RouteServing/Gateway/KnowledgeCodec.h
+++ b/Source/RouteServing/Gateway/SnapshotCodec.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Inner/Inner.pb.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <optional>
 #include <vector>
@@ -11,15 +11,15 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // An age as it travels. What was never confirmed is as old as the clock, which may not fit: it stays as old as fits.
-uint32_t ageForWire(Common::Milliseconds);
+uint32_t encodeAge(Common::Milliseconds);
 
 // Upstreams without requests are left out.
-void writeLoads(const Routing::LoadsByUpstream&, Inner::Wire::LoadTable&);
+void encodeLoads(const Routing::LoadsByUpstream&, Inner::Wire::LoadTable&);
 // Nothing when the columns do not fit each other.
-Routing::LoadsByUpstream readLoads(const Inner::Wire::LoadTable&);
+Routing::LoadsByUpstream decodeLoads(const Inner::Wire::LoadTable&);
 
-void writeUpstream(const Routing::UpstreamRecord&, Inner::Wire::UpstreamEntry&);
+void encodeUpstream(const Routing::UpstreamRecord&, Inner::Wire::UpstreamEntry&);
 // None when the message carries no list. Entries without an address are left out.
-std::optional<std::vector<Routing::UpstreamRecord>> readUpstreams(const Inner::Wire::Knowledge&);
+std::optional<std::vector<Routing::UpstreamRecord>> decodeUpstreams(const Inner::Wire::Knowledge&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/EventCutter.cpp
+++ b/Source/RouteServing/Gateway/SseFramer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/EventCutter.h"
+#include "RouteServing/Gateway/SseFramer.h"
 
 #include <charconv>
 
@@ -25,7 +25,7 @@
     return std::nullopt;
 }
 
-std::string EventCutter::takeEvents()
+std::string SseFramer::takeEvents()
 {
     std::string events;
     size_t start = 0;
@@ -45,6 +45,6 @@
     return events;
 }
 
-std::string EventCutter::takeRest() { return std::exchange(m_buffer, {}); }
+std::string SseFramer::takeRemainder() { return std::exchange(m_buffer, {}); }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/StreamTimes.h
+++ b/Source/RouteServing/Gateway/StreamTimes.h
@@ -16,7 +16,7 @@
     }
 
     // One read brought whole events.
-    void noteEvents(Common::TimePoint now)
+    void recordEvents(Common::TimePoint now)
     {
         if (m_hasEvents)
             m_longestPause = std::max(m_longestPause, Common::toMilliseconds(now - m_last));
--- a/Source/RouteServing/Gateway/UpstreamTry.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/UpstreamTry.h"
+#include "RouteServing/Gateway/UpstreamAttempt.h"
 
 namespace Brassladder::RouteServing::Gateway {
 
@@ -9,19 +9,20 @@
 static constexpr unsigned firstServerFailure = 500;
 static constexpr unsigned firstFailure = 400;
 
-UpstreamTry::UpstreamTry(const Dialect& dialect, Routing::UpstreamBoard& board, Routing::UpstreamBoard::Choice choice)
-    : m_dialect(dialect)
-    , m_board(board)
+UpstreamAttempt::UpstreamAttempt(
+    const HeaderScheme& headerScheme, Routing::UpstreamRegistry& registry, Routing::UpstreamRegistry::Placement choice)
+    : m_headers(headerScheme)
+    , m_registry(registry)
     , m_choice(std::move(choice))
 {
-    m_board.began(m_choice);
+    m_registry.recordStart(m_choice);
 }
 
-UpstreamTry::~UpstreamTry() { m_board.ended(m_choice, m_promptRead, m_outcome, Common::now()); }
+UpstreamAttempt::~UpstreamAttempt() { m_registry.recordEnd(m_choice, m_prefillDone, m_outcome, Common::now()); }
 
-bool UpstreamTry::connect(const Terms& terms)
+bool UpstreamAttempt::connect(const Terms& terms)
 {
-    m_connection = Common::HttpConnectionPool::here().takeKept(m_choice.upstream.endpoint, terms.longestRest);
+    m_connection = Common::HttpConnectionPool::here().acquireIdle(m_choice.upstream.endpoint, terms.maxIdleTime);
     if (m_connection)
         return true;
     m_connection = std::make_unique<Common::HttpConnection>();
@@ -34,7 +35,7 @@
     return false;
 }
 
-Fate UpstreamTry::start(const Common::HttpCall& call, const Terms& terms)
+Fate UpstreamAttempt::start(const Common::HttpClientRequest& call, const Terms& terms)
 {
     if (!connect(terms) || m_cancelled)
         return Fate::NotSent;
@@ -42,17 +43,17 @@
     if (isError(answer))
         return broken(errorOf(answer).message);
     m_head = std::move(valueOf(answer));
-    return judgeHead(terms.requestId);
+    return checkResponseHead(terms.requestId);
 }
 
-Fate UpstreamTry::judgeHead(std::string_view requestId)
+Fate UpstreamAttempt::checkResponseHead(std::string_view requestId)
 {
-    if (auto load = m_dialect.upstream.load(m_head))
-        m_board.reported(m_choice.upstream.id, *load, Common::now());
-    auto answeredId = m_head.header(m_dialect.caller.requestIdHeader);
+    if (auto load = m_headers.upstream.load(m_head))
+        m_registry.recordReport(m_choice.upstream.id, *load, Common::now());
+    auto answeredId = m_head.header(m_headers.caller.requestIdHeader);
     if (!answeredId.empty() && answeredId != requestId)
         return broken("the answer belongs to another request");
-    if (m_dialect.upstream.saysNotRun(m_head)) {
+    if (m_headers.upstream.isNotExecuted(m_head)) {
         m_outcome = TryOutcome::Refused;
         m_problem = "refused with status " + std::to_string(m_head.status);
         return Fate::Refused;
@@ -60,13 +61,13 @@
     bool isFailure = m_head.status >= firstFailure;
     if (answeredId.empty())
         return broken("the answer names no request");
-    if (!isFailure && m_head.header(m_dialect.upstream.proofHeader).empty())
+    if (!isFailure && m_head.header(m_headers.upstream.executionProofHeader).empty())
         return broken("the answer lacks its proof");
     m_outcome = m_head.status >= firstServerFailure ? TryOutcome::Failed : TryOutcome::Answered;
     return Fate::Ran;
 }
 
-Fate UpstreamTry::broken(std::string problem)
+Fate UpstreamAttempt::broken(std::string problem)
 {
     m_problem = std::move(problem);
     m_outcome = m_cancelled ? TryOutcome::Withdrawn : TryOutcome::Broken;
@@ -74,7 +75,7 @@
     return Fate::MaybeRan;
 }
 
-Common::Result<std::string_view> UpstreamTry::readPiece()
+Common::Result<std::string_view> UpstreamAttempt::readPiece()
 {
     auto piece = m_connection->readPiece();
     if (isError(piece))
@@ -82,7 +83,7 @@
     return piece;
 }
 
-Common::Result<std::string> UpstreamTry::readBody(size_t limit)
+Common::Result<std::string> UpstreamAttempt::readBody(size_t limit)
 {
     auto body = m_connection->readRest(limit);
     if (isError(body))
@@ -90,20 +91,20 @@
     return body;
 }
 
-void UpstreamTry::notePromptRead()
+void UpstreamAttempt::recordPrefillDone()
 {
-    if (m_promptRead)
+    if (m_prefillDone)
         return;
-    m_promptRead = true;
-    m_board.promptRead(m_choice);
+    m_prefillDone = true;
+    m_registry.prefillDone(m_choice);
 }
 
-void UpstreamTry::finish()
+void UpstreamAttempt::finish()
 {
-    Common::HttpConnectionPool::here().giveBack(m_choice.upstream.endpoint, std::move(m_connection));
+    Common::HttpConnectionPool::here().release(m_choice.upstream.endpoint, std::move(m_connection));
 }
 
-void UpstreamTry::cancel()
+void UpstreamAttempt::cancel()
 {
     m_cancelled = true;
     if (m_connection)
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -30,7 +30,7 @@
 // A suspicious engine is taken as if so many times the cost awaited there.
 static constexpr double suspicionFactor = 5;
 
-bool EnginePlacement::isWriter(const Prompt& prompt)
+bool EnginePlacement::isDecodeHeavy(const Prompt& prompt)
 {
     return prompt.maxOutputTokens * readTokensPerWrittenToken >= prompt.tokens;
 }
@@ -53,24 +53,24 @@
     auto draw = [&] { return first[Common::randomNumber() % first.size()]; };
     size_t a = draw();
     size_t b = draw();
-    if (engines[a].suspicious != engines[b].suspicious)
-        return engines[a].suspicious ? b : a;
+    if (engines[a].isOutlier != engines[b].isOutlier)
+        return engines[a].isOutlier ? b : a;
     return engines[a].running <= engines[b].running ? a : b;
 }
 
-std::optional<EnginePick> EnginePlacement::place(
+std::optional<EnginePlacementResult> EnginePlacement::place(
     const Prompt& prompt, std::span<const EngineState> engines, unsigned batch, Common::TimePoint now)
 {
     if (engines.empty())
         return std::nullopt;
     auto order = fixedOrder(engines);
-    if (isWriter(prompt)) {
+    if (isDecodeHeavy(prompt)) {
         auto kept = std::max<size_t>(1, writerEngines(engines, batch, now));
         // The one that is on its way is counted from now on.
         m_writerEngines = std::max(m_writerEngines, kept);
         m_writerEnginesAt = now;
         auto index = pickWriterEngine(engines, std::span(order).first(kept));
-        return EnginePick { index, prompt.tokens, static_cast<uint64_t>(engines[index].unreadTokens) };
+        return EnginePlacementResult { index, prompt.tokens, static_cast<uint64_t>(engines[index].prefillTokens) };
     }
     // Readers always have at least half of the engines.
     auto kept = std::min(writerEngines(engines, batch, now), engines.size() / 2);
@@ -100,7 +100,7 @@
     return std::min(m_writerEngines, engines.size());
 }
 
-EnginePick EnginePlacement::pickReaderEngine(
+EnginePlacementResult EnginePlacement::pickReaderEngine(
     const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> others) const
 {
     const auto* subject = prompt.subject();
@@ -115,18 +115,18 @@
             homeScore = score;
         }
     }
-    EnginePick best;
+    EnginePlacementResult best;
     double bestCost = std::numeric_limits<double>::max();
     for (size_t index : others) {
         const auto& engine = engines[index];
         uint32_t cached = index == home ? std::min(prompt.tokens, prompt.sharedTokens()) : 0;
         double unread = prompt.tokens - cached;
         double reread = index == home ? 0 : std::min(prompt.tokens, prompt.sharedTokens());
-        double cost = unread + reread * (rereadFactor - 1) + engine.unreadTokens + runningTokens * engine.running;
-        if (engine.suspicious)
+        double cost = unread + reread * (rereadFactor - 1) + engine.prefillTokens + runningTokens * engine.running;
+        if (engine.isOutlier)
             cost *= suspicionFactor;
         if (cost < bestCost) {
-            best = { index, static_cast<uint64_t>(unread), static_cast<uint64_t>(engine.unreadTokens) };
+            best = { index, static_cast<uint64_t>(unread), static_cast<uint64_t>(engine.prefillTokens) };
             bestCost = cost;
         }
     }
--- a/Source/RouteServing/Routing/EnginePlacement.h
+++ b/Source/RouteServing/Routing/EnginePlacement.h
@@ -17,15 +17,15 @@
     std::string_view id;
     double running { 0 }; // Requests there, of all routers as far as is known.
     double writers { 0 }; // Of those, the ones that write more than they read.
-    double unreadTokens { 0 }; // Prompt tokens that wait there to be read.
-    bool suspicious { false }; // Fails more often than the others.
+    double prefillTokens { 0 }; // Prompt tokens that wait there to be read.
+    bool isOutlier { false }; // Fails more often than the others.
 };
 
 // Where a generation goes, and what the engine has to read of its prompt there.
-struct EnginePick {
+struct EnginePlacementResult {
     size_t index { 0 }; // Into the engines that were offered.
-    uint64_t unreadTokens { 0 };
-    uint64_t awaitedTokens { 0 }; // Of other prompts, which the engine reads first.
+    uint64_t prefillTokens { 0 };
+    uint64_t queuedPrefillTokens { 0 }; // Of other prompts, which the engine reads first.
 };
 
 // Places generations on the engines of one service.
@@ -41,13 +41,15 @@
 class EnginePlacement {
 public:
     // `batch`: requests that one engine runs at once. None when no engine is offered.
-    std::optional<EnginePick> place(const Prompt&, std::span<const EngineState>, unsigned batch, Common::TimePoint now);
+    std::optional<EnginePlacementResult> place(
+        const Prompt&, std::span<const EngineState>, unsigned batch, Common::TimePoint now);
 
     // A generation that writes more than it reads.
-    static bool isWriter(const Prompt&);
+    static bool isDecodeHeavy(const Prompt&);
 
 private:
-    EnginePick pickReaderEngine(const Prompt&, std::span<const EngineState>, std::span<const size_t> others) const;
+    EnginePlacementResult pickReaderEngine(
+        const Prompt&, std::span<const EngineState>, std::span<const size_t> others) const;
     size_t writerEngines(std::span<const EngineState>, unsigned batch, Common::TimePoint now);
 
     size_t m_writerEngines { 0 }; // How many engines, from the start of the order, writers needed lately.
--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -9,18 +9,18 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Fewer routers than this are all hubs: one hub alone would leave nobody to take over at once.
-static constexpr size_t leastRoutersWithHubs = 4;
+static constexpr size_t minRoutersWithHubs = 4;
 // One may be lost and another one cut off from the store, and there is still one to ask.
-static constexpr size_t mostStoreReaders = 3;
+static constexpr size_t maxStoreReaders = 3;
 
 size_t HubRanking::hubCount(size_t routers)
 {
-    if (routers < leastRoutersWithHubs)
+    if (routers < minRoutersWithHubs)
         return routers;
     return static_cast<size_t>(std::lround(std::sqrt(static_cast<double>(routers))));
 }
 
-size_t HubRanking::storeReaderCount(size_t routers) { return std::min(hubCount(routers), mostStoreReaders); }
+size_t HubRanking::storeReaderCount(size_t routers) { return std::min(hubCount(routers), maxStoreReaders); }
 
 // One of a few, spread over them by a hash of the one that asks.
 static std::string pickSource(std::span<const std::string> from, std::string_view asker)
--- a/Source/RouteServing/Routing/LoadSums.cpp
+++ b/Source/RouteServing/Routing/LoadSums.cpp
@@ -9,11 +9,11 @@
         auto& total = sum[upstream];
         total.requests += load.requests;
         total.writers += load.writers;
-        total.unreadTokens += load.unreadTokens;
+        total.prefillTokens += load.prefillTokens;
     }
 }
 
-void LoadSums::told(const std::string& router, LoadsByUpstream loads, unsigned routers, Common::TimePoint now)
+void LoadSums::record(const std::string& router, LoadsByUpstream loads, unsigned routers, Common::TimePoint now)
 {
     m_words.insert_or_assign(router, Word { std::move(loads), routers, now });
 }
@@ -26,7 +26,7 @@
 
 bool LoadSums::isFresh(const Word& word, Common::TimePoint now) const { return now - word.at < m_life; }
 
-LoadsByUpstream LoadSums::sumWithout(std::string_view router, Common::TimePoint now) const
+LoadsByUpstream LoadSums::sumExcluding(std::string_view router, Common::TimePoint now) const
 {
     LoadsByUpstream sum;
     for (const auto& [teller, word] : m_words) {
--- a/Source/RouteServing/Routing/LoadSums.h
+++ b/Source/RouteServing/Routing/LoadSums.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <map>
 #include <string>
@@ -20,10 +20,10 @@
     }
 
     // What a router told replaces what it told before. `routers`: for how many it speaks.
-    void told(const std::string& router, LoadsByUpstream, unsigned routers, Common::TimePoint now);
+    void record(const std::string& router, LoadsByUpstream, unsigned routers, Common::TimePoint now);
     void forget(std::string_view router);
     // The sum over all tellers but one.
-    LoadsByUpstream sumWithout(std::string_view router, Common::TimePoint now) const;
+    LoadsByUpstream sumExcluding(std::string_view router, Common::TimePoint now) const;
     // For how many routers all tellers speak.
     unsigned routers(Common::TimePoint now) const;
 
--- a/Source/RouteServing/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -44,7 +44,7 @@
 struct EngineTraits {
     unsigned batch { 0 }; // Requests at once.
     uint64_t memoryTokens { 0 }; // Shared by running requests and cached prompt parts.
-    bool keepsBackups { false }; // An engine sends a run's memory to another one as it grows.
+    bool replicatesKvCache { false }; // An engine sends a run's memory to another one as it grows.
 };
 
 struct Service {
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -22,29 +22,29 @@
     if (outcome == TryOutcome::Withdrawn || outcome == TryOutcome::Refused)
         return;
     bool failed = outcome != TryOutcome::Answered;
-    m_failureShare = failureShare(now) * (1 - tryWeight) + (failed ? tryWeight : 0);
+    m_errorRate = errorRate(now) * (1 - tryWeight) + (failed ? tryWeight : 0);
     m_lastTry = now;
     bool isFault = outcome == TryOutcome::Broken || outcome == TryOutcome::Unreachable;
     if (!isFault) {
         if (!failed) {
-            m_inARow = 0;
+            m_consecutiveFailures = 0;
             m_pause = 0ms;
         }
         return;
     }
     // What was sent before it was left out tells nothing new.
-    if (isOut(now))
+    if (isEjected(now))
         return;
-    ++m_inARow;
-    if (m_inARow < failuresToLeaveOut && outcome != TryOutcome::Unreachable)
+    ++m_consecutiveFailures;
+    if (m_consecutiveFailures < failuresToLeaveOut && outcome != TryOutcome::Unreachable)
         return;
     m_pause = m_pause.count() ? std::min(longestPause, m_pause * 2) : firstPause;
-    m_outUntil = now + m_pause;
+    m_ejectedUntil = now + m_pause;
 }
 
-double UpstreamHealth::failureShare(Common::TimePoint now) const
+double UpstreamHealth::errorRate(Common::TimePoint now) const
 {
-    return m_failureShare * std::exp2(-Common::toSeconds(now - m_lastTry) / forgetSeconds);
+    return m_errorRate * std::exp2(-Common::toSeconds(now - m_lastTry) / forgetSeconds);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamHealth.h
+++ b/Source/RouteServing/Routing/UpstreamHealth.h
@@ -22,16 +22,16 @@
 class UpstreamHealth {
 public:
     void record(TryOutcome, Common::TimePoint now);
-    bool isOut(Common::TimePoint now) const { return now < m_outUntil; }
+    bool isEjected(Common::TimePoint now) const { return now < m_ejectedUntil; }
     // A fading share of the tries that failed, 0 to 1.
-    double failureShare(Common::TimePoint now) const;
+    double errorRate(Common::TimePoint now) const;
 
 private:
-    unsigned m_inARow { 0 };
+    unsigned m_consecutiveFailures { 0 };
     Common::Milliseconds m_pause { 0 };
-    Common::TimePoint m_outUntil {};
+    Common::TimePoint m_ejectedUntil {};
     Common::TimePoint m_lastTry {};
-    double m_failureShare { 0 };
+    double m_errorRate { 0 };
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamBoard.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Routing/UpstreamBoard.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include "Common/Digest.h"
 
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // What a worker says of itself is believed for this long.
-static constexpr Common::Milliseconds reportLife = 1000ms;
+static constexpr Common::Milliseconds reportedLoadMaxAge = 1000ms;
 // Cost of another failure domain for a plain call, in shares of a worker: bytes between domains are paid for, and the
 // way there and back takes a part of a short call.
 static constexpr double otherDomainCost = 0.34;
@@ -23,11 +23,11 @@
 static constexpr double chanceShare = 0.02;
 static constexpr uint64_t chanceSteps = 1024;
 // Engines that broke off are thought likely to do it again for so long.
-static constexpr Common::Milliseconds breakMemory = 60'000ms;
+static constexpr Common::Milliseconds midStreamFailureMemory = 60'000ms;
 
 uint32_t shortHash(std::string_view upstreamId) { return static_cast<uint32_t>(Common::stableHash(upstreamId)); }
 
-void UpstreamBoard::setUpstreams(std::vector<UpstreamRecord> records)
+void UpstreamRegistry::setUpstreams(std::vector<UpstreamRecord> records)
 {
     std::lock_guard lock(m_mutex);
     std::map<std::string, Entry, std::less<>> next;
@@ -44,42 +44,42 @@
     m_entries = std::move(next);
 }
 
-void UpstreamBoard::markLeaving(std::string_view id)
+void UpstreamRegistry::markLeaving(std::string_view id)
 {
     std::lock_guard lock(m_mutex);
     if (auto* entry = find(id))
         entry->record.leaving = true;
 }
 
-bool UpstreamBoard::isServing(std::string_view id) const
+bool UpstreamRegistry::isServing(std::string_view id) const
 {
     std::lock_guard lock(m_mutex);
     auto found = m_entries.find(id);
     return found != m_entries.end() && !found->second.record.leaving;
 }
 
-size_t UpstreamBoard::size() const
+size_t UpstreamRegistry::size() const
 {
     std::lock_guard lock(m_mutex);
     return m_entries.size();
 }
 
-UpstreamBoard::Entry* UpstreamBoard::find(std::string_view id)
+UpstreamRegistry::Entry* UpstreamRegistry::find(std::string_view id)
 {
     auto found = m_entries.find(id);
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
 // Requests at an upstream: what routers tell of themselves, or what the upstream told if that is more and new.
-double UpstreamBoard::outstanding(const Entry& entry, Common::TimePoint now) const
+double UpstreamRegistry::outstanding(const Entry& entry, Common::TimePoint now) const
 {
-    double told = entry.own.requests + othersAt(entry).requests;
-    if (now - entry.reportedAt < reportLife)
-        told = std::max<double>(told, entry.reported.running + entry.reported.waiting);
+    double told = entry.own.requests + loadOfOthersAt(entry).requests;
+    if (now - entry.reportedAt < reportedLoadMaxAge)
+        told = std::max<double>(told, entry.recordReport.running + entry.recordReport.waiting);
     return told;
 }
 
-double UpstreamBoard::plainCost(const Entry& entry, Common::TimePoint now) const
+double UpstreamRegistry::plainCost(const Entry& entry, Common::TimePoint now) const
 {
     double cost = (outstanding(entry, now) + 1) / std::max(1u, entry.record.slots);
     if (entry.record.failureDomain != m_failureDomain)
@@ -88,47 +88,48 @@
 }
 
 // The upstreams of the service that may take the request: not those that are left out, unless all are.
-std::vector<const UpstreamBoard::Entry*> UpstreamBoard::candidates(const Need& need, Common::TimePoint now) const
+std::vector<const UpstreamRegistry::Entry*> UpstreamRegistry::candidates(
+    const PlacementRequest& need, Common::TimePoint now) const
 {
     std::vector<const Entry*> usable;
-    std::vector<const Entry*> leftOut;
+    std::vector<const Entry*> ejected;
     for (const auto& [id, entry] : m_entries) {
         if (entry.record.service != need.service || entry.record.leaving)
             continue;
-        if (std::find(need.tried.begin(), need.tried.end(), id) != need.tried.end())
+        if (std::find(need.attempted.begin(), need.attempted.end(), id) != need.attempted.end())
             continue;
-        (entry.health.isOut(now) ? leftOut : usable).push_back(&entry);
+        (entry.health.isEjected(now) ? ejected : usable).push_back(&entry);
     }
-    return usable.empty() ? leftOut : usable;
+    return usable.empty() ? ejected : usable;
 }
 
-static double lowestFailureShare(std::span<const UpstreamHealth* const> healths, Common::TimePoint now)
+static double lowestErrorRate(std::span<const UpstreamHealth* const> healths, Common::TimePoint now)
 {
     double lowest = 1;
     for (const auto* health : healths)
-        lowest = std::min(lowest, health->failureShare(now));
+        lowest = std::min(lowest, health->errorRate(now));
     return lowest;
 }
 
-std::optional<UpstreamBoard::Choice> UpstreamBoard::choose(const Need& need, Common::TimePoint now)
+std::optional<UpstreamRegistry::Placement> UpstreamRegistry::choose(const PlacementRequest& need, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     auto found = candidates(need, now);
     return need.prompt ? chooseEngine(need, found, now) : choosePlain(found, now);
 }
 
-std::optional<UpstreamBoard::Choice> UpstreamBoard::choosePlain(
+std::optional<UpstreamRegistry::Placement> UpstreamRegistry::choosePlain(
     std::span<const Entry* const> candidates, Common::TimePoint now) const
 {
     std::vector<const UpstreamHealth*> healths;
     for (const auto* entry : candidates)
         healths.push_back(&entry->health);
-    double usual = lowestFailureShare(healths, now);
+    double usual = lowestErrorRate(healths, now);
     const Entry* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
     for (const auto* entry : candidates) {
         double cost = plainCost(*entry, now);
-        if (entry->health.failureShare(now) - usual > suspiciousExcess)
+        if (entry->health.errorRate(now) - usual > suspiciousExcess)
             cost *= 1 + suspicionCost;
         // Equal costs: by chance, so that routers do not all choose the same one.
         cost *= 1 + chanceShare * static_cast<double>(Common::randomNumber() % chanceSteps) / chanceSteps;
@@ -139,82 +140,82 @@
     }
     if (!best)
         return std::nullopt;
-    return Choice { best->record, 0, false };
+    return Placement { best->record, 0, false };
 }
 
-std::optional<UpstreamBoard::Choice> UpstreamBoard::chooseEngine(
-    const Need& need, std::span<const Entry* const> candidates, Common::TimePoint now)
+std::optional<UpstreamRegistry::Placement> UpstreamRegistry::chooseEngine(
+    const PlacementRequest& need, std::span<const Entry* const> candidates, Common::TimePoint now)
 {
     std::vector<const UpstreamHealth*> healths;
     for (const auto* entry : candidates)
         healths.push_back(&entry->health);
-    double usual = lowestFailureShare(healths, now);
+    double usual = lowestErrorRate(healths, now);
     std::vector<EngineState> engines;
     for (const auto* entry : candidates) {
-        auto others = othersAt(*entry);
+        auto others = loadOfOthersAt(*entry);
         EngineState engine { entry->record.id, outstanding(*entry, now),
             static_cast<double>(entry->own.writers + others.writers),
-            static_cast<double>(entry->own.unreadTokens + others.unreadTokens), false };
-        engine.suspicious = entry->health.failureShare(now) - usual > suspiciousExcess;
+            static_cast<double>(entry->own.prefillTokens + others.prefillTokens), false };
+        engine.isOutlier = entry->health.errorRate(now) - usual > suspiciousExcess;
         engines.push_back(engine);
     }
     auto& placement = m_placements[std::string(need.service)];
     auto pick = placement.place(*need.prompt, engines, need.batch, now);
     if (!pick)
         return std::nullopt;
-    return Choice { candidates[pick->index]->record, pick->unreadTokens, EnginePlacement::isWriter(*need.prompt),
-        pick->awaitedTokens };
+    return Placement { candidates[pick->index]->record, pick->prefillTokens,
+        EnginePlacement::isDecodeHeavy(*need.prompt), pick->queuedPrefillTokens };
 }
 
-void UpstreamBoard::began(const Choice& choice)
+void UpstreamRegistry::recordStart(const Placement& choice)
 {
     std::lock_guard lock(m_mutex);
     auto* entry = find(choice.upstream.id);
     if (!entry)
         return;
     ++entry->own.requests;
-    entry->own.writers += choice.isWriter;
-    entry->own.unreadTokens += choice.unreadTokens;
+    entry->own.writers += choice.isDecodeHeavy;
+    entry->own.prefillTokens += choice.prefillTokens;
 }
 
-void UpstreamBoard::promptRead(const Choice& choice)
+void UpstreamRegistry::prefillDone(const Placement& choice)
 {
     std::lock_guard lock(m_mutex);
     if (auto* entry = find(choice.upstream.id))
-        entry->own.unreadTokens -= std::min(entry->own.unreadTokens, choice.unreadTokens);
+        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, choice.prefillTokens);
 }
 
-void UpstreamBoard::ended(const Choice& choice, bool wasRead, TryOutcome outcome, Common::TimePoint now)
+void UpstreamRegistry::recordEnd(const Placement& choice, bool wasRead, TryOutcome outcome, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     if (wasRead && outcome == TryOutcome::Broken)
-        m_brokeOff = now;
+        m_lastMidStreamFailure = now;
     auto* entry = find(choice.upstream.id);
     if (!entry)
         return;
     entry->own.requests -= std::min(1U, entry->own.requests);
-    entry->own.writers -= std::min<unsigned>(choice.isWriter, entry->own.writers);
+    entry->own.writers -= std::min<unsigned>(choice.isDecodeHeavy, entry->own.writers);
     if (!wasRead)
-        entry->own.unreadTokens -= std::min(entry->own.unreadTokens, choice.unreadTokens);
+        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, choice.prefillTokens);
     entry->health.record(outcome, now);
 }
 
-void UpstreamBoard::reported(std::string_view id, const ReportedLoad& load, Common::TimePoint now)
+void UpstreamRegistry::recordReport(std::string_view id, const ReportedLoad& load, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     if (auto* entry = find(id)) {
-        entry->reported = load;
+        entry->recordReport = load;
         entry->reportedAt = now;
     }
 }
 
-bool UpstreamBoard::enginesBreakOff(Common::TimePoint now) const
+bool UpstreamRegistry::enginesFailMidStream(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_brokeOff && now - *m_brokeOff < breakMemory;
+    return m_lastMidStreamFailure && now - *m_lastMidStreamFailure < midStreamFailureMemory;
 }
 
-LoadsByUpstream UpstreamBoard::ownLoads() const
+LoadsByUpstream UpstreamRegistry::ownLoads() const
 {
     std::lock_guard lock(m_mutex);
     LoadsByUpstream loads;
@@ -225,25 +226,25 @@
     return loads;
 }
 
-void UpstreamBoard::setOtherLoads(LoadsByUpstream loads)
+void UpstreamRegistry::setPeerLoads(LoadsByUpstream loads)
 {
     std::lock_guard lock(m_mutex);
-    m_others = std::move(loads);
+    m_peerLoads = std::move(loads);
 }
 
-LoadsByUpstream UpstreamBoard::otherLoads() const
+LoadsByUpstream UpstreamRegistry::peerLoads() const
 {
     std::lock_guard lock(m_mutex);
-    return m_others;
+    return m_peerLoads;
 }
 
-UpstreamLoad UpstreamBoard::othersAt(const Entry& entry) const
+UpstreamLoad UpstreamRegistry::loadOfOthersAt(const Entry& entry) const
 {
-    auto found = m_others.find(entry.hash);
-    return found == m_others.end() ? UpstreamLoad {} : found->second;
+    auto found = m_peerLoads.find(entry.hash);
+    return found == m_peerLoads.end() ? UpstreamLoad {} : found->second;
 }
 
-std::vector<UpstreamRecord> UpstreamBoard::upstreams() const
+std::vector<UpstreamRecord> UpstreamRegistry::upstreams() const
 {
     std::lock_guard lock(m_mutex);
     std::vector<UpstreamRecord> records;
@@ -252,7 +253,7 @@
     return records;
 }
 
-uint64_t UpstreamBoard::digest() const
+uint64_t UpstreamRegistry::digest() const
 {
     std::lock_guard lock(m_mutex);
     uint64_t digest = m_entries.size();
--- a/Source/RouteServing/Routing/UpstreamBoard.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -40,7 +40,7 @@
 struct UpstreamLoad {
     unsigned requests { 0 };
     unsigned writers { 0 }; // Of those, the generations that write more than they read.
-    uint64_t unreadTokens { 0 }; // Prompt tokens, thought not to be cached, of requests without a first event yet.
+    uint64_t prefillTokens { 0 }; // Prompt tokens, thought not to be cached, of requests without a first event yet.
 };
 
 // Shorter to tell than the id. Two upstreams that share one are thought to have the load of both.
@@ -50,23 +50,25 @@
 
 // All upstreams that this router knows, what is under way at each, and the choice among them. Safe to use from several
 // threads.
-class UpstreamBoard {
+class UpstreamRegistry {
 public:
     // What a request needs of an upstream.
-    struct Need {
+    struct PlacementRequest {
         std::string_view service;
         const Prompt* prompt { nullptr }; // Of a generation; null else.
         unsigned batch { 1 }; // Requests that one engine runs at once.
-        std::span<const std::string> tried; // Ids of upstreams that this request was already sent to.
+        std::span<const std::string> attempted; // Ids of upstreams that this request was already sent to.
     };
-    struct Choice {
+    struct Placement {
         UpstreamRecord upstream;
-        uint64_t unreadTokens { 0 }; // What the engine has to read of the prompt, as far as we can tell.
-        bool isWriter { false }; // A generation that writes more than it reads.
-        uint64_t awaitedTokens { 0 }; // Of other prompts that the engine has to read first, as far as we can tell.
+        uint64_t prefillTokens { 0 }; // What the engine has to read of the prompt, as far as we can tell.
+        bool isDecodeHeavy { false }; // A generation that writes more than it reads.
+        uint64_t queuedPrefillTokens {
+            0
+        }; // Of other prompts that the engine has to read first, as far as we can tell.
     };
 
-    explicit UpstreamBoard(std::string failureDomain)
+    explicit UpstreamRegistry(std::string failureDomain)
         : m_failureDomain(std::move(failureDomain))
     {
     }
@@ -79,23 +81,23 @@
     size_t size() const;
 
     // The upstream where the request is expected to be answered first; none when no upstream may take it.
-    std::optional<Choice> choose(const Need&, Common::TimePoint now);
+    std::optional<Placement> choose(const PlacementRequest&, Common::TimePoint now);
     // A request is sent to the chosen one.
-    void began(const Choice&);
+    void recordStart(const Placement&);
     // The engine has read the prompt: its first event is here.
-    void promptRead(const Choice&);
-    // `wasRead`: `promptRead` was called before.
-    void ended(const Choice&, bool wasRead, TryOutcome, Common::TimePoint now);
-    void reported(std::string_view id, const ReportedLoad&, Common::TimePoint now);
+    void prefillDone(const Placement&);
+    // `wasRead`: `prefillDone` was called before.
+    void recordEnd(const Placement&, bool wasRead, TryOutcome, Common::TimePoint now);
+    void recordReport(std::string_view id, const ReportedLoad&, Common::TimePoint now);
 
     // Whether an engine broke off in the middle of an answer lately: copies of runs are worth their price.
-    bool enginesBreakOff(Common::TimePoint now) const;
+    bool enginesFailMidStream(Common::TimePoint now) const;
 
     // What this router has under way: to tell the others.
     LoadsByUpstream ownLoads() const;
     // What all other routers have under way; replaces what was told before.
-    void setOtherLoads(LoadsByUpstream);
-    LoadsByUpstream otherLoads() const;
+    void setPeerLoads(LoadsByUpstream);
+    LoadsByUpstream peerLoads() const;
 
     // The list as it was last set, with what upstreams said of themselves.
     std::vector<UpstreamRecord> upstreams() const;
@@ -107,7 +109,7 @@
         UpstreamRecord record;
         uint32_t hash { 0 };
         UpstreamLoad own;
-        ReportedLoad reported;
+        ReportedLoad recordReport;
         Common::TimePoint reportedAt {};
         UpstreamHealth health;
     };
@@ -115,17 +117,19 @@
     Entry* find(std::string_view id);
     double plainCost(const Entry&, Common::TimePoint now) const;
     double outstanding(const Entry&, Common::TimePoint now) const;
-    std::vector<const Entry*> candidates(const Need&, Common::TimePoint now) const;
-    std::optional<Choice> choosePlain(std::span<const Entry* const>, Common::TimePoint now) const;
-    std::optional<Choice> chooseEngine(const Need&, std::span<const Entry* const>, Common::TimePoint now);
-    UpstreamLoad othersAt(const Entry&) const;
+    std::vector<const Entry*> candidates(const PlacementRequest&, Common::TimePoint now) const;
+    std::optional<Placement> choosePlain(std::span<const Entry* const>, Common::TimePoint now) const;
+    std::optional<Placement> chooseEngine(
+        const PlacementRequest&, std::span<const Entry* const>, Common::TimePoint now);
+    UpstreamLoad loadOfOthersAt(const Entry&) const;
 
     std::string m_failureDomain;
     mutable std::mutex m_mutex;
     std::map<std::string, Entry, std::less<>> m_entries;
     std::map<std::string, EnginePlacement, std::less<>> m_placements; // By service.
-    LoadsByUpstream m_others;
-    std::optional<Common::TimePoint> m_brokeOff; // The last time that an engine did in the middle of an answer.
+    LoadsByUpstream m_peerLoads;
+    std::optional<Common::TimePoint>
+        m_lastMidStreamFailure; // The last time that an engine did in the middle of an answer.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/Testing/Harness/Cluster.cpp
+++ b/Source/Testing/Harness/Cluster.cpp
@@ -114,20 +114,20 @@
     return endpoints;
 }
 
-Common::Result<Common::HttpAnswer> Cluster::call(const std::string& id, const Common::HttpCall& call)
+Common::Result<Common::HttpClientResponse> Cluster::call(const std::string& id, const Common::HttpClientRequest& call)
 {
     auto endpoint = node(id).endpoint;
     return m_runtime.call([endpoint, call] { return Common::callOnce(endpoint, call); });
 }
 
-static Json jsonOf(const Common::Result<Common::HttpAnswer>& answer)
+static Json jsonOf(const Common::Result<Common::HttpClientResponse>& answer)
 {
     return isError(answer) ? Json() : Common::parseJson(valueOf(answer).body);
 }
 
 Json Cluster::status(const std::string& router)
 {
-    Common::HttpCall get;
+    Common::HttpClientRequest get;
     get.target = "/admin/status";
     get.headers = { { "Authorization", std::string("Bearer ") + fleetKey } };
     return jsonOf(call(router, get));
@@ -142,7 +142,7 @@
 
 Json Cluster::fault(const std::string& id, const Json& faults)
 {
-    Common::HttpCall post;
+    Common::HttpClientRequest post;
     post.method = "POST";
     post.target = "/fake/fault";
     post.body = Common::dumpJson(faults);
@@ -151,7 +151,7 @@
 
 Json Cluster::counters(const std::string& id)
 {
-    Common::HttpCall get;
+    Common::HttpClientRequest get;
     get.target = "/fake/counters";
     return jsonOf(call(id, get));
 }
--- a/Source/Testing/Harness/Cluster.h
+++ b/Source/Testing/Harness/Cluster.h
@@ -63,7 +63,7 @@
     {
         return ClassServing::BackingServices::httpLogService(m_nodes.at("log").endpoint);
     }
-    Common::Result<Common::HttpAnswer> call(const std::string& id, const Common::HttpCall&);
+    Common::Result<Common::HttpClientResponse> call(const std::string& id, const Common::HttpClientRequest&);
     Common::FiberRuntime& runtime() { return m_runtime; }
     const std::string& folder() const { return m_folder.path(); }
     // The end of what a process has written to its log.
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -16,18 +16,18 @@
 using Common::member;
 using namespace std::chrono_literals;
 
-static constexpr Common::Milliseconds answerTimeout = 120s;
+static constexpr Common::Milliseconds responseTimeout = 120s;
 static constexpr Common::Milliseconds connectTimeout = 2s;
 static constexpr uint64_t comeBackJitterMs = 500;
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
 
-static Common::HttpCall makeCall(const Call& call)
+static Common::HttpClientRequest makeCall(const Call& call)
 {
     const auto& arrivals = *call.arrivals;
-    Common::HttpCall http;
+    Common::HttpClientRequest http;
     http.method = "POST";
     http.connectTimeout = connectTimeout;
-    http.answerTimeout = answerTimeout;
+    http.responseTimeout = responseTimeout;
     http.headers = { { "Authorization", "Bearer " + arrivals.key }, { "Brassladder-Class", arrivals.requestClass },
         { "Content-Type", "application/json" } };
     if (!call.key.empty())
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -69,7 +69,7 @@
 
 struct HeaderCase {
     const char* name;
-    Common::HttpCall call;
+    Common::HttpClientRequest call;
     unsigned status;
     const char* kind;
 };
@@ -196,7 +196,7 @@
 TEST_F(CallerContractTest, RequestCanBeExplained)
 {
     auto record = goodCall(true, "explained");
-    Common::HttpCall call { "GET", "/admin/explain?id=" + record.requestId, "",
+    Common::HttpClientRequest call { "GET", "/admin/explain?id=" + record.requestId, "",
         { { "Authorization", std::string("Bearer ") + Cluster::fleetKey } } };
     auto body = Common::parseJson(valueOf(s_cluster->call("router-1", call)).body);
     std::vector<std::string> steps;
--- a/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
@@ -156,12 +156,12 @@
     }
     EXPECT_GT(predicted, 0u) << "what cannot be served is refused on arrival";
     auto arrivals = Scene::chat("urgent", 1, 200);
-    Common::HttpCall call {
+    Common::HttpClientRequest call {
         "POST", "/v1/chat/completions", R"({"messages":[{"role":"user","content":"nonce=a len=400"}]})",
         { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey }, { "Brassladder-Class", "urgent" } }
     };
     static constexpr int callers = 8;
-    std::vector<std::future<Common::Result<Common::HttpAnswer>>> answers;
+    std::vector<std::future<Common::Result<Common::HttpClientResponse>>> answers;
     answers.reserve(callers);
     for (int index = 0; index < callers; ++index)
         answers.push_back(std::async(std::launch::async, [&] { return scene.call("router-1", call); }));
--- a/Source/UnitTests/ClassServing/Promises/Scene.cpp
+++ b/Source/UnitTests/ClassServing/Promises/Scene.cpp
@@ -85,7 +85,7 @@
 {
     std::string text;
     for (const auto& router : idsOf("router")) {
-        Common::HttpCall get { "GET", "/admin/explain?id=" + requestId, "",
+        Common::HttpClientRequest get { "GET", "/admin/explain?id=" + requestId, "",
             { { "Authorization", std::string("Bearer ") + fleetKey } } };
         auto answer = call(router, get);
         if (!isError(answer) && valueOf(answer).status == 200)
--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -21,7 +21,7 @@
     EXPECT_EQ(headers[0].value, "a");
     EXPECT_EQ(headers[1].value, "b");
 
-    Common::HttpAnswer answer;
+    Common::HttpClientResponse answer;
     answer.headers = { { "KEEP-ALIVE", "timeout=3" }, { "Content-Length", "3" }, { "Content-Type", "text/plain" } };
     auto passed = headersForCaller(answer);
     ASSERT_EQ(passed.size(), 1U);
--- a/Source/UnitTests/RouteServing/Gateway/PendingAsksTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/OutstandingRequestsTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "RouteServing/Gateway/PendingAsks.h"
+#include "RouteServing/Gateway/OutstandingRequests.h"
 
 #include <gtest/gtest.h>
 
@@ -12,10 +12,10 @@
 static constexpr Common::TimePoint s_now(1h);
 
 // With a way that is longer than the pause between asks, each answer came after the next ask.
-TEST(PendingAsksTest, AnAnswerCountsAlsoAfterLaterAsks)
+TEST(OutstandingRequestsTest, AnAnswerCountsAlsoAfterLaterAsks)
 {
-    PendingAsks asks;
-    asks.askFrom("h1", false);
+    OutstandingRequests asks;
+    asks.setTarget("h1", false);
     auto first = asks.add(s_now);
     auto second = asks.add(s_now + 100ms);
     auto third = asks.add(s_now + 200ms);
@@ -27,29 +27,29 @@
     EXPECT_FALSE(asks.take("h1", 0)) << "news answers no ask";
 }
 
-TEST(PendingAsksTest, ASourceIsSilentWhenItsFirstAnswerIsLate)
+TEST(OutstandingRequestsTest, ASourceIsSilentWhenItsFirstAnswerIsLate)
 {
-    PendingAsks asks;
-    asks.askFrom("h1", false);
-    EXPECT_FALSE(asks.isSilent(s_now)) << "it was not asked yet";
+    OutstandingRequests asks;
+    asks.setTarget("h1", false);
+    EXPECT_FALSE(asks.isOverdue(s_now)) << "it was not asked yet";
     asks.add(s_now);
     asks.add(s_now + 400ms);
-    EXPECT_FALSE(asks.isSilent(s_now + 499ms));
-    EXPECT_TRUE(asks.isSilent(s_now + 500ms));
-    asks.askFrom("h1", false);
-    EXPECT_TRUE(asks.isSilent(s_now + 500ms)) << "the same one";
-    asks.askFrom("h2", false);
-    EXPECT_FALSE(asks.isSilent(s_now + 500ms));
+    EXPECT_FALSE(asks.isOverdue(s_now + 499ms));
+    EXPECT_TRUE(asks.isOverdue(s_now + 500ms));
+    asks.setTarget("h1", false);
+    EXPECT_TRUE(asks.isOverdue(s_now + 500ms)) << "the same one";
+    asks.setTarget("h2", false);
+    EXPECT_FALSE(asks.isOverdue(s_now + 500ms));
 }
 
-TEST(PendingAsksTest, WhatMayBeUnderWayIsNotSentAgain)
+TEST(OutstandingRequestsTest, WhatMayBeUnderWayIsNotSentAgain)
 {
-    LastSent sent;
-    EXPECT_FALSE(sent.mayBeUnderWay(0, s_now));
+    LastSentVersion sent;
+    EXPECT_FALSE(sent.isInFlight(0, s_now));
     sent.note(7, s_now);
-    EXPECT_TRUE(sent.mayBeUnderWay(7, s_now + 499ms));
-    EXPECT_FALSE(sent.mayBeUnderWay(8, s_now));
-    EXPECT_FALSE(sent.mayBeUnderWay(7, s_now + 500ms));
+    EXPECT_TRUE(sent.isInFlight(7, s_now + 499ms));
+    EXPECT_FALSE(sent.isInFlight(8, s_now));
+    EXPECT_FALSE(sent.isInFlight(7, s_now + 500ms));
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/RouteServing/Gateway/KnowledgeCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "RouteServing/Gateway/KnowledgeCodec.h"
+#include "RouteServing/Gateway/SnapshotCodec.h"
 
 #include <gtest/gtest.h>
 #include <limits>
@@ -11,30 +11,30 @@
 using namespace std::chrono_literals;
 
 // Found on reading: with an uptime of over 49 days, a lease that was never confirmed would have been told as fresh.
-TEST(KnowledgeCodecTest, AnAgeThatDoesNotFitStaysOld)
+TEST(SnapshotCodecTest, AnAgeThatDoesNotFitStaysOld)
 {
-    EXPECT_EQ(ageForWire(1234ms), 1234U);
-    EXPECT_EQ(ageForWire(24h * 60), std::numeric_limits<uint32_t>::max());
-    EXPECT_EQ(ageForWire(-5ms), 0U);
+    EXPECT_EQ(encodeAge(1234ms), 1234U);
+    EXPECT_EQ(encodeAge(24h * 60), std::numeric_limits<uint32_t>::max());
+    EXPECT_EQ(encodeAge(-5ms), 0U);
 }
 
-TEST(KnowledgeCodecTest, LoadsAndUpstreamsSurviveTheWay)
+TEST(SnapshotCodecTest, LoadsAndUpstreamsSurviveTheWay)
 {
     Routing::LoadsByUpstream loads { { 7, { 3, 1, 900 } }, { 8, {} } };
     Inner::Wire::Knowledge message;
-    writeLoads(loads, *message.mutable_loads());
-    auto read = readLoads(message.loads());
+    encodeLoads(loads, *message.mutable_loads());
+    auto read = decodeLoads(message.loads());
     ASSERT_EQ(read.size(), 1U) << "an upstream without requests is left out";
-    EXPECT_EQ(read[7].unreadTokens, 900U);
+    EXPECT_EQ(read[7].prefillTokens, 900U);
     message.mutable_loads()->add_upstreams(9);
-    EXPECT_TRUE(readLoads(message.loads()).empty()) << "a row that lacks its numbers";
+    EXPECT_TRUE(decodeLoads(message.loads()).empty()) << "a row that lacks its numbers";
 
-    EXPECT_FALSE(readUpstreams(message)) << "no list is not an empty list";
+    EXPECT_FALSE(decodeUpstreams(message)) << "no list is not an empty list";
     message.set_has_upstreams(true);
     Routing::UpstreamRecord record { "u1", "shop", { "127.0.0.1", 9 }, "north", 6, true };
-    writeUpstream(record, *message.add_upstreams());
+    encodeUpstream(record, *message.add_upstreams());
     message.add_upstreams()->set_endpoint("nowhere");
-    EXPECT_EQ(readUpstreams(message), std::vector { record });
+    EXPECT_EQ(decodeUpstreams(message), std::vector { record });
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/RouteServing/Gateway/EventCutterTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "RouteServing/Gateway/EventCutter.h"
+#include "RouteServing/Gateway/SseFramer.h"
 
 #include <gtest/gtest.h>
 
 namespace Brassladder::RouteServing::Gateway {
 
-TEST(EventCutterTest, EventsPassWholeAndUnchanged)
+TEST(SseFramerTest, EventsPassWholeAndUnchanged)
 {
-    EventCutter cutter;
+    SseFramer cutter;
     cutter.feed("id: 1\ndata: a");
     EXPECT_EQ(cutter.takeEvents(), "");
     cutter.feed("b\n\nid: 2\nda");
@@ -17,23 +17,23 @@
     EXPECT_EQ(cutter.lastId(), 1U);
     cutter.feed("ta: c\n\n\nrest");
     EXPECT_EQ(cutter.takeEvents(), "id: 2\ndata: c\n\n");
-    EXPECT_EQ(cutter.takeRest(), "\nrest");
+    EXPECT_EQ(cutter.takeRemainder(), "\nrest");
 }
 
 // Found on the users' platform: the unfinished event of an engine that crashed stood before the events of the next one.
-TEST(EventCutterTest, AnUnfinishedEventIsForgottenBeforeAnotherUpstreamGoesOn)
+TEST(SseFramerTest, AnUnfinishedEventIsForgottenBeforeAnotherUpstreamGoesOn)
 {
-    EventCutter cutter;
+    SseFramer cutter;
     cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
     EXPECT_EQ(cutter.takeEvents(), "id: 1\ndata: a\n\n");
-    cutter.dropPartialEvent();
+    cutter.discardPartialEvent();
     cutter.feed("id: 2\ndata: half\n\n");
     EXPECT_EQ(cutter.takeEvents(), "id: 2\ndata: half\n\n");
 }
 
-TEST(EventCutterTest, EventsThatWerePassedOnAreNotRepeated)
+TEST(SseFramerTest, EventsThatWerePassedOnAreNotRepeated)
 {
-    EventCutter cutter;
+    SseFramer cutter;
     cutter.feed("id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
     EXPECT_EQ(cutter.takeEvents(), "id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
     cutter.feed("id: 5\ndata: b\n\nid: 6\ndata: c\n\n");
--- a/Source/UnitTests/RouteServing/Gateway/StreamTimesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/StreamTimesTest.cpp
@@ -15,7 +15,7 @@
     StreamTimes times(arrived);
     EXPECT_FALSE(times.hasEvents());
     for (auto after : { 40ms, 90ms, 390ms, 400ms })
-        times.noteEvents(arrived + after);
+        times.recordEvents(arrived + after);
     EXPECT_TRUE(times.hasEvents());
     EXPECT_EQ(times.firstEvent(), 40ms);
     EXPECT_EQ(times.longestPause(), 300ms);
--- a/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
@@ -74,17 +74,17 @@
     UpstreamHealth health;
     Common::TimePoint now(1h);
     health.record(TryOutcome::Broken, now);
-    EXPECT_FALSE(health.isOut(now)) << "one failure is a single request's misfortune";
+    EXPECT_FALSE(health.isEjected(now)) << "one failure is a single request's misfortune";
     health.record(TryOutcome::Broken, now);
-    EXPECT_TRUE(health.isOut(now + 499ms));
-    EXPECT_FALSE(health.isOut(now + 500ms));
+    EXPECT_TRUE(health.isEjected(now + 499ms));
+    EXPECT_FALSE(health.isEjected(now + 500ms));
     now += 600ms;
     health.record(TryOutcome::Broken, now);
-    EXPECT_TRUE(health.isOut(now + 999ms));
+    EXPECT_TRUE(health.isEjected(now + 999ms));
     now += 1100ms;
     health.record(TryOutcome::Answered, now);
     health.record(TryOutcome::Broken, now);
-    EXPECT_FALSE(health.isOut(now)) << "an answer ends the row";
+    EXPECT_FALSE(health.isEjected(now)) << "an answer ends the row";
 }
 
 TEST(UpstreamHealthTest, WhatSaysNothingOfTheUpstreamIsNotCounted)
@@ -95,8 +95,8 @@
         health.record(TryOutcome::Withdrawn, now);
         health.record(TryOutcome::Refused, now);
     }
-    EXPECT_FALSE(health.isOut(now));
-    EXPECT_EQ(health.failureShare(now), 0);
+    EXPECT_FALSE(health.isEjected(now));
+    EXPECT_EQ(health.errorRate(now), 0);
 }
 
 TEST(UpstreamHealthTest, ANoLongerTriedUpstreamIsForgiven)
@@ -105,8 +105,8 @@
     Common::TimePoint now(1h);
     for (int index = 0; index < 10; ++index)
         health.record(TryOutcome::Failed, now);
-    EXPECT_GT(health.failureShare(now), 0.7);
-    EXPECT_LT(health.failureShare(now + 20s), 0.05);
+    EXPECT_GT(health.errorRate(now), 0.7);
+    EXPECT_LT(health.errorRate(now + 20s), 0.05);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -41,7 +41,7 @@
     for (uint64_t subject = 100; subject < 200; ++subject) {
         auto pick = placement.place(reader(subject), engines, s_batch, s_now);
         EXPECT_EQ(placement.place(reader(subject), engines, s_batch, s_now)->index, pick->index);
-        EXPECT_EQ(pick->unreadTokens, 2000U) << "the shared parts are kept there";
+        EXPECT_EQ(pick->prefillTokens, 2000U) << "the shared parts are kept there";
         used.insert(pick->index);
     }
     EXPECT_EQ(used.size(), engines.size());
@@ -52,12 +52,12 @@
     EnginePlacement placement;
     auto engines = nine();
     auto home = placement.place(reader(5), engines, s_batch, s_now)->index;
-    engines[home].unreadTokens = 59'900;
+    engines[home].prefillTokens = 59'900;
     EXPECT_EQ(placement.place(reader(5), engines, s_batch, s_now)->index, home);
-    engines[home].unreadTokens = 60'100;
+    engines[home].prefillTokens = 60'100;
     auto other = placement.place(reader(5), engines, s_batch, s_now);
     EXPECT_NE(other->index, home);
-    EXPECT_EQ(other->unreadTokens, 8000U);
+    EXPECT_EQ(other->prefillTokens, 8000U);
 }
 
 // Found on the users' platform: beside long prompts, the pauses of long answers passed their target.
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -43,9 +43,9 @@
         }
         EXPECT_EQ(readers, HubRanking::storeReaderCount(count)) << count;
         EXPECT_EQ(hubs.size(), HubRanking::hubCount(count)) << count;
-        for (const auto& [hub, askers] : asked) {
+        for (const auto& [hub, subscribers] : asked) {
             EXPECT_TRUE(hubs.contains(hub)) << count;
-            EXPECT_LE(askers, 3 * hubs.size() + 3) << "no hub carries much more than the others, of " << count;
+            EXPECT_LE(subscribers, 3 * hubs.size() + 3) << "no hub carries much more than the others, of " << count;
         }
         for (const auto& hub : hubs)
             EXPECT_EQ(HubRanking(ids, hub, s_allUsable).otherHubs().size(), hubs.size() - 1);
@@ -95,15 +95,15 @@
 {
     LoadSums sums(1500ms);
     Common::TimePoint now(1h);
-    sums.told("a", { { 1, { 2, 1, 100 } } }, 1, now);
-    sums.told("b", { { 1, { 3, 0, 50 } }, { 2, { 1, 1, 0 } } }, 4, now);
-    EXPECT_EQ(sums.sumWithout({}, now)[1].requests, 5U);
-    EXPECT_EQ(sums.sumWithout({}, now)[1].unreadTokens, 150U);
-    EXPECT_EQ(sums.sumWithout("b", now)[1].requests, 2U);
+    sums.record("a", { { 1, { 2, 1, 100 } } }, 1, now);
+    sums.record("b", { { 1, { 3, 0, 50 } }, { 2, { 1, 1, 0 } } }, 4, now);
+    EXPECT_EQ(sums.sumExcluding({}, now)[1].requests, 5U);
+    EXPECT_EQ(sums.sumExcluding({}, now)[1].prefillTokens, 150U);
+    EXPECT_EQ(sums.sumExcluding("b", now)[1].requests, 2U);
     EXPECT_EQ(sums.routers(now), 5U);
-    sums.told("a", {}, 1, now + 1s);
-    EXPECT_EQ(sums.sumWithout({}, now + 1s)[1].requests, 3U);
-    EXPECT_TRUE(sums.sumWithout({}, now + 1600ms).empty());
+    sums.record("a", {}, 1, now + 1s);
+    EXPECT_EQ(sums.sumExcluding({}, now + 1s)[1].requests, 3U);
+    EXPECT_TRUE(sums.sumExcluding({}, now + 1600ms).empty());
     sums.forget("a");
     EXPECT_EQ(sums.routers(now + 1600ms), 0U);
 }
--- /dev/null
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -0,0 +1,144 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Common/Precompiled.h"
+
+#include "Common/Digest.h"
+#include "RouteServing/Routing/UpstreamRegistry.h"
+
+#include <gtest/gtest.h>
+#include <set>
+
+namespace Brassladder::RouteServing::Routing {
+
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Common::TimePoint s_now(1h);
+
+UpstreamRecord upstream(const std::string& id, const std::string& domain = "north")
+{
+    return { id, "shop", { "127.0.0.1", 1 }, domain, 6, false };
+}
+
+std::vector<UpstreamRecord> three() { return { upstream("u1"), upstream("u2"), upstream("u3") }; }
+
+UpstreamRegistry::PlacementRequest plainRequest(std::span<const std::string> attempted = {})
+{
+    return { "shop", nullptr, 1, attempted };
+}
+
+} // namespace
+
+TEST(UpstreamRegistryTest, ALeavingUpstreamGetsNothingNewAndDoesNotComeBack)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams({ upstream("u1") });
+    ASSERT_TRUE(registry.choose(plainRequest(), s_now));
+    registry.markLeaving("u1");
+    EXPECT_FALSE(registry.choose(plainRequest(), s_now));
+    registry.setUpstreams({ upstream("u1") });
+    EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a late list says that it is serving";
+    EXPECT_FALSE(registry.isServing("u1"));
+}
+
+TEST(UpstreamRegistryTest, EnginesAreThoughtToBreakOffForAMinuteAfterOneDid)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams(three());
+    auto endOne = [&](bool wasRead, TryOutcome outcome) {
+        auto choice = registry.choose(plainRequest(), s_now);
+        registry.recordStart(*choice);
+        registry.recordEnd(*choice, wasRead, outcome, s_now);
+    };
+    endOne(true, TryOutcome::Answered);
+    endOne(false, TryOutcome::Broken);
+    EXPECT_FALSE(registry.enginesFailMidStream(s_now)) << "none broke off in the middle of an answer";
+    endOne(true, TryOutcome::Broken);
+    EXPECT_TRUE(registry.enginesFailMidStream(s_now + 59s));
+    EXPECT_FALSE(registry.enginesFailMidStream(s_now + 60s));
+}
+
+TEST(UpstreamRegistryTest, WhatWasTriedIsNotChosenAgain)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams(three());
+    std::vector<std::string> attempted { "u1", "u3" };
+    for (int index = 0; index < 50; ++index)
+        EXPECT_EQ(registry.choose(plainRequest(attempted), s_now)->upstream.id, "u2");
+    attempted.push_back("u2");
+    EXPECT_FALSE(registry.choose(plainRequest(attempted), s_now));
+}
+
+TEST(UpstreamRegistryTest, TheOwnFailureDomainIsPreferredUntilItIsBusy)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams({ upstream("near", "north"), upstream("far", "south") });
+    std::vector<std::string> chosen;
+    for (int index = 0; index < 6; ++index) {
+        auto choice = registry.choose(plainRequest(), s_now);
+        registry.recordStart(*choice);
+        chosen.push_back(choice->upstream.id);
+    }
+    EXPECT_EQ(chosen[0], "near");
+    EXPECT_EQ(chosen[1], "near");
+    EXPECT_EQ(std::count(chosen.begin(), chosen.end(), "far"), 2);
+}
+
+TEST(UpstreamRegistryTest, AReportNarrowsAnUpstreamUntilItIsOld)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams({ upstream("u1"), upstream("u2") });
+    registry.recordReport("u1", { 6, 4, 6 }, s_now);
+    for (int index = 0; index < 50; ++index)
+        EXPECT_EQ(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
+    std::set<std::string> later;
+    for (int index = 0; index < 200; ++index)
+        later.insert(registry.choose(plainRequest(), s_now + 2s)->upstream.id);
+    EXPECT_EQ(later.size(), 2U);
+}
+
+TEST(UpstreamRegistryTest, AnUnreachableUpstreamIsLeftOutUnlessAllAre)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams({ upstream("u1"), upstream("u2") });
+    UpstreamRegistry::Placement first { upstream("u1"), 0, false };
+    registry.recordStart(first);
+    registry.recordEnd(first, false, TryOutcome::Unreachable, s_now);
+    for (int index = 0; index < 50; ++index)
+        EXPECT_EQ(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
+    UpstreamRegistry::Placement second { upstream("u2"), 0, false };
+    registry.recordStart(second);
+    registry.recordEnd(second, false, TryOutcome::Unreachable, s_now);
+    EXPECT_TRUE(registry.choose(plainRequest(), s_now)) << "a try is better than a refusal";
+}
+
+TEST(UpstreamRegistryTest, AnUpstreamThatFailsMoreThanTheOthersIsTakenLast)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams(three());
+    for (int index = 0; index < 8; ++index) {
+        for (const auto& record : three()) {
+            UpstreamRegistry::Placement choice { record, 0, false };
+            registry.recordStart(choice);
+            registry.recordEnd(choice, false, record.id == "u2" ? TryOutcome::Failed : TryOutcome::Answered, s_now);
+        }
+    }
+    for (int index = 0; index < 100; ++index)
+        EXPECT_NE(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
+}
+
+TEST(UpstreamRegistryTest, LoadsOfOtherRoutersCountUntilTheyAreReplaced)
+{
+    UpstreamRegistry registry("north");
+    registry.setUpstreams({ upstream("u1"), upstream("u2") });
+    registry.setPeerLoads({ { shortHash("u1"), UpstreamLoad { 5, 0, 0 } } });
+    for (int index = 0; index < 50; ++index)
+        EXPECT_EQ(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
+    registry.setPeerLoads({});
+    std::set<std::string> chosen;
+    for (int index = 0; index < 200; ++index)
+        chosen.insert(registry.choose(plainRequest(), s_now)->upstream.id);
+    EXPECT_EQ(chosen.size(), 2U);
+}
+
+} // namespace Brassladder::RouteServing::Routing
