--- /dev/null
+++ b/Source/RouteServing/Gateway/Forwarding.cpp
@@ -0,0 +1,53 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Gateway/Forwarding.h"
+
+#include "RouteServing/Gateway/HeaderRules.h"
+
+#include <algorithm>
+
+namespace Brassladder::RouteServing::Gateway {
+
+using namespace std::chrono_literals;
+
+Common::HttpClientRequest requestForUpstream(
+    const HeaderScheme& scheme, const ForwardedRequest& forwarded, Common::TimePoint now)
+{
+    const auto& headers = scheme.upstream;
+    const auto& received = forwarded.exchange.request();
+    Common::HttpClientRequest request;
+    request.method = std::string(received.method_string().data(), received.method_string().size());
+    request.target = forwarded.exchange.target();
+    request.body = received.body();
+    request.deadline = forwarded.deadline;
+    request.headers = headersForUpstream(received, headers.withheldHeaders);
+    auto remaining = std::max(Common::toMilliseconds(forwarded.deadline - now), 1ms);
+    request.headers.push_back({ scheme.caller.deadlineHeader, std::to_string(remaining.count()) });
+    request.headers.push_back({ headers.expectedInstanceHeader, std::string(forwarded.expectedUpstream) });
+    if (forwarded.workspace)
+        request.headers.push_back({ headers.workspaceHeader, forwarded.workspace->name });
+    if (forwarded.priority)
+        request.headers.push_back(
+            { headers.priorityHeader, std::to_string(std::min(*forwarded.priority, headers.lowestPriority)) });
+    forwarded.replica.addHeaders(request, forwarded.requestId);
+    if (forwarded.resumeAfterEvent)
+        request.headers.push_back({ headers.lastEventHeader, std::to_string(*forwarded.resumeAfterEvent) });
+    return request;
+}
+
+Common::HttpResponse refusalResponse(
+    const HeaderScheme& scheme, const Routing::Refusal& refusal, bool mayHaveRun, const std::string& requestId)
+{
+    auto error = Common::makeError(refusal.kind, refusal.reason);
+    if (mayHaveRun)
+        error.ran = Common::Ran::Maybe;
+    auto response = Common::errorResponse(error);
+    // The platform's callers take fractions of a second, so the header of whole seconds is replaced.
+    std::erase_if(response.headers, [](const auto& header) { return header.name == "Retry-After"; });
+    if (error.retryAfter.count() > 0 && !mayHaveRun)
+        response.headers.push_back({ "Retry-After", scheme.caller.retryAfter(error.retryAfter) });
+    if (!requestId.empty())
+        response.headers.push_back({ scheme.caller.requestIdHeader, requestId });
+    return response;
+}
+
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -15,8 +15,8 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// A router that serves routes: it wires the parts together and owns their background fibers. Lives until the process
-// ends.
+// A router that serves routes (`--serve=routes`): wires the parts together, owns their background fibers and the ports
+// for callers, readiness and metrics. Lives until the process ends.
 class Gateway {
 public:
     Gateway(Common::FiberRuntime&, GatewaySettings, HeaderScheme, const PlatformSources&);
@@ -26,16 +26,20 @@
     uint16_t callerPort() const { return m_callers->port(); }
     uint16_t readinessPort() const { return m_readiness->port(); }
 
-    // A planned stop: not ready at once, served on while the balancer takes notice, then until nothing is in flight or
-    // the grace is nearly over. Blocks a plain thread, not a fiber.
+    // A planned stop by Routing/DrainSchedule.h: fails the readiness check at once, serves on until the balancer has
+    // noticed, then refuses what is new until nothing is in flight or the grace is nearly over. Blocks a plain thread,
+    // not a fiber.
     void drain();
 
 private:
+    Common::HttpLimits callerLimits() const;
+    Common::Status listen();
+    Common::Result<Common::HttpServer*> listenOn(const Common::Endpoint&, Common::HttpHandler);
+    void startBackgroundWork();
     void serveCaller(Common::HttpExchange&);
     void serveReadiness(Common::HttpExchange&) const;
     bool isReady() const;
-    void shareAllowance();
-    Common::Result<Common::HttpServer*> listen(const Common::Endpoint&, Common::HttpHandler);
+    void updateRetryAllowance();
 
     Common::FiberRuntime& m_runtime;
     GatewaySettings m_settings;
@@ -47,8 +51,8 @@
     PeerExchange m_peers;
     Common::HttpServer* m_callers { nullptr };
     Common::HttpServer* m_readiness { nullptr };
-    std::atomic<bool> m_draining { false };
-    std::atomic<bool> m_closing { false }; // Later in a planned stop.
+    std::atomic<bool> m_draining { false }; // From the beginning of a planned stop.
+    std::atomic<bool> m_refusing { false }; // Later in it: nothing new is begun.
     std::atomic<size_t> m_inFlight { 0 };
 };
 
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -8,13 +8,13 @@
 using Common::Metrics::counter;
 using Common::Metrics::seconds;
 
-static constexpr unsigned statusesInAKind = 100;
+static constexpr unsigned statusesPerClass = 100; // RFC 9110, 15: 2xx, 4xx and so on.
 
 void requestEnded(unsigned status, std::string_view reason, Common::Duration time)
 {
-    auto kind = std::to_string(status / statusesInAKind) + "xx";
+    auto statusClass = std::to_string(status / statusesPerClass) + "xx";
     counter("brassladder_gateway_requests_total", "Requests by kind of status and reason of our own",
-        { { "status", kind }, { "reason", std::string(reason) } })
+        { { "status", statusClass }, { "reason", std::string(reason) } })
         .Increment();
     static auto& s_time = seconds("brassladder_gateway_request_seconds", "From arrival to the end of the answer");
     s_time.Observe(Common::toSeconds(time));
@@ -26,10 +26,10 @@
     s_time.Observe(Common::toSeconds(time));
 }
 
-void attemptFailed(Routing::Fate fate, bool again)
+void attemptFailed(Routing::AttemptOutcome outcome, bool retried)
 {
     counter("brassladder_gateway_failed_tries_total", "Tries at an upstream that gave no answer",
-        { { "fate", std::string(Routing::name(fate)) }, { "again", again ? "yes" : "no" } })
+        { { "fate", std::string(Routing::fateLabel(outcome)) }, { "again", retried ? "yes" : "no" } })
         .Increment();
 }
 
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -2,19 +2,20 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "RouteServing/Routing/Fate.h"
+#include "RouteServing/Routing/AttemptOutcome.h"
 
 #include <string_view>
 
-// Counters and histograms of a router that serves routes. Labels are reasons and fates, whose number is bounded.
+// Counters and histograms of a router that serves routes. Labels have a bounded number of values. Safe to use from
+// several threads.
 namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
-// A request got its final answer. `reason`: of our own refusal or of a broken stream; empty when the upstream's answer
-// was passed on.
+// A request is over. `reason`: of our own refusal or of a stream that was cut; empty when an upstream's response was
+// relayed whole.
 void requestEnded(unsigned status, std::string_view reason, Common::Duration);
-// The first event of a stream, or a whole answer, is on its way to the caller.
-void firstByte(Common::Duration);
-// A try gave no answer; `again`: the request goes on to another upstream.
-void attemptFailed(Routing::Fate, bool again);
+// The first event of a stream, or a whole response, is on its way to the caller.
+void firstByte(Common::Duration afterArrival);
+// An attempt failed; `retried`: the request goes on to another upstream.
+void attemptFailed(Routing::AttemptOutcome, bool retried);
 
 } // namespace Brassladder::RouteServing::Gateway::GatewayMetrics
--- a/Source/RouteServing/Gateway/HeaderScheme.h
+++ b/Source/RouteServing/Gateway/HeaderScheme.h
@@ -4,7 +4,7 @@
 #include "Common/HttpClient.h"
 #include "Common/HttpServer.h"
 #include "RouteServing/Routing/Prompt.h"
-#include "RouteServing/Routing/UpstreamRegistry.h"
+#include "RouteServing/Routing/Upstream.h"
 
 #include <functional>
 #include <optional>
@@ -12,31 +12,31 @@
 #include <string_view>
 #include <vector>
 
-// How the callers and upstreams of one platform spell what the gateway means: names as data, what must be parsed as
-// hooks. The gateway itself knows no header of any platform.
+// The HTTP headers that the callers and upstreams of one platform use: names as data, what must be parsed as hooks. An
+// adapter fills it, so that the gateway itself knows no header of any platform.
 namespace Brassladder::RouteServing::Gateway {
 
 struct CallerHeaders {
     std::string requestIdHeader; // Chosen by the caller, new for each of its attempts; passed on unchanged.
-    std::string deadlineHeader; // Milliseconds that the caller will wait.
-    std::string readinessPath;
+    std::string deadlineHeader; // Milliseconds that the caller waits.
+    std::string readinessPath; // Where the balancer asks for readiness.
     std::function<std::string_view(const Common::HttpRequest&)> key; // Empty when the request shows none.
     std::function<Routing::Prompt(const Common::HttpRequest&)> prompt; // Of a generation.
     std::function<std::string(Common::Milliseconds)> retryAfter; // The value of `Retry-After`.
 };
 
 struct UpstreamHeaders {
-    std::string expectedInstanceHeader; // Another upstream at the same address refuses the request.
+    std::string expectedInstanceHeader; // An upstream with another id refuses the request without running it.
     std::string workspaceHeader;
     std::string priorityHeader;
-    std::string executionProofHeader; // Stands in each answer that an upstream gives to a request that it ran.
-    std::string lastEventHeader; // Where a stream is to be taken up.
-    std::string replicaTargetHeader; // Address of another engine that is sent the run's memory as it grows.
-    std::string replicaSourceHeader; // The copy that a run goes on from.
-    std::function<std::string(const Common::Endpoint& holder, std::string_view requestId)> replicaName;
+    std::string executionProofHeader; // In each response of an upstream that ran the request, except errors.
+    std::string lastEventHeader; // Id of the last event that the caller has: the stream is resumed after it.
+    std::string replicaTargetHeader; // Address of the engine that gets a replica of the run's KV cache as it grows.
+    std::string replicaSourceHeader; // The replica from which a run continues.
+    std::function<std::string(const Common::Endpoint& engine, std::string_view requestId)> replicaName;
     unsigned lowestPriority { 9 };
-    std::vector<std::string> withheldHeaders; // Of the caller, in lower case: never passed on.
-    std::function<bool(const Common::HttpClientResponse&)> isNotExecuted;
+    std::vector<std::string> withheldHeaders; // In lower case: headers of callers that are never passed on.
+    std::function<bool(const Common::HttpClientResponse&)> isNotExecuted; // The upstream states that it did not run it.
     std::function<std::optional<Routing::ReportedLoad>(const Common::HttpClientResponse&)> load;
 };
 
--- a/Source/RouteServing/Gateway/KvReplica.cpp
+++ b/Source/RouteServing/Gateway/KvReplica.cpp
@@ -5,28 +5,30 @@
 
 using Routing::UpstreamRegistry;
 
-void KvReplica::choose(UpstreamRegistry& registry, UpstreamRegistry::PlacementRequest need, Common::TimePoint now)
+void KvReplica::choose(
+    UpstreamRegistry& registry, const UpstreamRegistry::PlacementRequest& request, Common::TimePoint now)
 {
-    m_holder = registry.choose(need, now);
-    if (m_holder)
-        m_holder->prefillTokens = 0;
+    m_replica = registry.choose(request, now);
+    // A run that continues from its replica needs no prefill.
+    if (m_replica)
+        m_replica->prefillTokens = 0;
 }
 
 std::optional<UpstreamRegistry::Placement> KvReplica::failOver(const UpstreamRegistry& registry)
 {
-    auto holder = std::exchange(m_holder, std::nullopt);
-    if (!holder || !registry.isServing(holder->upstream.id))
+    auto replica = std::exchange(m_replica, std::nullopt);
+    if (!replica || !registry.isServing(replica->upstream.id))
         return std::nullopt;
-    m_source = holder->upstream.endpoint;
-    return holder;
+    m_source = replica->upstream.endpoint;
+    return replica;
 }
 
-void KvReplica::addHeaders(Common::HttpClientRequest& call, std::string_view requestId) const
+void KvReplica::addHeaders(Common::HttpClientRequest& request, std::string_view requestId) const
 {
-    if (m_holder)
-        call.headers.push_back({ m_words.replicaTargetHeader, m_holder->upstream.endpoint.text() });
+    if (m_replica)
+        request.headers.push_back({ m_headers.replicaTargetHeader, m_replica->upstream.endpoint.text() });
     if (m_source)
-        call.headers.push_back({ m_words.replicaSourceHeader, m_words.replicaName(*m_source, requestId) });
+        request.headers.push_back({ m_headers.replicaSourceHeader, m_headers.replicaName(*m_source, requestId) });
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/KvReplica.h
+++ b/Source/RouteServing/Gateway/KvReplica.h
@@ -6,38 +6,37 @@
 #include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <optional>
-#include <string>
 #include <string_view>
 
 namespace Brassladder::RouteServing::Gateway {
 
-// A second engine that is sent the memory of a run while it grows. When the first engine breaks off, the same run goes
-// on at the second one after its last whole event; it is no second run, so this also serves requests that may run only
-// once. Belongs to one request.
+// The second engine of one request, which gets a replica of the run's KV cache as it grows. When the first engine
+// breaks off, the same run goes on at the second one after its last whole event. That is no second run, so it also
+// serves requests that must run only once. When a run gets a replica is decided by Routing/ReplicaPolicy.h.
 class KvReplica {
 public:
-    explicit KvReplica(const UpstreamHeaders& words)
-        : m_words(words)
+    explicit KvReplica(const UpstreamHeaders& headers)
+        : m_headers(headers)
     {
     }
 
-    // Picks the second engine for a run that is about to be sent to `chosen`; none when no other engine may take it.
-    // `tried` holds the engines that had the request, `chosen` included.
-    void choose(Routing::UpstreamRegistry&, Routing::UpstreamRegistry::PlacementRequest, Common::TimePoint now);
+    // Chooses the engine for the replica of the next attempt; none when no other engine may take it. `attempted` of the
+    // request holds the engine of that attempt as well.
+    void choose(Routing::UpstreamRegistry&, const Routing::UpstreamRegistry::PlacementRequest&, Common::TimePoint now);
 
-    // No copy is kept of what is sent next.
-    void drop() { m_holder.reset(); }
+    // The next attempt has no replica.
+    void drop() { m_replica.reset(); }
 
-    // The first engine broke off: the engine where the run goes on. None when there is no backup or it is leaving.
+    // The first engine broke off: where the run goes on. None when there is no replica or its engine is leaving.
     std::optional<Routing::UpstreamRegistry::Placement> failOver(const Routing::UpstreamRegistry&);
 
-    // What the next call has to say: where the copy is to be kept, and which copy the run goes on from.
+    // Adds what the next attempt must state: where its replica goes, and the replica that it continues from.
     void addHeaders(Common::HttpClientRequest&, std::string_view requestId) const;
 
 private:
-    const UpstreamHeaders& m_words;
-    std::optional<Routing::UpstreamRegistry::Placement> m_holder; // Keeps the copy of the run under way.
-    std::optional<Common::Endpoint> m_source; // The run goes on from the copy kept there.
+    const UpstreamHeaders& m_headers;
+    std::optional<Routing::UpstreamRegistry::Placement> m_replica; // Of the attempt under way.
+    std::optional<Common::Endpoint> m_source; // The engine whose replica the run continues from.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -12,24 +12,18 @@
 using Inner::Wire::Item;
 using namespace std::chrono_literals;
 
+// How often a router requests a snapshot, and hubs send their loads. Measured on Cantabrica's grown scale-1 and
+// scale-2: worth 0.793 and 0.631 at 250 ms, 0.832 and 0.718 at 100 ms; 50 ms gained little for half as much processor
+// time again (docs/DESIGN.md, "how often loads are told").
 static constexpr Milliseconds exchangeInterval = 100ms;
-// Word of loads is used for so long.
-static constexpr Milliseconds loadReportMaxAge = 1500ms;
-// A hub that is silent is taken for dead, for a time that doubles.
-static constexpr Milliseconds initialHubBackoff = 2000ms;
-static constexpr unsigned maxDoublings = 4;
-// Those that asked within this time are told news.
-static constexpr Milliseconds subscriberTimeout = 1500ms;
-// The roster is read anew for peers that have just started and do not ask this router.
-static constexpr Milliseconds rosterInterval = 6000ms;
-static constexpr Milliseconds rosterRetry = 300ms;
 
 PeerExchange::PeerExchange(Common::FiberRuntime& runtime, Parts parts, std::string id, std::string_view fleetKey)
     : m_parts(std::move(parts))
     , m_id(std::move(id))
     , m_mesh(runtime, { m_id, Common::randomNumber() }, fleetKey)
-    , m_subscriberLoads(loadReportMaxAge)
-    , m_hubLoads(loadReportMaxAge)
+    , m_roster(m_parts.roster,
+          { [this](const Inner::Peer& peer) { addPeer(peer.id, peer.endpoint); }, [this] { return isHub(); } })
+    , m_peers(m_id)
 {
     m_parts.watcher.setStoreReaderCheck([this] { return readsStore(); });
     m_parts.watcher.setOnChange([this] { notifySubscribers(); });
@@ -47,65 +41,21 @@
     return port;
 }
 
-// Peers
-
-void PeerExchange::watchRoster()
-{
-    bool announced = false;
-    while (true) {
-        if (!announced)
-            announced = !isError(m_parts.roster.announce({ m_id, m_endpoint }));
-        // Read after the own word is there: of two that start together, one at least sees the other.
-        auto peers = m_parts.roster.read();
-        if (!isError(peers)) {
-            for (const auto& peer : valueOf(peers))
-                addPeer(peer.id, peer.endpoint);
-            std::lock_guard lock(m_mutex);
-            m_knowsRoster = true;
-        }
-        bool mustRetry = !announced || isError(peers);
-        do {
-            Common::sleepFor(mustRetry ? rosterRetry : rosterInterval);
-        } while (!mustRetry && !isHub());
-    }
-}
+// Roles
 
 void PeerExchange::addPeer(const std::string& id, const Common::Endpoint& endpoint)
-{
-    if (id == m_id)
-        return;
-    {
-        std::lock_guard lock(m_mutex);
-        auto& peer = m_peers[id];
-        if (peer.endpoint == endpoint)
-            return;
-        peer.endpoint = endpoint;
-        peer.ignoredUntil = {};
-        peer.timeouts = 0;
-    }
-    setMeshPeers();
-}
-
-void PeerExchange::setMeshPeers()
 {
     std::vector<Inner::Peer> peers;
     {
         std::lock_guard lock(m_mutex);
-        for (const auto& [id, peer] : m_peers)
-            peers.push_back({ id, peer.endpoint });
+        if (!m_peers.add(id, endpoint))
+            return;
+        for (const auto& [peerId, peer] : m_peers.peers())
+            peers.push_back({ peerId, peer.endpoint });
     }
     m_mesh.setPeers(peers);
 }
 
-Routing::HubRanking PeerExchange::ranking() const
-{
-    auto now = Common::now();
-    std::vector<std::string> ids;
-    for (const auto& [id, peer] : m_peers)
-        ids.push_back(id);
-    return { ids, m_id, [&](const std::string& id) { return m_peers.at(id).ignoredUntil <= now; } };
-}
-
 bool PeerExchange::isHub() const
 {
     std::lock_guard lock(m_mutex);
@@ -120,10 +70,44 @@
 
 std::optional<size_t> PeerExchange::fleetSize() const
 {
-    std::lock_guard lock(m_mutex);
-    if (!m_knowsRoster)
+    if (!m_roster.isKnown())
         return std::nullopt;
-    return m_peers.size() + 1;
+    std::lock_guard lock(m_mutex);
+    return m_peers.peers().size() + 1;
+}
+
+void PeerExchange::leave()
+{
+    std::lock_guard lock(m_mutex);
+    m_leaving = true;
+}
+
+// The caller holds the lock.
+void PeerExchange::checkOverdueHub(Common::TimePoint now)
+{
+    if (!m_outstanding.isOverdue(now))
+        return;
+    const auto& hub = m_outstanding.target();
+    auto& backoff = m_peers.state(hub).backoff;
+    backoff.recordTimeout(now);
+    m_loads.forgetHub(hub);
+    Common::log(LogLevel::Warning, "gateway", "hub.silent", { { "hub", hub }, { "times", backoff.timeouts() } });
+    m_outstanding.clear();
+}
+
+// The caller holds the lock.
+Routing::HubRanking PeerExchange::updateRole()
+{
+    auto ranking = m_peers.ranking(Common::now());
+    auto target = ranking.source().value_or("");
+    if (m_isHub != ranking.isHub() || m_readsStore != ranking.readsStore())
+        Common::log(LogLevel::Info, "gateway", "hub.role",
+            { { "is_hub", ranking.isHub() }, { "reads_store", ranking.readsStore() }, { "asks", target },
+                { "peers", m_peers.peers().size() } });
+    m_isHub = ranking.isHub();
+    m_readsStore = ranking.readsStore();
+    m_outstanding.setTarget(target, ranking.isHub());
+    return ranking;
 }
 
 // Exchange
@@ -138,63 +122,41 @@
 
 void PeerExchange::step()
 {
-    std::optional<Routing::HubRanking> ranked;
+    std::optional<Routing::HubRanking> ranking;
     {
         std::lock_guard lock(m_mutex);
-        checkOverdueHub();
-        ranked = ranking();
-        if (m_isHub != ranked->isHub() || m_readsStore != ranked->readsStore())
-            Common::log(LogLevel::Info, "gateway", "hub.role",
-                { { "is_hub", ranked->isHub() }, { "reads_store", ranked->readsStore() },
-                    { "asks", ranked->source().value_or("") }, { "peers", m_peers.size() } });
-        m_isHub = ranked->isHub();
-        m_readsStore = ranked->readsStore();
-        m_outstanding.setTarget(ranked->source().value_or(""), ranked->isHub());
-        auto others = m_hubLoads.sumExcluding({}, Common::now());
-        Routing::addLoads(others, m_subscriberLoads.sumExcluding({}, Common::now()));
-        m_parts.registry.setPeerLoads(std::move(others));
+        checkOverdueHub(Common::now());
+        ranking = updateRole();
+        m_parts.registry.setPeerLoads(m_loads.ofOthers(Common::now()));
     }
-    if (ranked->isHub())
-        sendLoadsToHubs(ranked->otherHubs());
-    if (ranked->source())
-        ask(*ranked->source(), ranked->isHub());
-}
-
-// The caller holds the lock.
-void PeerExchange::checkOverdueHub()
-{
-    auto now = Common::now();
-    if (!m_outstanding.isOverdue(now))
-        return;
-    auto& source = m_peers[m_outstanding.source()];
-    auto doublings = std::min(source.timeouts++, maxDoublings);
-    source.ignoredUntil = now + initialHubBackoff * (1U << doublings);
-    m_hubLoads.forget(m_outstanding.source());
-    Common::log(LogLevel::Warning, "gateway", "hub.silent",
-        { { "hub", m_outstanding.source() }, { "times", source.timeouts } });
-    m_outstanding.clear();
+    if (ranking->isHub())
+        sendLoadsToHubs(ranking->otherHubs());
+    if (ranking->source())
+        requestSnapshot(*ranking->source(), ranking->isHub());
 }
 
-void PeerExchange::ask(const std::string& source, bool asHub)
+void PeerExchange::requestSnapshot(const std::string& hub, bool asHub)
 {
     Item item;
-    auto& question = *item.mutable_knowledge_ask();
+    auto& request = *item.mutable_knowledge_ask();
     auto configuration = m_parts.watcher.configuration();
-    question.set_endpoint(m_endpoint.text());
-    question.set_configuration_version(configuration ? configuration->table.version() : 0);
-    question.set_upstreams_digest(m_parts.watcher.knowsUpstreams() ? m_parts.registry.digest() : 0);
-    question.set_is_hub(asHub);
+    request.set_endpoint(m_endpoint.text());
+    request.set_configuration_version(configuration ? configuration->table.version() : 0);
+    request.set_upstreams_digest(m_parts.watcher.knowsUpstreams() ? m_parts.registry.digest() : 0);
+    request.set_is_hub(asHub);
     Routing::LoadsByUpstream loads;
+    // Hubs send their loads to all hubs instead; here they would be counted twice.
     if (!asHub)
         loads = m_parts.registry.ownLoads();
     {
         std::lock_guard lock(m_mutex);
+        auto now = Common::now();
         if (!asHub)
-            Routing::addLoads(loads, m_subscriberLoads.sumExcluding(source, Common::now()));
-        question.set_nonce(m_outstanding.add(Common::now()));
+            loads = m_loads.withSubscribers(std::move(loads), now, hub);
+        request.set_nonce(m_outstanding.add(now));
     }
-    encodeLoads(loads, *question.mutable_loads());
-    m_mesh.send(source, std::move(item));
+    encodeLoads(loads, *request.mutable_loads());
+    m_mesh.send(hub, std::move(item));
 }
 
 void PeerExchange::sendLoadsToHubs(const std::vector<std::string>& hubs)
@@ -204,159 +166,162 @@
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
-        Routing::addLoads(loads, m_subscriberLoads.sumExcluding({}, now));
-        item.mutable_hub_loads()->set_routers(1 + m_subscriberLoads.routers(now));
+        loads = m_loads.withSubscribers(std::move(loads), now);
+        item.mutable_hub_loads()->set_routers(1 + m_loads.subscriberRouters(now));
     }
     encodeLoads(loads, *item.mutable_hub_loads()->mutable_loads());
     for (const auto& hub : hubs)
         m_mesh.send(hub, item);
 }
 
-// What peers say
-
-void PeerExchange::onItem(const Inner::Mesh::Sender& sender, const Item& item)
+// Sends a change at once to the routers that rely on this one; they request the rest.
+void PeerExchange::notifySubscribers()
 {
-    if (item.has_knowledge_ask())
-        onSnapshotRequest(sender.id, item.knowledge_ask());
-    else if (item.has_knowledge())
-        onSnapshot(sender.id, item.knowledge());
-    else if (item.has_hub_loads())
-        onHubLoads(sender.id, item.hub_loads());
+    std::vector<std::string> subscribers;
+    {
+        std::lock_guard lock(m_mutex);
+        subscribers = m_peers.subscribers(Common::now());
+    }
+    if (subscribers.empty())
+        return;
+    Item item;
+    *item.mutable_knowledge() = buildSnapshot(0, m_parts.registry.digest());
+    for (const auto& subscriber : subscribers)
+        m_mesh.send(subscriber, item);
 }
 
-Inner::Wire::Knowledge PeerExchange::buildSnapshot(uint64_t version, uint64_t digest) const
+// Snapshots
+
+// The platform's state, without what the receiver has already.
+Inner::Wire::Knowledge PeerExchange::buildSnapshot(uint64_t knownVersion, uint64_t knownDigest) const
 {
-    Inner::Wire::Knowledge knowledge;
+    Inner::Wire::Knowledge snapshot;
     auto now = Common::now();
     if (auto configuration = m_parts.watcher.configuration()) {
-        knowledge.set_configuration_version(configuration->table.version());
-        knowledge.set_configuration_age_ms(encodeAge(m_parts.lease.age(now)));
-        if (configuration->table.version() > version)
-            knowledge.set_configuration(configuration->text);
+        snapshot.set_configuration_version(configuration->table.version());
+        snapshot.set_configuration_age_ms(encodeAge(m_parts.lease.age(now)));
+        if (configuration->table.version() > knownVersion)
+            snapshot.set_configuration(configuration->text);
     }
-    knowledge.set_upstreams_age_ms(encodeAge(m_parts.watcher.upstreamsAge(now)));
-    if (m_parts.watcher.knowsUpstreams() && m_parts.registry.digest() != digest) {
-        knowledge.set_has_upstreams(true);
+    snapshot.set_upstreams_age_ms(encodeAge(m_parts.watcher.upstreamsAge(now)));
+    if (m_parts.watcher.knowsUpstreams() && m_parts.registry.digest() != knownDigest) {
+        snapshot.set_has_upstreams(true);
         for (const auto& record : m_parts.registry.upstreams())
-            encodeUpstream(record, *knowledge.add_upstreams());
+            encodeUpstream(record, *snapshot.add_upstreams());
     }
-    return knowledge;
+    return snapshot;
 }
 
-// The knowledge for a peer that asks, without what is under way to it.
-Inner::Wire::Knowledge PeerExchange::snapshotFor(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
+// The snapshot that a peer requested, without what is still in flight to it.
+Inner::Wire::Knowledge PeerExchange::snapshotFor(const std::string& peer, const Inner::Wire::KnowledgeAsk& request)
 {
     auto now = Common::now();
     auto configuration = m_parts.watcher.configuration();
     auto version = configuration ? configuration->table.version() : 0;
     auto digest = m_parts.registry.digest();
-    auto asksFor = std::pair(question.configuration_version(), question.upstreams_digest());
+    auto knownVersion = request.configuration_version();
+    auto knownDigest = request.upstreams_digest();
     {
         std::lock_guard lock(m_mutex);
-        auto& peer = m_peers[from];
-        if (peer.configuration.isInFlight(version, now))
-            asksFor.first = version;
-        if (peer.upstreams.isInFlight(digest, now))
-            asksFor.second = digest;
+        auto& state = m_peers.state(peer);
+        if (state.configuration.isInFlight(version, now))
+            knownVersion = version;
+        if (state.upstreams.isInFlight(digest, now))
+            knownDigest = digest;
     }
-    auto knowledge = buildSnapshot(asksFor.first, asksFor.second);
+    auto snapshot = buildSnapshot(knownVersion, knownDigest);
     std::lock_guard lock(m_mutex);
-    auto& peer = m_peers[from];
-    if (!knowledge.configuration().empty())
-        peer.configuration.note(version, now);
-    if (knowledge.has_upstreams())
-        peer.upstreams.note(digest, now);
-    return knowledge;
+    auto& state = m_peers.state(peer);
+    if (!snapshot.configuration().empty())
+        state.configuration.record(version, now);
+    if (snapshot.has_upstreams())
+        state.upstreams.record(digest, now);
+    return snapshot;
 }
 
-void PeerExchange::onSnapshotRequest(const std::string& from, const Inner::Wire::KnowledgeAsk& question)
+// Messages
+
+void PeerExchange::onItem(const Inner::Mesh::Sender& sender, const Item& item)
 {
-    if (auto endpoint = Common::parseEndpoint(question.endpoint()); !isError(endpoint))
+    if (item.has_knowledge_ask())
+        onSnapshotRequest(sender.id, item.knowledge_ask());
+    else if (item.has_knowledge())
+        onSnapshot(sender.id, item.knowledge());
+    else if (item.has_hub_loads())
+        onHubLoads(sender.id, item.hub_loads());
+}
+
+void PeerExchange::onSnapshotRequest(const std::string& from, const Inner::Wire::KnowledgeAsk& request)
+{
+    // Without its address the peer cannot be answered unless the roster has it: the mesh drops the response then.
+    if (auto endpoint = Common::parseEndpoint(request.endpoint()); !isError(endpoint))
         addPeer(from, valueOf(endpoint));
+    else
+        Common::log(LogLevel::Warning, "gateway", "peer.bad_address",
+            { { "peer", from }, { "address", request.endpoint() }, { "error", errorOf(endpoint).message } });
     Item item;
-    auto& knowledge = *item.mutable_knowledge();
-    knowledge = snapshotFor(from, question);
-    knowledge.set_nonce(question.nonce());
+    auto& snapshot = *item.mutable_knowledge();
+    snapshot = snapshotFor(from, request);
+    snapshot.set_nonce(request.nonce());
     Routing::LoadsByUpstream loads;
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
-        auto& peer = m_peers[from];
-        peer.asked = now;
-        peer.ignoredUntil = {};
-        knowledge.set_leaving(m_leaving);
-        // A hub tells its loads to all hubs, and hears theirs.
-        if (!question.is_hub()) {
-            m_subscriberLoads.record(from, decodeLoads(question.loads()), 1, now);
-            loads = m_parts.registry.ownLoads();
-            Routing::addLoads(loads, m_subscriberLoads.sumExcluding(from, now));
-            Routing::addLoads(loads, m_hubLoads.sumExcluding(from, now));
-            knowledge.set_routers(m_subscriberLoads.routers(now) + m_hubLoads.routers(now));
+        auto& peer = m_peers.state(from);
+        peer.lastRequest = now;
+        peer.backoff.recordRequest();
+        snapshot.set_leaving(m_leaving);
+        // Hubs exchange loads among all hubs instead.
+        if (!request.is_hub()) {
+            m_loads.recordSubscriber(from, decodeLoads(request.loads()), now);
+            loads = m_loads.forSubscriber(from, m_parts.registry.ownLoads(), now);
+            snapshot.set_routers(m_loads.subscriberRouters(now) + m_loads.hubRouters(now));
         }
     }
-    encodeLoads(loads, *knowledge.mutable_loads());
+    encodeLoads(loads, *snapshot.mutable_loads());
     m_mesh.send(from, std::move(item));
 }
 
-void PeerExchange::onSnapshot(const std::string& from, const Inner::Wire::Knowledge& knowledge)
-{
-    std::optional<Common::TimePoint> asked;
-    {
-        std::lock_guard lock(m_mutex);
-        // Ages hold only for the answer to our own ask: news may have been under way for any time.
-        if (knowledge.nonce()) {
-            m_peers[from].timeouts = 0;
-            m_peers[from].ignoredUntil = {};
-        }
-        asked = m_outstanding.take(from, knowledge.nonce());
-        if (asked) {
-            if (knowledge.leaving())
-                m_peers[from].ignoredUntil = Common::now() + initialHubBackoff;
-            if (!m_outstanding.asHub())
-                m_hubLoads.record(from, decodeLoads(knowledge.loads()), knowledge.routers(), Common::now());
-        }
-    }
-    auto confirmedBy = [&](uint32_t ageMs) { return asked ? *asked - Milliseconds(ageMs) : Common::TimePoint::min(); };
-    if (knowledge.configuration_version())
-        m_parts.watcher.updateConfigurationFromPeer(knowledge.configuration_version(), knowledge.configuration(),
-            confirmedBy(knowledge.configuration_age_ms()));
-    if (!knowledge.nonce())
-        return Common::FiberRuntime::spawnHere([this] { step(); });
-    if (asked)
-        m_parts.watcher.updateUpstreamsFromPeer(decodeUpstreams(knowledge), confirmedBy(knowledge.upstreams_age_ms()));
-}
-
-void PeerExchange::onHubLoads(const std::string& from, const Inner::Wire::HubLoads& word)
+std::optional<Common::TimePoint> PeerExchange::recordSnapshot(
+    const std::string& from, const Inner::Wire::Knowledge& snapshot)
 {
     std::lock_guard lock(m_mutex);
-    if (m_isHub)
-        m_hubLoads.record(from, decodeLoads(word.loads()), word.routers(), Common::now());
+    auto now = Common::now();
+    bool isResponse = snapshot.nonce() != 0;
+    if (isResponse)
+        m_peers.state(from).backoff.recordResponse();
+    auto requested = m_outstanding.take(from, snapshot.nonce());
+    if (!requested)
+        return std::nullopt;
+    if (snapshot.leaving())
+        m_peers.state(from).backoff.recordLeaving(now);
+    if (!m_outstanding.asHub())
+        m_loads.recordHub(from, decodeLoads(snapshot.loads()), snapshot.routers(), now);
+    return requested;
 }
 
-// A change is told at once to those that ask this router, and they ask for the rest.
-void PeerExchange::notifySubscribers()
+void PeerExchange::onSnapshot(const std::string& from, const Inner::Wire::Knowledge& snapshot)
 {
-    std::vector<std::string> subscribers;
-    {
-        std::lock_guard lock(m_mutex);
-        auto now = Common::now();
-        for (const auto& [id, peer] : m_peers) {
-            if (now - peer.asked < subscriberTimeout)
-                subscribers.push_back(id);
-        }
-    }
-    if (subscribers.empty())
-        return;
-    Item item;
-    *item.mutable_knowledge() = buildSnapshot(0, m_parts.registry.digest());
-    for (const auto& asker : subscribers)
-        m_mesh.send(asker, item);
+    auto requested = recordSnapshot(from, snapshot);
+    // Ages count back from the moment when we sent our request. A notification may have been in flight for any time, so
+    // it confirms nothing.
+    auto confirmedBy
+        = [&](uint32_t ageMs) { return requested ? *requested - Milliseconds(ageMs) : Common::TimePoint::min(); };
+    if (snapshot.configuration_version())
+        m_parts.watcher.updateConfigurationFromPeer(
+            snapshot.configuration_version(), snapshot.configuration(), confirmedBy(snapshot.configuration_age_ms()));
+    bool isNotification = snapshot.nonce() == 0;
+    if (isNotification)
+        return Common::FiberRuntime::spawnHere([this] { step(); });
+    if (requested)
+        m_parts.watcher.updateUpstreamsFromPeer(decodeUpstreams(snapshot), confirmedBy(snapshot.upstreams_age_ms()));
 }
 
-void PeerExchange::leave()
+void PeerExchange::onHubLoads(const std::string& from, const Inner::Wire::HubLoads& report)
 {
     std::lock_guard lock(m_mutex);
-    m_leaving = true;
+    if (m_isHub)
+        m_loads.recordHub(from, decodeLoads(report.loads()), report.routers(), Common::now());
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -2,21 +2,23 @@
 #pragma once
 
 #include "Inner/Mesh.h"
-#include "RouteServing/Gateway/OutstandingRequests.h"
 #include "RouteServing/Gateway/PlatformWatcher.h"
-#include "RouteServing/Routing/HubRanking.h"
-#include "RouteServing/Routing/LoadSums.h"
+#include "RouteServing/Gateway/RosterWatcher.h"
+#include "RouteServing/Routing/PeerDirectory.h"
+#include "RouteServing/Routing/PeerLoads.h"
 #include "RouteServing/Routing/UpstreamRegistry.h"
 
-#include <map>
 #include <mutex>
 #include <string>
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Tells routers of each other: what they have under way at the upstreams, and what they know of the platform, with
-// ages. Routers ask their hub a few times a second; hubs tell each other sums (Routing/HubRanking.h). Nothing here must
-// be right for a rule to hold: a router without word reads the store itself and counts its own requests alone.
+// The exchange between routers: the load that they have outstanding at upstreams, and the platform's state with its
+// age. Routers request a snapshot from their hub a few times a second, and hubs send each other sums of loads; who is a
+// hub follows from Routing/HubRanking.h. No promise depends on the exchange: a router without a recent snapshot reads
+// the store itself and places requests by its own load alone.
+//
+// Owns the connections between routers. Safe to use from several threads.
 class PeerExchange {
 public:
     struct Parts {
@@ -31,54 +33,48 @@
     // Listens for peers; the port in use, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&);
     // Each runs until the process ends, as a fiber of its own.
-    void watchRoster();
+    void watchRoster() { m_roster.watch({ m_id, m_endpoint }); }
     void exchange();
 
     bool isHub() const;
     // Whether this router reads the platform's store for others.
     bool readsStore() const;
-    // How many routers may be at work, this one included: all that were ever announced. None before that is known.
+    // How many routers may be at work, this one included: all that were ever announced. None before the roster is
+    // known.
     std::optional<size_t> fleetSize() const;
-    // Peers that ask this router are told to ask another one from now on.
+    // Part of a planned stop: subscribers are told to request snapshots elsewhere.
     void leave();
 
 private:
-    // What is known of one peer.
-    struct PeerState {
-        Common::Endpoint endpoint;
-        unsigned timeouts { 0 }; // Times in a row that it was taken for dead.
-        Common::TimePoint ignoredUntil {};
-        Common::TimePoint asked {}; // The last time it asked this router.
-        LastSentVersion configuration;
-        LastSentVersion upstreams; // The version is the list's digest.
-    };
     void onItem(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
     void onSnapshotRequest(const std::string& from, const Inner::Wire::KnowledgeAsk&);
     void onSnapshot(const std::string& from, const Inner::Wire::Knowledge&);
     void onHubLoads(const std::string& from, const Inner::Wire::HubLoads&);
-    void notifySubscribers();
+
     void step();
-    void ask(const std::string& source, bool asHub);
-    Inner::Wire::Knowledge snapshotFor(const std::string& from, const Inner::Wire::KnowledgeAsk&);
+    Routing::HubRanking updateRole();
+    void checkOverdueHub(Common::TimePoint now);
+    void requestSnapshot(const std::string& hub, bool asHub);
     void sendLoadsToHubs(const std::vector<std::string>& hubs);
-    void checkOverdueHub();
-    Inner::Wire::Knowledge buildSnapshot(uint64_t version, uint64_t digest) const;
+    void notifySubscribers();
     void addPeer(const std::string& id, const Common::Endpoint&);
-    void setMeshPeers();
-    Routing::HubRanking ranking() const;
+
+    Inner::Wire::Knowledge buildSnapshot(uint64_t knownVersion, uint64_t knownDigest) const;
+    Inner::Wire::Knowledge snapshotFor(const std::string& peer, const Inner::Wire::KnowledgeAsk&);
+    // When our own request was sent that the snapshot answers; none for notifications and late responses.
+    std::optional<Common::TimePoint> recordSnapshot(const std::string& from, const Inner::Wire::Knowledge&);
 
     Parts m_parts;
     std::string m_id;
     Common::Endpoint m_endpoint;
     Inner::Mesh m_mesh;
-    mutable std::mutex m_mutex;
-    std::map<std::string, PeerState> m_peers;
-    Routing::LoadSums m_subscriberLoads; // Word of those that ask this router.
-    Routing::LoadSums m_hubLoads; // Word of other hubs, or of the own one.
-    OutstandingRequests m_outstanding;
+    RosterWatcher m_roster;
+    mutable std::mutex m_mutex; // Guards all below.
+    Routing::PeerDirectory m_peers;
+    Routing::PeerLoads m_loads;
+    Routing::OutstandingRequests m_outstanding;
     bool m_isHub { true };
     bool m_readsStore { true };
-    bool m_knowsRoster { false };
     bool m_leaving { false };
 };
 
--- a/Source/RouteServing/Gateway/PlatformSources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -5,7 +5,7 @@
 #include "Common/Error.h"
 #include "Inner/Mesh.h"
 #include "RouteServing/Routing/RouteTable.h"
-#include "RouteServing/Routing/UpstreamRegistry.h"
+#include "RouteServing/Routing/Upstream.h"
 
 #include <functional>
 #include <memory>
@@ -14,11 +14,11 @@
 #include <string_view>
 #include <vector>
 
-// Where the gateway learns what the platform knows, as hooks that an adapter fills. All are called by one fiber at a
-// time and may suspend it. An error means that nothing is known of the moment; it is always PlatformUnavailable.
+// Where the gateway reads the platform's state, as hooks that an adapter fills. Each hook is called by one fiber at a
+// time and may suspend it. The only error is PlatformUnavailable: the present state is not known.
 namespace Brassladder::RouteServing::Gateway {
 
-// One version of the configuration: compiled, and as its operators wrote it, to be told to other routers.
+// One version of the configuration: compiled, and as the operators wrote it, to send it to other routers.
 struct Configuration {
     Routing::RouteTable table;
     std::string text;
@@ -26,19 +26,19 @@
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
 struct ConfigurationSource {
-    // Waits up to `wait` for a version that it has not returned before; null when there is none. A value, null too,
+    // Waits up to `wait` for a version that it has not returned before; null when there is none. A value, also null,
     // confirms that no newer version had been accepted when the call was made.
     std::function<Common::Result<ConfigurationPtr>(Common::Milliseconds wait)> read;
-    // Null when the text is no configuration.
+    // Null when the text is not a configuration.
     std::function<ConfigurationPtr(std::string_view text)> parse;
 };
 
 struct UpstreamSource {
-    // The list of upstreams as it is now; none when it has not changed since the last call.
+    // The present list of upstreams; none when it has not changed since the last call.
     std::function<Common::Result<std::optional<std::vector<Routing::UpstreamRecord>>>()> read;
 };
 
-// The routers of the fleet, as they announced themselves. Those that have ended are still listed.
+// The routers of the fleet, as they announced themselves at their start. Those that have ended are still listed.
 struct RosterSource {
     std::function<Common::Status(const Inner::Peer& self)> announce;
     std::function<Common::Result<std::vector<Inner::Peer>>()> read;
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -10,13 +10,14 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// How often a router that is told looks whether word is late.
-static constexpr Milliseconds pollInterval = 100ms;
+// How often a router that relies on its peers checks whether what it has is stale. Chosen, not measured: the interval
+// of the exchange between routers.
+static constexpr Milliseconds staleCheckInterval = 100ms;
 
-PlatformWatcher::PlatformWatcher(
-    PlatformSources sources, RefreshIntervals pace, Routing::FreshnessLease& lease, Routing::UpstreamRegistry& registry)
+PlatformWatcher::PlatformWatcher(PlatformSources sources, Routing::RefreshIntervals intervals,
+    Routing::FreshnessLease& lease, Routing::UpstreamRegistry& registry)
     : m_sources(std::move(sources))
-    , m_pace(pace)
+    , m_intervals(intervals)
     , m_lease(lease)
     , m_registry(registry)
 {
@@ -35,37 +36,38 @@
     failures = 0;
 }
 
-// A store that is down is not asked by all routers many times a second.
 void PlatformWatcher::backOff(const Dependency& dependency) const
 {
-    auto pause = m_pace.initialBackoff;
-    for (unsigned failure = 1; failure < dependency.failures && pause < m_pace.maxBackoff; ++failure)
-        pause *= 2;
-    Common::sleepFor(std::min(pause, m_pace.maxBackoff));
+    Common::sleepFor(m_intervals.backoffAfter(dependency.failures));
 }
 
-bool PlatformWatcher::isFresh(Milliseconds age, Milliseconds late) const { return !m_readsStore() && age < late; }
+bool PlatformWatcher::reliesOnPeers(Milliseconds age, Milliseconds staleAfter) const
+{
+    return !m_isStoreReader() && age < staleAfter;
+}
+
+// Configuration
 
 void PlatformWatcher::watchConfiguration()
 {
     Dependency dependency { "configuration" };
     while (true) {
         auto started = Common::now();
-        if (isFresh(m_lease.age(started), m_pace.configurationStaleAfter)) {
-            Common::sleepFor(pollInterval);
+        if (reliesOnPeers(m_lease.age(started), m_intervals.configurationStaleAfter)) {
+            Common::sleepFor(staleCheckInterval);
             continue;
         }
-        // One that is only late for once asks for no more than a confirmation.
-        auto reading = m_sources.configuration.read(m_readsStore() ? m_pace.configurationLongPoll : 0ms);
-        if (isError(reading)) {
-            dependency.recordFailure(errorOf(reading));
+        // A router that only bridges a gap needs a confirmation now, not a long poll.
+        auto read = m_sources.configuration.read(m_isStoreReader() ? m_intervals.configurationLongPoll : 0ms);
+        if (isError(read)) {
+            dependency.recordFailure(errorOf(read));
             backOff(dependency);
             continue;
         }
         dependency.recordSuccess();
         // The lease stands for the table that requests see: confirmed only after the new version is in force.
-        if (valueOf(reading))
-            adopt(valueOf(reading), "store");
+        if (valueOf(read))
+            adopt(valueOf(read), "store");
         m_lease.confirm(started);
     }
 }
@@ -99,26 +101,28 @@
         m_lease.confirm(confirmed);
 }
 
+// Upstreams
+
 void PlatformWatcher::watchUpstreams()
 {
     Dependency dependency { "upstreams" };
     while (true) {
         auto started = Common::now();
-        if (isFresh(upstreamsAge(started), m_pace.upstreamsStaleAfter)) {
-            Common::sleepFor(pollInterval);
+        if (reliesOnPeers(upstreamsAge(started), m_intervals.upstreamsStaleAfter)) {
+            Common::sleepFor(staleCheckInterval);
             continue;
         }
-        auto reading = m_sources.upstreams.read();
-        if (isError(reading)) {
-            dependency.recordFailure(errorOf(reading));
+        auto read = m_sources.upstreams.read();
+        if (isError(read)) {
+            dependency.recordFailure(errorOf(read));
             backOff(dependency);
             continue;
         }
         dependency.recordSuccess();
-        setUpstreams(std::move(valueOf(reading)), started);
-        auto rest = m_pace.upstreamInterval - (Common::now() - started);
-        if (rest.count() > 0)
-            Common::sleepFor(rest);
+        setUpstreams(std::move(valueOf(read)), started);
+        auto untilNext = m_intervals.upstreamInterval - (Common::now() - started);
+        if (untilNext.count() > 0)
+            Common::sleepFor(untilNext);
     }
 }
 
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -2,387 +2,292 @@
 #include "RouteServing/Gateway/RequestHandler.h"
 
 #include "Common/Digest.h"
+#include "Common/HttpStatus.h"
 #include "Common/Log.h"
+#include "RouteServing/Gateway/Forwarding.h"
 #include "RouteServing/Gateway/GatewayMetrics.h"
 #include "RouteServing/Gateway/HeaderRules.h"
+#include "RouteServing/Routing/ConnectionPolicy.h"
+#include "RouteServing/Routing/ReplicaPolicy.h"
 
-#include <algorithm>
 #include <charconv>
 
 namespace Brassladder::RouteServing::Gateway {
 
 using Common::ErrorKind;
-using Common::Json;
 using Common::LogLevel;
 using Common::Milliseconds;
-using Routing::Fate;
+using Routing::AttemptOutcome;
+using Routing::Refusal;
+using Routing::RetryDecision;
 using Routing::RouteKind;
-using namespace std::chrono_literals;
 
-// Largest answer that is held whole. Streams are passed on as they come.
+// Largest response that is held whole before it is relayed; streams are relayed as they come. Chosen, not measured: far
+// above any plain response, and it bounds what one faulty upstream can make a router hold.
 static constexpr size_t maxResponseBytes = 16 * 1024 * 1024;
-// A request that may not run twice takes a kept connection only when it has just been used.
-static constexpr Milliseconds maxIdleForOnceOnly = 1000ms;
-static constexpr Milliseconds minConnectTimeout = 50ms;
-static constexpr Milliseconds maxConnectTimeout = 500ms;
-// Connections that fail are tried elsewhere, as many times as there may be upstreams that just ended.
-static constexpr size_t maxConnectFailures = 4;
-static constexpr unsigned firstServerFailure = 500;
 
-RequestHandler::RequestHandler(RequestServices parts, Common::HttpExchange& exchange)
-    : m_parts(parts)
+RequestHandler::RequestHandler(const RequestServices& services, Common::HttpExchange& exchange)
+    : m_services(services)
     , m_exchange(exchange)
-    , m_arrived(Common::now())
-    , m_configuration(parts.watcher.configuration())
+    , m_configuration(services.watcher.configuration())
     , m_table(m_configuration ? &m_configuration->table : nullptr)
-    , m_requestId(exchange.header(parts.headerScheme.caller.requestIdHeader))
-    , m_path(exchange.path())
-    , m_backup(parts.headerScheme.upstream)
-    , m_times(m_arrived)
+    , m_replica(services.headers.upstream)
+    , m_stream(exchange, Common::now())
+    , m_report { std::string(exchange.header(services.headers.caller.requestIdHeader)), Common::now(), 0, {}, {}, {},
+        {}, 0, 0, m_stream.times() }
 {
 }
 
 void RequestHandler::run()
 {
     if (admit())
-        attemptUpstreams();
-    logEnd();
+        runAttempts();
+    report();
 }
 
 // Admission
 
 bool RequestHandler::admit()
 {
-    if (m_parts.isClosing)
-        return refuse(ErrorKind::Draining, "this instance is stopping"), false;
-    if (!m_table || !m_parts.watcher.knowsUpstreams())
-        return refuse(ErrorKind::NotReady, "no configuration yet"), false;
-    if (!findRoute() || !findWorkspace())
+    Routing::RouterState state { m_services.isStopping, m_table, m_services.watcher.knowsUpstreams(),
+        areKeysConfirmed() };
+    Routing::RequestTarget target { m_exchange.header("Host"), m_exchange.path(),
+        m_services.headers.caller.key(m_exchange.request()) };
+    auto admission = Routing::admit(state, target);
+    m_route = admission.route;
+    m_workspace = admission.workspace;
+    if (admission.refusal) {
+        refuse(*admission.refusal);
         return false;
-    readDeadline();
-    m_service = pickService();
-    const auto* service = m_table->service(m_service);
-    m_isGeneration = service && service->engine;
-    if (m_isGeneration) {
-        m_prompt = m_parts.headerScheme.caller.prompt(m_exchange.request());
-        m_batch = service->engine->batch;
-        m_replicatesKvCache = service->engine->replicatesKvCache;
     }
-    m_parts.retries.of(m_service).countRequest(m_arrived);
-    return true;
-}
-
-bool RequestHandler::findRoute()
-{
-    auto host = m_exchange.header("Host");
-    host = host.substr(0, host.find(':'));
-    m_route = m_table->find(host, m_path);
-    if (!m_route)
-        return refuse(ErrorKind::UnknownRoute, "no route for this host and path"), false;
+    m_deadline = m_report.arrived + Routing::requestTimeout(*m_route, callerTimeout());
+    m_service = Routing::pickService(*m_route, Common::randomNumber());
+    readGeneration();
+    m_services.retries.of(m_service).countRequest(m_report.arrived);
     return true;
 }
 
-bool RequestHandler::findWorkspace()
+void RequestHandler::readGeneration()
 {
-    if (m_route->anonymous || !m_table->wantsKeys())
-        return true;
-    if (!keyIsUsable())
-        return refuse(ErrorKind::PlatformUnavailable, "keys were not confirmed recently"), false;
-    m_workspace = m_table->workspaceOfKey(m_parts.headerScheme.caller.key(m_exchange.request()));
-    if (!m_workspace)
-        return refuse(ErrorKind::Unauthenticated, "unknown key"), false;
-    return true;
-}
-
-bool RequestHandler::keyIsUsable() const
-{
-    return m_route->anonymous || !m_table->wantsKeys() || m_parts.lease.isFresh(Common::now());
+    const auto* service = m_table->service(m_service);
+    if (!service || !service->engine)
+        return;
+    m_engine = &*service->engine;
+    m_prompt = m_services.headers.caller.prompt(m_exchange.request());
 }
 
-void RequestHandler::readDeadline()
+std::optional<Milliseconds> RequestHandler::callerTimeout() const
 {
-    auto text = m_exchange.header(m_parts.headerScheme.caller.deadlineHeader);
-    auto patience = m_route->timeout;
-    int64_t told = 0;
-    if (std::from_chars(text.data(), text.data() + text.size(), told).ec == std::errc() && told > 0)
-        patience = std::min(patience, Milliseconds(told));
-    m_deadline = m_arrived + patience;
+    auto text = m_exchange.header(m_services.headers.caller.deadlineHeader);
+    int64_t milliseconds = 0;
+    auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), milliseconds);
+    if (problem == std::errc() && milliseconds > 0)
+        return Milliseconds(milliseconds);
+    // Without a usable value the route's timeout alone holds: refusing would fail a request that can be served.
+    if (!text.empty())
+        Common::log(LogLevel::Warning, "gateway", "request.bad_deadline",
+            { { "request", m_report.requestId }, { "value", std::string(text) } });
+    return std::nullopt;
 }
 
-std::string_view RequestHandler::pickService() const
-{
-    const auto& shares = m_route->shares;
-    uint64_t total = 0;
-    for (const auto& share : shares)
-        total += share.weight;
-    if (!total)
-        return shares.empty() ? std::string_view {} : shares.front().service;
-    auto drawn = Common::randomNumber() % total;
-    for (const auto& share : shares) {
-        if (drawn < share.weight)
-            return share.service;
-        drawn -= share.weight;
-    }
-    return shares.back().service;
-}
+// A once-only request is not cancelled when its caller disconnects: the caller could not safely repeat it.
+bool RequestHandler::isAbandoned() const { return m_exchange.callerGone() && m_route->kind != RouteKind::OnceOnly; }
 
-// Tries
+// Attempts
 
-void RequestHandler::attemptUpstreams()
+void RequestHandler::runAttempts()
 {
     m_exchange.watchCaller([this] {
-        // What may not be repeated runs on: its caller could not ask again.
         if (m_current && m_route->kind != RouteKind::OnceOnly)
             m_current->cancel();
     });
     while (true) {
-        auto now = Common::now();
-        if (now >= m_deadline)
-            return refuse(m_mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired, "out of time");
-        if (!keyIsUsable())
-            return refuse(ErrorKind::PlatformUnavailable, "keys were not confirmed recently");
-        auto choice = chooseUpstream(now);
-        if (!choice)
-            return refuse(m_mayHaveRun ? ErrorKind::UpstreamBroken : ErrorKind::NoUpstream, "no upstream is left");
-        if (runAttempt(*choice) == Next::Done)
+        if (auto refusal = refusalBeforeAttempt())
+            return refuse(*refusal);
+        auto placement = choosePlacement(Common::now());
+        if (!placement) {
+            auto kind = m_history.mayHaveRun ? ErrorKind::UpstreamBroken : ErrorKind::NoUpstream;
+            return refuse({ kind, "no upstream is left" });
+        }
+        if (runAttempt(*placement) == Next::Done)
             return;
     }
 }
 
-std::optional<Routing::UpstreamRegistry::Placement> RequestHandler::chooseUpstream(Common::TimePoint now)
+// Checked again before each attempt: time has passed since the last one.
+std::optional<Refusal> RequestHandler::refusalBeforeAttempt() const
 {
-    const auto* prompt = m_isGeneration ? &m_prompt : nullptr;
-    auto choice = m_failover ? std::exchange(m_failover, std::nullopt)
-                             : m_parts.registry.choose({ m_service, prompt, m_batch, m_attempted }, now);
-    if (!choice)
+    if (isPastDeadline())
+        return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired, "out of time" };
+    if (!Routing::mayUseKey(*m_table, *m_route, areKeysConfirmed()))
+        return Refusal { ErrorKind::PlatformUnavailable, "keys were not confirmed recently" };
+    return std::nullopt;
+}
+
+Routing::UpstreamRegistry::PlacementRequest RequestHandler::placementRequest() const
+{
+    return { m_service, m_engine ? &m_prompt : nullptr, m_engine ? m_engine->batch : 1, m_report.attemptedUpstreams };
+}
+
+std::optional<RequestHandler::Placement> RequestHandler::choosePlacement(Common::TimePoint now)
+{
+    auto placement
+        = m_failover ? std::exchange(m_failover, std::nullopt) : m_services.registry.choose(placementRequest(), now);
+    if (!placement)
         return std::nullopt;
-    m_attempted.push_back(choice->upstream.id);
-    m_queuedPrefillTokens = choice->queuedPrefillTokens;
-    m_prefillTokens = choice->prefillTokens;
-    if (wantsReplica(now))
-        m_backup.choose(m_parts.registry, { m_service, prompt, m_batch, m_attempted }, now);
-    else
-        m_backup.drop();
-    return choice;
+    m_report.attemptedUpstreams.push_back(placement->upstream.id);
+    m_report.queuedPrefillTokens = placement->queuedPrefillTokens;
+    m_report.prefillTokens = placement->prefillTokens;
+    chooseReplica(now);
+    return placement;
 }
 
-bool RequestHandler::wantsReplica(Common::TimePoint now) const
+void RequestHandler::chooseReplica(Common::TimePoint now)
 {
-    return m_replicatesKvCache && m_route->kind == RouteKind::Stream && !m_route->mayRepeat()
-        && Routing::EnginePlacement::isDecodeHeavy(m_prompt) && m_parts.registry.enginesFailMidStream(now);
+    bool engineReplicates = m_engine && m_engine->replicatesKvCache;
+    bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
+    if (Routing::wantsReplica(*m_route, m_prompt, engineReplicates, failuresAreLikely))
+        m_replica.choose(m_services.registry, placementRequest(), now);
+    else
+        m_replica.drop();
 }
 
-RequestHandler::Next RequestHandler::runAttempt(const Routing::UpstreamRegistry::Placement& choice)
+RequestHandler::Next RequestHandler::runAttempt(const Placement& placement)
 {
-    UpstreamAttempt attempt(m_parts.headerScheme, m_parts.registry, choice);
-    UpstreamAttempt::Terms terms;
-    terms.requestId = m_requestId;
-    terms.connectTimeout = std::clamp(m_route->objective / 2, minConnectTimeout, maxConnectTimeout);
-    terms.maxIdleTime = m_route->mayRepeat() ? Milliseconds::max() : maxIdleForOnceOnly;
+    UpstreamAttempt attempt(m_services.headers, m_services.registry, placement);
     m_current = &attempt;
-    auto fate = attempt.start(callFor(choice.upstream), terms);
+    auto outcome = attempt.start(requestFor(placement.upstream),
+        { m_report.requestId, Routing::connectTimeout(*m_route), Routing::maxIdleTime(*m_route) });
     auto next = Next::Done;
-    if (m_exchange.callerGone() && m_route->kind != RouteKind::OnceOnly) {
-        m_exchange.abandon();
-        m_reason = "caller_gone";
-    } else if (fate != Fate::Ran) {
-        next = onFailedAttempt(fate, attempt);
-    } else if (m_route->kind == RouteKind::Stream && attempt.head().status < 400) {
+    if (isAbandoned())
+        abandon("caller_gone");
+    else if (Routing::ranAfter(outcome) != Common::Ran::Yes)
+        next = onFailure(attempt);
+    else if (m_route->kind == RouteKind::Stream && attempt.response().status < Common::firstClientError)
         next = relayStream(attempt);
-    } else {
+    else
         next = relayWhole(attempt);
-    }
     m_current = nullptr;
     return next;
 }
 
-bool RequestHandler::mayRetry(Fate fate)
-{
-    if (Common::now() >= m_deadline)
-        return false;
-    if (m_mayHaveRun && !m_route->mayRepeat())
-        return mayFailOver(fate);
-    if (fate == Fate::NotSent)
-        return m_attempted.size() - m_sent <= maxConnectFailures;
-    bool isSafe = fate == Fate::Refused || m_route->mayRepeat();
-    if (!isSafe || m_sent >= std::max(1u, m_route->maxAttempts))
-        return false;
-    return m_parts.retries.of(m_service).takeRetry(Common::now());
-}
-
-// The run itself goes on, at the engine that keeps its copy. Before the first event there may be no copy, and an engine
-// without one might run the request anew before it says so.
-bool RequestHandler::mayFailOver(Fate fate)
+// A plain response is held until it is whole, so that one that breaks off can still be retried.
+RequestHandler::Next RequestHandler::relayWhole(UpstreamAttempt& attempt)
 {
-    if (fate != Fate::MaybeRan || !m_events.lastId())
-        return false;
-    m_failover = m_backup.failOver(m_parts.registry);
-    return m_failover && m_parts.retries.of(m_service).takeRetry(Common::now());
+    auto body = attempt.readBody(maxResponseBytes);
+    if (isError(body))
+        return onFailure(attempt);
+    attempt.releaseConnection();
+    if (attempt.outcome() == AttemptOutcome::ServerError) {
+        m_history.record(attempt.outcome());
+        if (prepareRetry(attempt.outcome()))
+            return Next::Retry;
+    }
+    const auto& response = attempt.response();
+    m_report.status = response.status;
+    GatewayMetrics::firstByte(Common::now() - m_report.arrived);
+    m_exchange.respond({ response.status, std::move(valueOf(body)), {}, headersForCaller(response) });
+    return Next::Done;
 }
 
-RequestHandler::Next RequestHandler::onFailedAttempt(Fate fate, UpstreamAttempt& attempt)
+RequestHandler::Next RequestHandler::relayStream(UpstreamAttempt& attempt)
 {
-    if (fate != Fate::NotSent)
-        ++m_sent;
-    if (fate == Fate::MaybeRan)
-        m_mayHaveRun = true;
-    bool again = mayRetry(fate);
-    GatewayMetrics::attemptFailed(fate, again);
-    Common::log(LogLevel::Info, "gateway", "try.failed",
-        { { "request", m_requestId }, { "upstream", attempt.upstream().id }, { "fate", Routing::name(fate) },
-            { "problem", attempt.problem() }, { "again", again } });
-    if (again) {
-        m_events.discardPartialEvent();
-        return Next::TryAnother;
-    }
-    if (m_streaming) {
-        m_exchange.abandon();
-        m_reason = "stream_not_resumed";
+    switch (m_stream.relay(attempt)) {
+    case StreamRelay::Result::Completed:
         return Next::Done;
-    }
-    if (!m_mayHaveRun) {
-        refuse(fate == Fate::Refused ? ErrorKind::UpstreamRefused : ErrorKind::NoUpstream, attempt.problem());
+    case StreamRelay::Result::CallerGone:
+        abandon("caller_gone");
         return Next::Done;
+    case StreamRelay::Result::BrokenOff:
+        return onFailure(attempt);
     }
-    refuse(Common::now() >= m_deadline ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamBroken, attempt.problem());
     return Next::Done;
 }
 
-RequestHandler::Next RequestHandler::relayWhole(UpstreamAttempt& attempt)
+RequestHandler::Next RequestHandler::onFailure(const UpstreamAttempt& attempt)
 {
-    auto body = attempt.readBody(maxResponseBytes);
-    if (isError(body))
-        return onFailedAttempt(Fate::MaybeRan, attempt);
-    attempt.finish();
-    ++m_sent;
-    bool failed = attempt.head().status >= firstServerFailure;
-    if (failed && mayRetry(Fate::MaybeRan)) {
-        m_mayHaveRun = true;
-        return Next::TryAnother;
+    auto outcome = attempt.outcome();
+    m_history.record(outcome);
+    bool retries = prepareRetry(outcome);
+    GatewayMetrics::attemptFailed(outcome, retries);
+    Common::log(LogLevel::Info, "gateway", "try.failed",
+        { { "request", m_report.requestId }, { "upstream", attempt.upstream().id },
+            { "fate", Routing::fateLabel(outcome) }, { "problem", attempt.problem() }, { "again", retries } });
+    if (retries) {
+        m_stream.discardPartialEvent();
+        return Next::Retry;
     }
-    answerWith(attempt.head(), std::move(valueOf(body)));
+    if (m_stream.hasBegun())
+        abandon("stream_not_resumed");
+    else
+        refuse(Routing::refusalAfterFailure(m_history, outcome, isPastDeadline(), attempt.problem()));
     return Next::Done;
 }
 
-RequestHandler::Next RequestHandler::relayStream(UpstreamAttempt& attempt)
+// Whether there is another attempt. Takes it from the retry budget, and sets where a failover goes.
+bool RequestHandler::prepareRetry(AttemptOutcome outcome)
 {
-    while (true) {
-        auto piece = attempt.readPiece();
-        if (m_exchange.callerGone()) {
-            m_exchange.abandon();
-            m_reason = "caller_gone";
-            return Next::Done;
-        }
-        if (isError(piece))
-            return onFailedAttempt(Fate::MaybeRan, attempt);
-        bool ended = valueOf(piece).empty();
-        m_events.feed(valueOf(piece));
-        auto events = m_events.takeEvents();
-        if (ended)
-            events += m_events.takeRemainder();
-        if (!events.empty()) {
-            attempt.recordPrefillDone();
-            m_times.recordEvents(Common::now());
-        }
-        // The head waits for the first event: before it, another upstream may still take over.
-        if (!m_streaming && (ended || !events.empty())) {
-            m_streaming = true;
-            m_status = attempt.head().status;
-            m_exchange.beginStream({ m_status, {}, {}, headersForCaller(attempt.head()) });
-            GatewayMetrics::firstByte(Common::now() - m_arrived);
-        }
-        if (!events.empty() && !m_exchange.write(events)) {
-            m_exchange.abandon();
-            m_reason = "caller_gone";
-            attempt.cancel();
-            return Next::Done;
-        }
-        if (!ended)
-            continue;
-        attempt.finish();
-        m_exchange.endStream();
-        return Next::Done;
+    bool hasRelayedEvents = m_stream.lastEventId().has_value();
+    auto decision = Routing::decideRetry(*m_route, m_history, outcome, hasRelayedEvents, isPastDeadline());
+    switch (decision) {
+    case RetryDecision::GiveUp:
+        return false;
+    case RetryDecision::Retry:
+        return true;
+    case RetryDecision::RetryWithinBudget:
+        break;
+    case RetryDecision::FailOver:
+        m_failover = m_replica.failOver(m_services.registry);
+        if (!m_failover)
+            return false;
+        break;
     }
+    return m_services.retries.of(m_service).takeRetry(Common::now());
 }
 
 // What is sent
 
-Common::HttpClientRequest RequestHandler::callFor(const Routing::UpstreamRecord& upstream) const
+Common::HttpClientRequest RequestHandler::requestFor(const Routing::UpstreamRecord& upstream) const
 {
-    const auto& words = m_parts.headerScheme.upstream;
-    const auto& request = m_exchange.request();
-    Common::HttpClientRequest call;
-    call.method = std::string(request.method_string().data(), request.method_string().size());
-    call.target = m_exchange.target();
-    call.body = request.body();
-    call.deadline = m_deadline;
-    call.headers = headersForUpstream(request, words.withheldHeaders);
-    auto left = std::max(Common::toMilliseconds(m_deadline - Common::now()), 1ms);
-    call.headers.push_back({ m_parts.headerScheme.caller.deadlineHeader, std::to_string(left.count()) });
-    call.headers.push_back({ words.expectedInstanceHeader, upstream.id });
-    if (m_workspace)
-        call.headers.push_back({ words.workspaceHeader, m_workspace->name });
-    auto priority = m_workspace && m_workspace->priority ? *m_workspace->priority : m_route->priority;
-    if (m_isGeneration)
-        call.headers.push_back({ words.priorityHeader, std::to_string(std::min(priority, words.lowestPriority)) });
-    m_backup.addHeaders(call, m_requestId);
-    if (m_streaming && m_events.lastId())
-        call.headers.push_back({ words.lastEventHeader, std::to_string(*m_events.lastId()) });
-    return call;
+    std::optional<unsigned> priority;
+    if (m_engine)
+        priority = m_workspace && m_workspace->priority ? *m_workspace->priority : m_route->priority;
+    auto resumeAfterEvent = m_stream.hasBegun() ? m_stream.lastEventId() : std::nullopt;
+    return requestForUpstream(m_services.headers,
+        { m_exchange, m_report.requestId, m_deadline, upstream.id, m_workspace, priority, resumeAfterEvent, m_replica },
+        Common::now());
 }
 
-void RequestHandler::answerWith(const Common::HttpClientResponse& answer, std::string body)
+void RequestHandler::refuse(const Refusal& refusal)
 {
-    m_status = answer.status;
-    GatewayMetrics::firstByte(Common::now() - m_arrived);
-    m_exchange.respond({ m_status, std::move(body), {}, headersForCaller(answer) });
+    Refusal honest { Routing::honestKind(refusal.kind, m_history.mayHaveRun), refusal.reason };
+    if (m_stream.hasBegun())
+        return abandon(Common::name(honest.kind));
+    auto response = refusalResponse(m_services.headers, honest, m_history.mayHaveRun, m_report.requestId);
+    m_report.status = response.status;
+    m_report.reason = Common::name(honest.kind);
+    m_exchange.respond(response);
 }
 
-void RequestHandler::refuse(ErrorKind kind, std::string_view why)
+// Closes the connection without the end of the response, so that the caller cannot take it for whole.
+void RequestHandler::abandon(std::string_view reason)
 {
-    // Most kinds promise that the request did not run.
-    if (m_mayHaveRun && Common::traits(kind).ran == Common::Ran::No)
-        kind = ErrorKind::UpstreamBroken;
-    m_reason = Common::name(kind);
-    if (m_streaming)
-        return m_exchange.abandon();
-    auto error = Common::makeError(kind, std::string(why));
-    if (m_mayHaveRun)
-        error.ran = Common::Ran::Maybe;
-    auto response = Common::errorResponse(error);
-    m_status = response.status;
-    std::erase_if(response.headers, [](const auto& header) { return header.name == "Retry-After"; });
-    if (error.retryAfter.count() > 0 && !m_mayHaveRun)
-        response.headers.push_back({ "Retry-After", m_parts.headerScheme.caller.retryAfter(error.retryAfter) });
-    if (!m_requestId.empty())
-        response.headers.push_back({ m_parts.headerScheme.caller.requestIdHeader, m_requestId });
-    m_exchange.respond(response);
+    m_exchange.abandon();
+    m_report.reason = reason;
 }
 
-void RequestHandler::logEnd() const
+void RequestHandler::report()
 {
     auto now = Common::now();
-    GatewayMetrics::requestEnded(m_status, m_reason, now - m_arrived);
-    Json fields = { { "request", m_requestId }, { "status", m_status },
-        { "ms", Common::toMilliseconds(now - m_arrived).count() } };
-    if (!m_reason.empty())
-        fields["reason"] = m_reason;
+    if (m_stream.hasBegun())
+        m_report.status = m_stream.status();
     if (m_route)
-        fields["route"] = m_route->name;
-    if (m_table) {
-        fields["version"] = m_table->version();
-        fields["version_age_ms"] = m_parts.lease.age(now).count();
-        fields["upstreams_age_ms"] = m_parts.watcher.upstreamsAge(now).count();
-    }
-    if (!m_attempted.empty())
-        fields["upstreams"] = m_attempted;
-    if (m_times.hasEvents()) {
-        fields["awaited_tokens"] = m_queuedPrefillTokens;
-        fields["unread_tokens"] = m_prefillTokens;
-        fields["first_event_ms"] = m_times.firstEvent().count();
-        fields["longest_pause_ms"] = m_times.longestPause().count();
-    }
-    Common::log(LogLevel::Info, "gateway", "request.end", std::move(fields));
+        m_report.route = m_route->name;
+    if (m_table)
+        m_report.basis
+            = DecisionBasis { m_table->version(), m_services.lease.age(now), m_services.watcher.upstreamsAge(now) };
+    m_report.streamTimes = m_stream.times();
+    reportRequestEnd(m_report, now);
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- /dev/null
+++ b/Source/RouteServing/Gateway/RequestReport.cpp
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Gateway/RequestReport.h"
+
+#include "Common/Log.h"
+#include "RouteServing/Gateway/GatewayMetrics.h"
+
+namespace Brassladder::RouteServing::Gateway {
+
+void reportRequestEnd(const RequestReport& report, Common::TimePoint now)
+{
+    GatewayMetrics::requestEnded(report.status, report.reason, now - report.arrived);
+    Common::Json fields = { { "request", report.requestId }, { "status", report.status },
+        { "ms", Common::toMilliseconds(now - report.arrived).count() } };
+    if (!report.reason.empty())
+        fields["reason"] = report.reason;
+    if (!report.route.empty())
+        fields["route"] = report.route;
+    if (report.basis) {
+        fields["version"] = report.basis->configurationVersion;
+        fields["version_age_ms"] = report.basis->configurationAge.count();
+        fields["upstreams_age_ms"] = report.basis->upstreamsAge.count();
+    }
+    if (!report.attemptedUpstreams.empty())
+        fields["upstreams"] = report.attemptedUpstreams;
+    if (report.streamTimes.hasEvents()) {
+        fields["awaited_tokens"] = report.queuedPrefillTokens;
+        fields["unread_tokens"] = report.prefillTokens;
+        fields["first_event_ms"] = report.streamTimes.firstEvent().count();
+        fields["longest_pause_ms"] = report.streamTimes.longestPause().count();
+    }
+    Common::log(Common::LogLevel::Info, "gateway", "request.end", std::move(fields));
+}
+
+} // namespace Brassladder::RouteServing::Gateway
--- /dev/null
+++ b/Source/RouteServing/Gateway/RequestReport.h
@@ -0,0 +1,38 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Common/Clock.h"
+#include "RouteServing/Gateway/StreamTimes.h"
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace Brassladder::RouteServing::Gateway {
+
+// The state that a request was decided on.
+struct DecisionBasis {
+    uint64_t configurationVersion { 0 };
+    Common::Milliseconds configurationAge { 0 }; // Since it was last confirmed.
+    Common::Milliseconds upstreamsAge { 0 }; // Since the list was last confirmed.
+};
+
+// What the log line at the end of a request says (docs/OPERATIONS.md, `request.end`).
+struct RequestReport {
+    std::string requestId;
+    Common::TimePoint arrived;
+    unsigned status { 0 }; // Zero when no response was begun.
+    std::string reason; // Of the router's own refusal, or why a response was cut; else empty.
+    std::string route; // Empty when none was found.
+    std::optional<DecisionBasis> basis; // None when no configuration was known.
+    std::vector<std::string> attemptedUpstreams; // By id, in order.
+    uint64_t queuedPrefillTokens { 0 }; // As estimated when the last upstream was chosen.
+    uint64_t prefillTokens { 0 };
+    StreamTimes streamTimes;
+};
+
+// Writes the log line and counts the request.
+void reportRequestEnd(const RequestReport&, Common::TimePoint now);
+
+} // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/RetryWindows.h
+++ b/Source/RouteServing/Gateway/RetryWindows.h
@@ -11,7 +11,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// One retry window for each service that was asked for.
+// The retry windows of all services, made when a service gets its first request. Safe to use from several threads.
 class RetryWindows {
 public:
     explicit RetryWindows(Routing::RetryWindow::Bounds bounds)
@@ -28,7 +28,7 @@
         return *found->second;
     }
 
-    // This router's share of the retries that a window allows beyond the ratio.
+    // Sets this router's share of the allowance, for all services.
     void setAllowance(double allowance)
     {
         std::lock_guard lock(m_mutex);
--- a/Source/RouteServing/Gateway/SnapshotCodec.h
+++ b/Source/RouteServing/Gateway/SnapshotCodec.h
@@ -1,25 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
+#include "Common/Clock.h"
 #include "Inner/Inner.pb.h"
-#include "RouteServing/Routing/UpstreamRegistry.h"
+#include "RouteServing/Routing/Upstream.h"
 
 #include <optional>
 #include <vector>
 
-// Between the messages of routers (Inner/Inner.proto) and what the board knows.
+// Encodes and decodes the messages of PeerExchange (Inner/Inner.proto). The messages keep the names of earlier
+// versions: `Knowledge` is a snapshot, `KnowledgeAsk` the request for one; `writers` are decode-heavy generations,
+// `unread_tokens` the tokens that wait for their prefill.
 namespace Brassladder::RouteServing::Gateway {
 
-// An age as it travels. What was never confirmed is as old as the clock, which may not fit: it stays as old as fits.
+// An age in milliseconds. One that does not fit, such as that of something never confirmed, becomes the largest that
+// fits.
 uint32_t encodeAge(Common::Milliseconds);
 
 // Upstreams without requests are left out.
 void encodeLoads(const Routing::LoadsByUpstream&, Inner::Wire::LoadTable&);
-// Nothing when the columns do not fit each other.
+// Empty, with a log line, when the columns have different lengths.
 Routing::LoadsByUpstream decodeLoads(const Inner::Wire::LoadTable&);
 
 void encodeUpstream(const Routing::UpstreamRecord&, Inner::Wire::UpstreamEntry&);
-// None when the message carries no list. Entries without an address are left out.
+// None when the snapshot carries no list. Entries without a usable address are left out, with a log line.
 std::optional<std::vector<Routing::UpstreamRecord>> decodeUpstreams(const Inner::Wire::Knowledge&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SseFramer.cpp
+++ b/Source/RouteServing/Gateway/SseFramer.cpp
@@ -33,7 +33,7 @@
         auto event = std::string_view(m_buffer).substr(start, end + eventEnd.size() - start);
         start = end + eventEnd.size();
         auto id = idOf(event);
-        // Another upstream that takes the stream up may begin earlier than asked.
+        // An upstream that resumes the stream may begin earlier than requested.
         bool isRepeated = id && m_lastId && *id <= *m_lastId;
         if (isRepeated)
             continue;
--- a/Source/RouteServing/Gateway/SseFramer.h
+++ b/Source/RouteServing/Gateway/SseFramer.h
@@ -8,18 +8,19 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Cuts the bytes of an event stream at the ends of its events, without changing a byte, so that a stream that breaks
-// off is passed on up to its last whole event and can be taken up after it.
+// Splits the bytes of a server-sent event stream at the ends of its events without changing a byte, so that a stream
+// that breaks off is relayed up to its last whole event and can be resumed after it. Unlike the parser of class serving
+// (ClassServing/Upstream/SseParser.h) it does not decode the events.
 class SseFramer {
 public:
     void feed(std::string_view bytes) { m_buffer += bytes; }
 
-    // All whole events that are there and are newer than the last one taken; empty when there are none.
+    // All whole events that are buffered and newer than the last one taken; empty when there are none.
     std::string takeEvents();
-    // What is left behind the last whole event.
+    // The bytes after the last whole event.
     std::string takeRemainder();
 
-    // The upstream broke off: what it sent of an event that did not end is forgotten.
+    // The upstream broke off: the bytes of the event that it did not finish are discarded.
     void discardPartialEvent() { m_buffer.clear(); }
 
     // Id of the last event taken; none before the first one.
--- a/Source/RouteServing/Gateway/StreamTimes.h
+++ b/Source/RouteServing/Gateway/StreamTimes.h
@@ -7,31 +7,31 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// When the events of one stream came: for the line that a request ends with.
+// When the events of one stream arrived, for the log line at the end of its request. Not safe for several threads.
 class StreamTimes {
 public:
-    explicit StreamTimes(Common::TimePoint arrived)
-        : m_arrived(arrived)
+    explicit StreamTimes(Common::TimePoint requestArrived)
+        : m_requestArrived(requestArrived)
     {
     }
 
-    // One read brought whole events.
+    // One read returned whole events.
     void recordEvents(Common::TimePoint now)
     {
         if (m_hasEvents)
             m_longestPause = std::max(m_longestPause, Common::toMilliseconds(now - m_last));
         else
-            m_firstEvent = Common::toMilliseconds(now - m_arrived);
+            m_firstEvent = Common::toMilliseconds(now - m_requestArrived);
         m_hasEvents = true;
         m_last = now;
     }
 
     bool hasEvents() const { return m_hasEvents; }
     Common::Milliseconds firstEvent() const { return m_firstEvent; } // After the request's arrival.
-    Common::Milliseconds longestPause() const { return m_longestPause; } // Between two reads that brought events.
+    Common::Milliseconds longestPause() const { return m_longestPause; } // Between two reads that returned events.
 
 private:
-    Common::TimePoint m_arrived;
+    Common::TimePoint m_requestArrived;
     Common::TimePoint m_last {};
     bool m_hasEvents { false };
     Common::Milliseconds m_firstEvent { 0 };
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -1,85 +1,84 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "RouteServing/Gateway/UpstreamAttempt.h"
 
-namespace Brassladder::RouteServing::Gateway {
+#include "Common/HttpStatus.h"
 
-using Routing::Fate;
-using Routing::TryOutcome;
+namespace Brassladder::RouteServing::Gateway {
 
-static constexpr unsigned firstServerFailure = 500;
-static constexpr unsigned firstFailure = 400;
+using Routing::AttemptOutcome;
 
 UpstreamAttempt::UpstreamAttempt(
-    const HeaderScheme& headerScheme, Routing::UpstreamRegistry& registry, Routing::UpstreamRegistry::Placement choice)
-    : m_headers(headerScheme)
+    const HeaderScheme& headers, Routing::UpstreamRegistry& registry, Routing::UpstreamRegistry::Placement placement)
+    : m_headers(headers)
     , m_registry(registry)
-    , m_choice(std::move(choice))
+    , m_placement(std::move(placement))
 {
-    m_registry.recordStart(m_choice);
+    m_registry.recordStart(m_placement);
 }
 
-UpstreamAttempt::~UpstreamAttempt() { m_registry.recordEnd(m_choice, m_prefillDone, m_outcome, Common::now()); }
+UpstreamAttempt::~UpstreamAttempt() { m_registry.recordEnd(m_placement, m_isPrefillDone, m_outcome, Common::now()); }
 
-bool UpstreamAttempt::connect(const Terms& terms)
+bool UpstreamAttempt::connect(const Options& options)
 {
-    m_connection = Common::HttpConnectionPool::here().acquireIdle(m_choice.upstream.endpoint, terms.maxIdleTime);
+    const auto& endpoint = m_placement.upstream.endpoint;
+    m_connection = Common::HttpConnectionPool::here().acquireIdle(endpoint, options.maxIdleTime);
     if (m_connection)
         return true;
     m_connection = std::make_unique<Common::HttpConnection>();
-    auto status = m_connection->connect(m_choice.upstream.endpoint, terms.connectTimeout);
+    auto status = m_connection->connect(endpoint, options.connectTimeout);
     if (!isError(status))
         return true;
     m_problem = errorOf(status).message;
-    if (!m_cancelled)
-        m_outcome = TryOutcome::Unreachable;
+    if (!m_isCancelled)
+        m_outcome = AttemptOutcome::ConnectFailed;
     return false;
 }
 
-Fate UpstreamAttempt::start(const Common::HttpClientRequest& call, const Terms& terms)
+AttemptOutcome UpstreamAttempt::start(const Common::HttpClientRequest& request, const Options& options)
 {
-    if (!connect(terms) || m_cancelled)
-        return Fate::NotSent;
-    auto answer = m_connection->start(call);
-    if (isError(answer))
-        return broken(errorOf(answer).message);
-    m_head = std::move(valueOf(answer));
-    return checkResponseHead(terms.requestId);
+    if (!connect(options) || m_isCancelled)
+        return m_outcome;
+    auto response = m_connection->start(request);
+    if (isError(response))
+        return breakOff(errorOf(response).message);
+    m_response = std::move(valueOf(response));
+    m_outcome = checkResponseHead(options.requestId);
+    return m_outcome;
 }
 
-Fate UpstreamAttempt::checkResponseHead(std::string_view requestId)
+// A surplus response of an earlier request, or one of a faulty upstream, must not reach the caller.
+AttemptOutcome UpstreamAttempt::checkResponseHead(std::string_view requestId)
 {
-    if (auto load = m_headers.upstream.load(m_head))
-        m_registry.recordReport(m_choice.upstream.id, *load, Common::now());
-    auto answeredId = m_head.header(m_headers.caller.requestIdHeader);
-    if (!answeredId.empty() && answeredId != requestId)
-        return broken("the answer belongs to another request");
-    if (m_headers.upstream.isNotExecuted(m_head)) {
-        m_outcome = TryOutcome::Refused;
-        m_problem = "refused with status " + std::to_string(m_head.status);
-        return Fate::Refused;
+    if (auto load = m_headers.upstream.load(m_response))
+        m_registry.recordReport(m_placement.upstream.id, *load, Common::now());
+    auto respondedId = m_response.header(m_headers.caller.requestIdHeader);
+    if (!respondedId.empty() && respondedId != requestId)
+        return breakOff("the response belongs to another request");
+    if (m_headers.upstream.isNotExecuted(m_response)) {
+        m_problem = "refused with status " + std::to_string(m_response.status);
+        return AttemptOutcome::NotExecuted;
     }
-    bool isFailure = m_head.status >= firstFailure;
-    if (answeredId.empty())
-        return broken("the answer names no request");
-    if (!isFailure && m_head.header(m_headers.upstream.executionProofHeader).empty())
-        return broken("the answer lacks its proof");
-    m_outcome = m_head.status >= firstServerFailure ? TryOutcome::Failed : TryOutcome::Answered;
-    return Fate::Ran;
+    if (respondedId.empty())
+        return breakOff("response has no request id (" + m_headers.caller.requestIdHeader + ")");
+    bool isSuccess = m_response.status < Common::firstClientError;
+    if (isSuccess && m_response.header(m_headers.upstream.executionProofHeader).empty())
+        return breakOff("response has no proof-of-execution header (" + m_headers.upstream.executionProofHeader + ")");
+    return m_response.status >= Common::firstServerError ? AttemptOutcome::ServerError : AttemptOutcome::Answered;
 }
 
-Fate UpstreamAttempt::broken(std::string problem)
+AttemptOutcome UpstreamAttempt::breakOff(std::string problem)
 {
     m_problem = std::move(problem);
-    m_outcome = m_cancelled ? TryOutcome::Withdrawn : TryOutcome::Broken;
+    m_outcome = m_isCancelled ? AttemptOutcome::CancelledAfterSending : AttemptOutcome::BrokenOff;
     m_connection->close();
-    return Fate::MaybeRan;
+    return m_outcome;
 }
 
 Common::Result<std::string_view> UpstreamAttempt::readPiece()
 {
     auto piece = m_connection->readPiece();
     if (isError(piece))
-        broken(errorOf(piece).message);
+        breakOff(errorOf(piece).message);
     return piece;
 }
 
@@ -87,26 +86,26 @@
 {
     auto body = m_connection->readRest(limit);
     if (isError(body))
-        broken(errorOf(body).message);
+        breakOff(errorOf(body).message);
     return body;
 }
 
 void UpstreamAttempt::recordPrefillDone()
 {
-    if (m_prefillDone)
+    if (m_isPrefillDone)
         return;
-    m_prefillDone = true;
-    m_registry.prefillDone(m_choice);
+    m_isPrefillDone = true;
+    m_registry.recordPrefillDone(m_placement);
 }
 
-void UpstreamAttempt::finish()
+void UpstreamAttempt::releaseConnection()
 {
-    Common::HttpConnectionPool::here().release(m_choice.upstream.endpoint, std::move(m_connection));
+    Common::HttpConnectionPool::here().release(m_placement.upstream.endpoint, std::move(m_connection));
 }
 
 void UpstreamAttempt::cancel()
 {
-    m_cancelled = true;
+    m_isCancelled = true;
     if (m_connection)
         m_connection->close();
 }
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -3,7 +3,7 @@
 
 #include "Common/HttpClient.h"
 #include "RouteServing/Gateway/HeaderScheme.h"
-#include "RouteServing/Routing/Fate.h"
+#include "RouteServing/Routing/AttemptOutcome.h"
 #include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <memory>
@@ -11,14 +11,15 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// One try of a request at one upstream: connects, sends, checks that the answer belongs to the request, and tells the
-// board how it went. Belongs to one fiber; `cancel` may be called by another one of the same thread.
+// One attempt to serve a request at one upstream: connects, sends, checks that the response belongs to the request, and
+// records load and outcome in the registry for as long as it lives. Belongs to one fiber; `cancel` may be called by
+// another one of the same thread.
 class UpstreamAttempt {
 public:
-    struct Terms {
+    struct Options {
         std::string_view requestId;
         Common::Milliseconds connectTimeout { 200 };
-        Common::Milliseconds maxIdleTime { 1000 }; // Of a kept connection that may carry the request.
+        Common::Milliseconds maxIdleTime { 1000 }; // Of an idle connection that may carry the request.
     };
 
     UpstreamAttempt(const HeaderScheme&, Routing::UpstreamRegistry&, Routing::UpstreamRegistry::Placement);
@@ -26,36 +27,40 @@
     UpstreamAttempt(const UpstreamAttempt&) = delete;
     UpstreamAttempt& operator=(const UpstreamAttempt&) = delete;
 
-    // Sends the request and reads the head of the answer. `Ran`: `head` is the answer to this very request.
-    Routing::Fate start(const Common::HttpClientRequest&, const Terms&);
-    const Common::HttpClientResponse& head() const { return m_head; }
+    // Sends the request and reads the response head. With `Answered` and `ServerError`, `response` is the head of the
+    // response to this very request, and its body can be read.
+    Routing::AttemptOutcome start(const Common::HttpClientRequest&, const Options&);
+    Routing::AttemptOutcome outcome() const { return m_outcome; }
+    const Common::HttpClientResponse& response() const { return m_response; }
+    // What went wrong, for logs and error messages.
     const std::string& problem() const { return m_problem; }
-    const Routing::UpstreamRecord& upstream() const { return m_choice.upstream; }
+    const Routing::UpstreamRecord& upstream() const { return m_placement.upstream; }
 
-    // The next piece of the body; empty at its end. An error when the answer broke off.
+    // The next piece of the body; empty at its end. An error, and the outcome BrokenOff, when it ended early.
     Common::Result<std::string_view> readPiece();
+    // The whole body, up to `limit` bytes; errors as above.
     Common::Result<std::string> readBody(size_t limit);
-    // The engine has read the prompt.
+    // The first event is here, so the engine's prefill is done.
     void recordPrefillDone();
-    // The whole answer is here: the connection is kept for others.
-    void finish();
+    // The whole response was read: the connection becomes idle and may be used again.
+    void releaseConnection();
 
     void cancel();
 
 private:
-    bool connect(const Terms&);
-    Routing::Fate checkResponseHead(std::string_view requestId);
-    Routing::Fate broken(std::string problem);
+    bool connect(const Options&);
+    Routing::AttemptOutcome checkResponseHead(std::string_view requestId);
+    Routing::AttemptOutcome breakOff(std::string problem);
 
     const HeaderScheme& m_headers;
     Routing::UpstreamRegistry& m_registry;
-    Routing::UpstreamRegistry::Placement m_choice;
+    Routing::UpstreamRegistry::Placement m_placement;
     std::unique_ptr<Common::HttpConnection> m_connection;
-    Common::HttpClientResponse m_head;
+    Common::HttpClientResponse m_response;
     std::string m_problem;
-    Routing::TryOutcome m_outcome { Routing::TryOutcome::Withdrawn };
-    bool m_prefillDone { false };
-    bool m_cancelled { false };
+    Routing::AttemptOutcome m_outcome { Routing::AttemptOutcome::CancelledBeforeSending };
+    bool m_isPrefillDone { false };
+    bool m_isCancelled { false };
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- /dev/null
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -0,0 +1,69 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Routing/Admission.h"
+
+#include <algorithm>
+
+namespace Brassladder::RouteServing::Routing {
+
+using Common::ErrorKind;
+
+static std::string_view withoutPort(std::string_view host) { return host.substr(0, host.find(':')); }
+
+Admission admit(const RouterState& state, const RequestTarget& target)
+{
+    Admission admission;
+    if (state.isStopping) {
+        admission.refusal = Refusal { ErrorKind::Draining, "this instance is stopping" };
+        return admission;
+    }
+    if (!state.table || !state.knowsUpstreams) {
+        admission.refusal = Refusal { ErrorKind::NotReady, "no configuration yet" };
+        return admission;
+    }
+    admission.route = state.table->find(withoutPort(target.host), target.path);
+    if (!admission.route) {
+        admission.refusal = Refusal { ErrorKind::UnknownRoute, "no route for this host and path" };
+        return admission;
+    }
+    if (admission.route->anonymous || !state.table->requiresKeys())
+        return admission;
+    if (!state.keysAreConfirmed) {
+        admission.refusal = Refusal { ErrorKind::PlatformUnavailable, "keys were not confirmed recently" };
+        return admission;
+    }
+    admission.workspace = state.table->workspaceOfKey(target.key);
+    if (!admission.workspace)
+        admission.refusal = Refusal { ErrorKind::Unauthenticated, "unknown key" };
+    return admission;
+}
+
+bool mayUseKey(const RouteTable& table, const Route& route, bool keysAreConfirmed)
+{
+    return route.anonymous || !table.requiresKeys() || keysAreConfirmed;
+}
+
+Common::Milliseconds requestTimeout(const Route& route, std::optional<Common::Milliseconds> callerTimeout)
+{
+    return callerTimeout ? std::min(route.timeout, *callerTimeout) : route.timeout;
+}
+
+std::string_view pickService(const Route& route, uint64_t random)
+{
+    const auto& shares = route.shares;
+    if (shares.empty())
+        return {};
+    uint64_t total = 0;
+    for (const auto& share : shares)
+        total += share.weight;
+    if (!total)
+        return shares.front().service;
+    auto drawn = random % total;
+    for (const auto& share : shares) {
+        if (drawn < share.weight)
+            return share.service;
+        drawn -= share.weight;
+    }
+    return shares.back().service;
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/RouteServing/Routing/Admission.h
@@ -0,0 +1,54 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Common/Clock.h"
+#include "Common/Error.h"
+#include "RouteServing/Routing/RouteTable.h"
+
+#include <optional>
+#include <string>
+#include <string_view>
+
+// Whether a request is admitted, and until when it may be held. Pure: the caller passes in what it knows.
+namespace Brassladder::RouteServing::Routing {
+
+// A final response of the router's own.
+struct Refusal {
+    Common::ErrorKind kind { Common::ErrorKind::Internal };
+    std::string reason; // For people; the kind is the contract.
+};
+
+// What the router knows at the moment when the request arrives.
+struct RouterState {
+    bool isStopping { false }; // Late in a planned stop: nothing new is begun.
+    const RouteTable* table { nullptr }; // Null until a configuration is known.
+    bool knowsUpstreams { false };
+    bool keysAreConfirmed { false }; // The lease of FreshnessLease.h holds.
+};
+
+struct RequestTarget {
+    std::string_view host; // As in the `Host` header; a port is ignored.
+    std::string_view path; // Without the query.
+    std::string_view key; // Empty when the request shows none.
+};
+
+struct Admission {
+    const Route* route { nullptr }; // Also set when the key is what was refused.
+    const Workspace* workspace { nullptr }; // Null on anonymous routes and without workspaces.
+    std::optional<Refusal> refusal; // None: the request is admitted.
+};
+
+// Checks, in this order: planned stop, configuration known, route, lease on the keys, key.
+Admission admit(const RouterState&, const RequestTarget&);
+
+// Whether requests on this route may be sent now. A key may be withdrawn at any time, so it is used only while the
+// lease holds; routes that need no key are not affected.
+bool mayUseKey(const RouteTable&, const Route&, bool keysAreConfirmed);
+
+// How long a request may be held: the route's timeout, or less when its caller waits for less.
+Common::Milliseconds requestTimeout(const Route&, std::optional<Common::Milliseconds> callerTimeout);
+
+// The service that a request goes to, by the weights of the route's shares. `random`: any evenly distributed number.
+std::string_view pickService(const Route&, uint64_t random);
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -11,28 +11,37 @@
 
 using namespace std::chrono_literals;
 
-// A token that is written takes an engine about as long as ten that are read: it needs a step of its own.
-static constexpr uint64_t readTokensPerWrittenToken = 10;
-// Writers use an engine up to this share of its batch before they go to the next.
-static constexpr double writerShareOfBatch = 0.5;
-// Before writers go to more than half of the engines, where readers are, they fill theirs up to this share: a fuller
-// batch writes a little slower, a prompt that is read beside it stops it for several of its steps.
-static constexpr double fullWriterShareOfBatch = 0.9;
-// Engines are kept for so many times the writers that are known: for those that begin before the word is told on.
-static constexpr double writerHeadroom = 1.25;
-// For so long after the last writer, readers leave its engine alone.
-static constexpr Common::Milliseconds writerMemory = 3000ms;
-// What one running request costs a new prompt, in prompt tokens: it lengthens each step of the batch a little.
-static constexpr double runningTokens = 30;
-// A shared part that is read anew costs so many times its tokens: it holds up all that is read there after it, and
-// takes the place of another kept part.
-static constexpr double rereadFactor = 10;
-// A suspicious engine is taken as if so many times the cost awaited there.
-static constexpr double suspicionFactor = 5;
+// A decoded token costs an engine about as much as this many prefilled ones: it needs a step of its own. Chosen, not
+// measured.
+static constexpr uint64_t prefillTokensPerDecodedToken = 10;
+// Decode-heavy generations use an engine up to this share of its batch before they go to the next one. Chosen, not
+// measured on its own; keeping the two kinds apart took cantabrica-brass scale-1 from a worth of 0.680 to 0.868
+// (docs/MEASUREMENTS.md).
+static constexpr double decodeShareOfBatch = 0.5;
+// They fill their own half of the engines up to this share before they use the engines of prefill-heavy generations: a
+// fuller batch decodes a little slower, while a prefill beside it stops it for several steps. Half at all times left
+// 1,250 long responses late on Cantabrica's grown scale-2, three quarters at all times broke TIER there
+// (docs/DESIGN.md, trials).
+static constexpr double fullDecodeShareOfBatch = 0.9;
+// Engines are reserved for this many times the known decode-heavy generations, because new ones begin before reports of
+// them arrive. Chosen, not measured.
+static constexpr double decodeHeadroom = 1.25;
+// Engines stay reserved this long after they were last needed, so that they are not filled with prompts in a short
+// lull. Chosen, not measured.
+static constexpr Common::Milliseconds decodeEnginesMemory = 3000ms;
+// What one running request costs a new prompt, in prefill tokens: it lengthens each step of the batch a little. Chosen,
+// not measured.
+static constexpr double prefillTokensPerRunning = 30;
+// A shared prefix that is prefilled again costs this many times its tokens: it delays the prefills behind it and evicts
+// another cached prefix. Measured on the grown scale-1: worth 0.667 with 4, 0.789 with 10, 0.802 with 30
+// (docs/DESIGN.md, trials).
+static constexpr double repeatedPrefillFactor = 10;
+// The cost at an outlier is multiplied by this. Chosen, not measured.
+static constexpr double outlierCostFactor = 5;
 
 bool EnginePlacement::isDecodeHeavy(const Prompt& prompt)
 {
-    return prompt.maxOutputTokens * readTokensPerWrittenToken >= prompt.tokens;
+    return prompt.maxOutputTokens * prefillTokensPerDecodedToken >= prompt.tokens;
 }
 
 static std::vector<size_t> fixedOrder(std::span<const EngineState> engines)
@@ -46,11 +55,11 @@
     return order;
 }
 
-// Two by chance, and the one with less to do: what routers know of each other is a moment old, and all would otherwise
-// choose the same engine in that moment.
-static size_t pickWriterEngine(std::span<const EngineState> engines, std::span<const size_t> first)
+// Power of two choices: load reports lag by up to one exchange interval, so always picking the least loaded engine
+// would make all routers pick the same one.
+static size_t pickDecodeEngine(std::span<const EngineState> engines, std::span<const size_t> reserved)
 {
-    auto draw = [&] { return first[Common::randomNumber() % first.size()]; };
+    auto draw = [&] { return reserved[Common::randomNumber() % reserved.size()]; };
     size_t a = draw();
     size_t b = draw();
     if (engines[a].isOutlier != engines[b].isOutlier)
@@ -58,79 +67,96 @@
     return engines[a].running <= engines[b].running ? a : b;
 }
 
+// The engine that should have the prompt's shared prefix cached, by rendezvous hashing; none without a shared prefix.
+static std::optional<size_t> cacheHome(
+    const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> offered)
+{
+    const auto* prefix = prompt.sharedPrefix();
+    if (!prefix)
+        return std::nullopt;
+    std::optional<size_t> home;
+    uint64_t homeScore = 0;
+    for (size_t index : offered) {
+        auto score = Common::stableHash(engines[index].id, prefix->id);
+        if (!home || score > homeScore) {
+            home = index;
+            homeScore = score;
+        }
+    }
+    return home;
+}
+
+// The engine with the lowest cost, in prefill tokens until the new prompt is done.
+static EnginePlacementResult pickPrefillEngine(
+    const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> offered)
+{
+    auto home = cacheHome(prompt, engines, offered);
+    double shared = std::min(prompt.tokens, prompt.sharedTokens());
+    EnginePlacementResult best;
+    double bestCost = std::numeric_limits<double>::max();
+    for (size_t index : offered) {
+        const auto& engine = engines[index];
+        bool isCached = index == home;
+        double prefill = prompt.tokens - (isCached ? shared : 0);
+        double repeated = isCached ? 0 : shared;
+        double cost = prefill + repeated * (repeatedPrefillFactor - 1) + engine.prefillTokens
+            + prefillTokensPerRunning * engine.running;
+        if (engine.isOutlier)
+            cost *= outlierCostFactor;
+        if (cost < bestCost) {
+            best = { index, static_cast<uint64_t>(prefill), static_cast<uint64_t>(engine.prefillTokens) };
+            bestCost = cost;
+        }
+    }
+    return best;
+}
+
 std::optional<EnginePlacementResult> EnginePlacement::place(
     const Prompt& prompt, std::span<const EngineState> engines, unsigned batch, Common::TimePoint now)
 {
     if (engines.empty())
         return std::nullopt;
     auto order = fixedOrder(engines);
+    auto needed = updateDecodeEngines(engines, batch, now);
     if (isDecodeHeavy(prompt)) {
-        auto kept = std::max<size_t>(1, writerEngines(engines, batch, now));
-        // The one that is on its way is counted from now on.
-        m_writerEngines = std::max(m_writerEngines, kept);
-        m_writerEnginesAt = now;
-        auto index = pickWriterEngine(engines, std::span(order).first(kept));
+        auto reserved = std::max<size_t>(1, needed);
+        // This generation counts from now on.
+        m_decodeEngines = std::max(m_decodeEngines, reserved);
+        m_decodeEnginesAt = now;
+        auto index = pickDecodeEngine(engines, std::span(order).first(reserved));
         return EnginePlacementResult { index, prompt.tokens, static_cast<uint64_t>(engines[index].prefillTokens) };
     }
-    // Readers always have at least half of the engines.
-    auto kept = std::min(writerEngines(engines, batch, now), engines.size() / 2);
-    return pickReaderEngine(prompt, engines, std::span(order).subspan(kept));
+    // Prefill-heavy generations always have at least half of the engines.
+    auto reserved = std::min(needed, engines.size() / 2);
+    return pickPrefillEngine(prompt, engines, std::span(order).subspan(reserved));
 }
 
-// How many engines the writers of all routers need, the most of the last seconds: an engine that they have just left is
-// not filled with prompts at once.
-size_t EnginePlacement::writerEngines(std::span<const EngineState> engines, unsigned batch, Common::TimePoint now)
+// How many engines decode-heavy generations need now: half batches on up to half of the engines, then nearly full ones
+// before any engine beyond that half.
+static size_t decodeEnginesNeeded(std::span<const EngineState> engines, unsigned batch)
 {
-    double writers = 0;
+    double decodeHeavy = 0;
     for (const auto& engine : engines)
-        writers += engine.writers;
+        decodeHeavy += engine.decodeHeavy;
+    if (decodeHeavy <= 0)
+        return 0;
     auto enginesAt = [&](double share) {
-        return 1 + static_cast<size_t>(writers * writerHeadroom / std::max(1.0, batch * share));
+        return 1 + static_cast<size_t>(decodeHeavy * decodeHeadroom / std::max(1.0, batch * share));
     };
-    size_t needed = 0;
-    if (writers > 0)
-        needed
-            = std::max(std::min(enginesAt(writerShareOfBatch), engines.size() / 2), enginesAt(fullWriterShareOfBatch));
-    needed = std::min(needed, engines.size());
-    bool isForgotten = now - m_writerEnginesAt >= writerMemory;
-    if (needed >= m_writerEngines || isForgotten) {
-        m_writerEngines = needed;
-        m_writerEnginesAt = now;
-    }
-    return std::min(m_writerEngines, engines.size());
+    auto withinHalf = std::min(enginesAt(decodeShareOfBatch), engines.size() / 2);
+    return std::min(std::max(withinHalf, enginesAt(fullDecodeShareOfBatch)), engines.size());
 }
 
-EnginePlacementResult EnginePlacement::pickReaderEngine(
-    const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> others) const
+// The most that was needed within the last seconds.
+size_t EnginePlacement::updateDecodeEngines(std::span<const EngineState> engines, unsigned batch, Common::TimePoint now)
 {
-    const auto* subject = prompt.subject();
-    size_t home = engines.size();
-    uint64_t homeScore = 0;
-    for (size_t index : others) {
-        if (!subject)
-            break;
-        auto score = Common::stableHash(engines[index].id, subject->id);
-        if (home == engines.size() || score > homeScore) {
-            home = index;
-            homeScore = score;
-        }
+    auto needed = decodeEnginesNeeded(engines, batch);
+    bool isForgotten = now - m_decodeEnginesAt >= decodeEnginesMemory;
+    if (needed >= m_decodeEngines || isForgotten) {
+        m_decodeEngines = needed;
+        m_decodeEnginesAt = now;
     }
-    EnginePlacementResult best;
-    double bestCost = std::numeric_limits<double>::max();
-    for (size_t index : others) {
-        const auto& engine = engines[index];
-        uint32_t cached = index == home ? std::min(prompt.tokens, prompt.sharedTokens()) : 0;
-        double unread = prompt.tokens - cached;
-        double reread = index == home ? 0 : std::min(prompt.tokens, prompt.sharedTokens());
-        double cost = unread + reread * (rereadFactor - 1) + engine.prefillTokens + runningTokens * engine.running;
-        if (engine.isOutlier)
-            cost *= suspicionFactor;
-        if (cost < bestCost) {
-            best = { index, static_cast<uint64_t>(unread), static_cast<uint64_t>(engine.prefillTokens) };
-            bestCost = cost;
-        }
-    }
-    return best;
+    return std::min(m_decodeEngines, engines.size());
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/FreshnessLease.h
+++ b/Source/RouteServing/Routing/FreshnessLease.h
@@ -7,19 +7,23 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Says whether the configuration in force was confirmed recently enough to serve requests that show a key. A key may be
-// withdrawn at any moment, so a router that cannot read the configuration must stop using keys within a bound.
+// Whether the configuration in force was confirmed recently enough to serve requests that show a key. A key may be
+// withdrawn at any time, so a router that cannot read the configuration must stop using keys within a bound.
 //
-// The lease runs from the *start* of the last successful reading: what was accepted before that moment is in force. It
-// is measured on the monotonic clock, which goes on while the process is stopped. Safe to use from several threads.
+// The lease runs from the *start* of the last successful read: what was accepted before that moment is in force. It is
+// measured on the monotonic clock, which goes on while the process is stopped. Safe to use from several threads.
 class FreshnessLease {
 public:
-    // `bound`: how old the last confirmation may be. Zero: the lease never lapses.
-    explicit FreshnessLease(Common::Milliseconds bound)
-        : m_bound(bound)
+    // `duration`: how old the last confirmation may be. Zero: the lease never expires.
+    explicit FreshnessLease(Common::Milliseconds duration)
+        : m_duration(duration)
     {
     }
 
+    // The lease for a bound after which a withdrawn key must not be used: it expires earlier by 5%, for the time that a
+    // request takes from the check to the upstream. The margin was chosen, not measured.
+    static Common::Milliseconds durationWithin(Common::Milliseconds bound) { return bound - bound / marginDivisor; }
+
     void confirm(Common::TimePoint readingStarted)
     {
         auto ticks = readingStarted.time_since_epoch().count();
@@ -27,7 +31,8 @@
         while (ticks > known && !m_confirmed.compare_exchange_weak(known, ticks, std::memory_order_relaxed)) { }
     }
 
-    bool isFresh(Common::TimePoint now) const { return m_bound.count() == 0 || now < confirmed() + m_bound; }
+    bool isFresh(Common::TimePoint now) const { return m_duration.count() == 0 || now < confirmed() + m_duration; }
+    // Since the last confirmation; as old as the clock when there was none.
     Common::Milliseconds age(Common::TimePoint now) const { return Common::toMilliseconds(now - confirmed()); }
 
 private:
@@ -36,7 +41,9 @@
         return Common::TimePoint(Common::Duration(m_confirmed.load(std::memory_order_relaxed)));
     }
 
-    Common::Milliseconds m_bound;
+    static constexpr int marginDivisor = 20;
+
+    Common::Milliseconds m_duration;
     std::atomic<Common::Duration::rep> m_confirmed { 0 };
 };
 
--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -8,9 +8,11 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Fewer routers than this are all hubs: one hub alone would leave nobody to take over at once.
+// Fewer routers than this are all hubs: a single hub would leave nobody to take over at once. Chosen, not measured.
 static constexpr size_t minRoutersWithHubs = 4;
-// One may be lost and another one cut off from the store, and there is still one to ask.
+// One may be lost and another one cut off from the store, and one is still there. Measured on the grown quiet-1: the
+// price of calls to the store was 0.125 with every router as reader, 0.030 with all nine hubs, 0.018 with three
+// (docs/DESIGN.md).
 static constexpr size_t maxStoreReaders = 3;
 
 size_t HubRanking::hubCount(size_t routers)
@@ -22,10 +24,10 @@
 
 size_t HubRanking::storeReaderCount(size_t routers) { return std::min(hubCount(routers), maxStoreReaders); }
 
-// One of a few, spread over them by a hash of the one that asks.
-static std::string pickSource(std::span<const std::string> from, std::string_view asker)
+// One of a few, spread over them by rendezvous hashing.
+static std::string pickSource(std::span<const std::string> from, std::string_view requester)
 {
-    auto seed = Common::stableHash(asker);
+    auto seed = Common::stableHash(requester);
     return *std::max_element(from.begin(), from.end(),
         [&](const auto& a, const auto& b) { return Common::stableHash(a, seed) < Common::stableHash(b, seed); });
 }
--- a/Source/RouteServing/Routing/LoadSums.cpp
+++ b/Source/RouteServing/Routing/LoadSums.cpp
@@ -3,35 +3,25 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-void addLoads(LoadsByUpstream& sum, const LoadsByUpstream& more)
+void LoadSums::record(const std::string& sender, LoadsByUpstream loads, unsigned routers, Common::TimePoint now)
 {
-    for (const auto& [upstream, load] : more) {
-        auto& total = sum[upstream];
-        total.requests += load.requests;
-        total.writers += load.writers;
-        total.prefillTokens += load.prefillTokens;
-    }
-}
-
-void LoadSums::record(const std::string& router, LoadsByUpstream loads, unsigned routers, Common::TimePoint now)
-{
-    m_words.insert_or_assign(router, Word { std::move(loads), routers, now });
+    m_reports.insert_or_assign(sender, Report { std::move(loads), routers, now });
 }
 
-void LoadSums::forget(std::string_view router)
+void LoadSums::forget(std::string_view sender)
 {
-    if (auto found = m_words.find(router); found != m_words.end())
-        m_words.erase(found);
+    if (auto found = m_reports.find(sender); found != m_reports.end())
+        m_reports.erase(found);
 }
 
-bool LoadSums::isFresh(const Word& word, Common::TimePoint now) const { return now - word.at < m_life; }
+bool LoadSums::isRecent(const Report& report, Common::TimePoint now) const { return now - report.at < m_maxAge; }
 
-LoadsByUpstream LoadSums::sumExcluding(std::string_view router, Common::TimePoint now) const
+LoadsByUpstream LoadSums::sumExcluding(std::string_view excluded, Common::TimePoint now) const
 {
     LoadsByUpstream sum;
-    for (const auto& [teller, word] : m_words) {
-        if (teller != router && isFresh(word, now))
-            addLoads(sum, word.loads);
+    for (const auto& [sender, report] : m_reports) {
+        if (sender != excluded && isRecent(report, now))
+            addLoads(sum, report.loads);
     }
     return sum;
 }
@@ -39,8 +29,8 @@
 unsigned LoadSums::routers(Common::TimePoint now) const
 {
     unsigned count = 0;
-    for (const auto& [teller, word] : m_words)
-        count += isFresh(word, now) ? word.routers : 0;
+    for (const auto& [sender, report] : m_reports)
+        count += isRecent(report, now) ? report.routers : 0;
     return count;
 }
 
--- a/Source/RouteServing/Routing/LoadSums.h
+++ b/Source/RouteServing/Routing/LoadSums.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "RouteServing/Routing/UpstreamRegistry.h"
+#include "RouteServing/Routing/Upstream.h"
 
 #include <map>
 #include <string>
@@ -10,36 +10,33 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Adds up what routers tell of the requests that they have under way. What was told longer than `life` ago is
-// forgotten: its teller may be gone. Not safe for several threads.
+// Sums the newest load reports of other routers. Reports that are older than `maxAge` are ignored: their sender may be
+// gone. Not safe for several threads.
 class LoadSums {
 public:
-    explicit LoadSums(Common::Milliseconds life)
-        : m_life(life)
+    explicit LoadSums(Common::Milliseconds maxAge)
+        : m_maxAge(maxAge)
     {
     }
 
-    // What a router told replaces what it told before. `routers`: for how many it speaks.
-    void record(const std::string& router, LoadsByUpstream, unsigned routers, Common::TimePoint now);
-    void forget(std::string_view router);
-    // The sum over all tellers but one.
-    LoadsByUpstream sumExcluding(std::string_view router, Common::TimePoint now) const;
-    // For how many routers all tellers speak.
+    // Replaces the sender's last report. `routers`: for how many routers the report speaks.
+    void record(const std::string& sender, LoadsByUpstream, unsigned routers, Common::TimePoint now);
+    void forget(std::string_view sender);
+    // The sum over all senders but one.
+    LoadsByUpstream sumExcluding(std::string_view sender, Common::TimePoint now) const;
+    // For how many routers all recent reports speak.
     unsigned routers(Common::TimePoint now) const;
 
 private:
-    struct Word {
+    struct Report {
         LoadsByUpstream loads;
         unsigned routers { 1 };
         Common::TimePoint at {};
     };
-    bool isFresh(const Word&, Common::TimePoint now) const;
+    bool isRecent(const Report&, Common::TimePoint now) const;
 
-    Common::Milliseconds m_life;
-    std::map<std::string, Word, std::less<>> m_words;
+    Common::Milliseconds m_maxAge;
+    std::map<std::string, Report, std::less<>> m_reports; // By sender.
 };
 
-// Adds the second to the first.
-void addLoads(LoadsByUpstream&, const LoadsByUpstream&);
-
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Gateway/OutstandingRequests.cpp
+++ b/Source/RouteServing/Routing/OutstandingRequests.cpp
@@ -1,18 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/OutstandingRequests.h"
+#include "RouteServing/Routing/OutstandingRequests.h"
 
-namespace Brassladder::RouteServing::Gateway {
+namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
 
-// A way there and back takes at most so long, unless the other side is dead or cut off.
+// A round trip between routers takes at most this long unless one of them is dead or cut off. Chosen, not measured:
+// five exchange intervals.
 static constexpr Common::Milliseconds responseTimeout = 500ms;
 
-void OutstandingRequests::setTarget(std::string source, bool asHub)
+void OutstandingRequests::setTarget(std::string target, bool asHub)
 {
-    if (m_source == source && m_asHub == asHub)
+    if (m_target == target && m_asHub == asHub)
         return;
-    m_source = std::move(source);
+    m_target = std::move(target);
     m_asHub = asHub;
     m_sent.clear();
 }
@@ -26,7 +27,7 @@
 std::optional<Common::TimePoint> OutstandingRequests::take(std::string_view from, uint64_t number)
 {
     auto found = m_sent.find(number);
-    if (m_source != from || found == m_sent.end())
+    if (m_target != from || found == m_sent.end())
         return std::nullopt;
     auto sent = found->second;
     m_sent.erase(m_sent.begin(), std::next(found));
@@ -38,7 +39,7 @@
     return !m_sent.empty() && now - m_sent.begin()->second >= responseTimeout;
 }
 
-void LastSentVersion::note(uint64_t version, Common::TimePoint now)
+void LastSentVersion::record(uint64_t version, Common::TimePoint now)
 {
     m_version = version;
     m_at = now;
@@ -49,4 +50,4 @@
     return m_at && m_version == version && now - *m_at < responseTimeout;
 }
 
-} // namespace Brassladder::RouteServing::Gateway
+} // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/RouteServing/Routing/PeerDirectory.h
@@ -0,0 +1,48 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Common/Endpoint.h"
+#include "RouteServing/Routing/HubBackoff.h"
+#include "RouteServing/Routing/HubRanking.h"
+#include "RouteServing/Routing/OutstandingRequests.h"
+
+#include <map>
+#include <string>
+#include <vector>
+
+namespace Brassladder::RouteServing::Routing {
+
+// What a router knows of one other router.
+struct PeerState {
+    Common::Endpoint endpoint;
+    HubBackoff backoff;
+    Common::TimePoint lastRequest {}; // When it last requested a snapshot from this router.
+    LastSentVersion configuration;
+    LastSentVersion upstreams; // The version is the list's digest.
+};
+
+// The other routers of the fleet, and with them this router's role. Not safe for several threads.
+class PeerDirectory {
+public:
+    explicit PeerDirectory(std::string self)
+        : m_self(std::move(self))
+    {
+    }
+
+    // True when the peer is new or has a new address. This router itself is passed over.
+    bool add(const std::string& id, const Common::Endpoint&);
+    // The state of a peer; an entry without an address is made for one that is not known yet.
+    PeerState& state(const std::string& id) { return m_peers[id]; }
+    const std::map<std::string, PeerState>& peers() const { return m_peers; }
+
+    // Which routers are hubs now, and where this router requests snapshots.
+    HubRanking ranking(Common::TimePoint now) const;
+    // Peers that requested a snapshot from this router lately, and so rely on it.
+    std::vector<std::string> subscribers(Common::TimePoint now) const;
+
+private:
+    std::string m_self;
+    std::map<std::string, PeerState> m_peers; // By id.
+};
+
+} // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/RouteServing/Routing/PlainPlacement.cpp
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Routing/PlainPlacement.h"
+
+#include <algorithm>
+#include <limits>
+
+namespace Brassladder::RouteServing::Routing {
+
+// Cost of another failure domain, in full loads of an upstream: bytes between domains are paid for, and the round trip
+// is a good part of a short call. Chosen, not measured.
+static constexpr double otherDomainCost = 0.34;
+// An outlier's cost is multiplied by this, so that it is used only when the others are busy. Chosen, not measured.
+static constexpr double outlierCostFactor = 5.0;
+// Costs vary by up to this share at random: equal costs would otherwise make all routers choose the same upstream.
+// Chosen, not measured.
+static constexpr double jitterShare = 0.02;
+
+static double baseCost(const PlainCandidate& candidate)
+{
+    double cost = (candidate.outstanding + 1) / std::max(1U, candidate.slots);
+    return candidate.isInOwnDomain ? cost : cost + otherDomainCost;
+}
+
+std::optional<size_t> choosePlainUpstream(
+    std::span<const PlainCandidate> candidates, const std::function<double()>& random)
+{
+    double lowestErrorRate = 1;
+    for (const auto& candidate : candidates)
+        lowestErrorRate = std::min(lowestErrorRate, candidate.errorRate);
+    std::optional<size_t> best;
+    double bestCost = std::numeric_limits<double>::max();
+    for (size_t index = 0; index < candidates.size(); ++index) {
+        double cost = baseCost(candidates[index]);
+        if (candidates[index].errorRate - lowestErrorRate > outlierExcess)
+            cost *= outlierCostFactor;
+        cost *= 1 + jitterShare * random();
+        if (cost < bestCost) {
+            best = index;
+            bestCost = cost;
+        }
+    }
+    return best;
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/Prompt.h
+++ b/Source/RouteServing/Routing/Prompt.h
@@ -6,23 +6,23 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// One part of a prompt. Requests share parts; an engine that keeps a part and all parts before it does not read it
-// again.
+// One part of a prompt. Requests share parts; an engine that has a part and all parts before it in its prefix cache
+// does not prefill it again.
 struct PromptPart {
     uint64_t id { 0 };
     uint32_t tokens { 0 };
 };
 
-// What a caller tells of a generation before it runs.
+// What the caller states about a generation before it runs.
 struct Prompt {
     uint32_t tokens { 0 };
     uint32_t maxOutputTokens { 0 };
     std::vector<PromptPart> parts; // In order; the last one belongs to this request alone.
 
     bool isKnown() const { return tokens > 0; }
-    // The last part that others may share: the subject of the request. Null when there is none.
-    const PromptPart* subject() const { return parts.size() < 2 ? nullptr : &parts[parts.size() - 2]; }
-    uint32_t sharedTokens() const;
+    // The longest prefix that other requests may share, by its last part. Null when there is none.
+    const PromptPart* sharedPrefix() const { return parts.size() < 2 ? nullptr : &parts[parts.size() - 2]; }
+    uint32_t sharedTokens() const; // Tokens of all parts but the last.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -0,0 +1,61 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Routing/RetryPolicy.h"
+
+#include <algorithm>
+
+namespace Brassladder::RouteServing::Routing {
+
+using Common::ErrorKind;
+using Common::Ran;
+
+// Connection attempts that may fail in a row for one request before it is given up. A connection that fails costs no
+// upstream any work, so these do not count against the retry budget; several upstreams may have just ended at once.
+// Chosen, not measured.
+static constexpr unsigned maxConnectFailures = 4;
+
+void AttemptHistory::record(AttemptOutcome outcome)
+{
+    bool wasSent = outcome != AttemptOutcome::ConnectFailed && outcome != AttemptOutcome::CancelledBeforeSending;
+    if (wasSent)
+        ++sent;
+    else
+        ++connectFailures;
+    if (ranAfter(outcome) != Ran::No)
+        mayHaveRun = true;
+}
+
+RetryDecision decideRetry(
+    const Route& route, const AttemptHistory& history, AttemptOutcome last, bool hasRelayedEvents, bool isPastDeadline)
+{
+    if (isPastDeadline)
+        return RetryDecision::GiveUp;
+    if (history.mayHaveRun && !route.mayRepeat()) {
+        // A failover is no second run: the same run goes on from its replica. Before the first event there may be no
+        // replica yet, and an engine without one might run the request anew.
+        bool isRunBrokenOff = ranAfter(last) != Ran::No && hasRelayedEvents;
+        return isRunBrokenOff ? RetryDecision::FailOver : RetryDecision::GiveUp;
+    }
+    if (last == AttemptOutcome::ConnectFailed || last == AttemptOutcome::CancelledBeforeSending)
+        return history.connectFailures <= maxConnectFailures ? RetryDecision::Retry : RetryDecision::GiveUp;
+    if (history.sent >= std::max(1U, route.maxAttempts))
+        return RetryDecision::GiveUp;
+    return RetryDecision::RetryWithinBudget;
+}
+
+Refusal refusalAfterFailure(
+    const AttemptHistory& history, AttemptOutcome last, bool isPastDeadline, std::string_view problem)
+{
+    ErrorKind kind = ErrorKind::UpstreamBroken;
+    if (!history.mayHaveRun)
+        kind = last == AttemptOutcome::NotExecuted ? ErrorKind::UpstreamRefused : ErrorKind::NoUpstream;
+    else if (isPastDeadline)
+        kind = ErrorKind::UpstreamTimeout;
+    return { kind, std::string(problem) };
+}
+
+ErrorKind honestKind(ErrorKind kind, bool mayHaveRun)
+{
+    return mayHaveRun && Common::traits(kind).ran == Ran::No ? ErrorKind::UpstreamBroken : kind;
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -3,8 +3,17 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// A part of the fraction is left unused: other routers' windows and ours do not begin at the same moment.
+// The share of the ratio that is used. The rest is slack, because the windows of different routers do not begin at the
+// same moment. Chosen, not measured.
 static constexpr double usedShareOfRatio = 0.9;
+// The share of the fleet's allowance that is used. The rest is slack for routers that have just started and do not know
+// the size of the fleet. Chosen, not measured.
+static constexpr double usedShareOfAllowance = 0.8;
+
+double retryAllowanceShare(double fleetAllowance, size_t routers)
+{
+    return fleetAllowance * usedShareOfAllowance / static_cast<double>(routers);
+}
 
 RetryWindow::RetryWindow(Bounds bounds)
     : m_bounds(bounds)
--- a/Source/RouteServing/Routing/RetryWindow.h
+++ b/Source/RouteServing/Routing/RetryWindow.h
@@ -4,19 +4,26 @@
 #include "Common/Clock.h"
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <mutex>
 
 namespace Brassladder::RouteServing::Routing {
 
-// Bounds the retries that the whole fleet may send to one service: within any sliding window, at most a fraction of the
-// requests for it plus a fixed allowance. Each router keeps to the fraction of its own requests and to its share of the
-// allowance, so that the sum over all routers keeps to the whole without a message between them.
+// Bounds the retries that the whole fleet sends to one service: within any sliding window, at most a ratio of the
+// requests for it plus a fixed allowance. Each router keeps to the ratio of its own requests and to its share of the
+// allowance, so that the sum over all routers keeps to the whole without coordination.
+//
+// Class serving has another limit, ClassServing/Scheduling/RetryBudget.h: a token bucket that saves up unused retries
+// over time. It would not do here, because the operators' rule counts within a window; and a window would not do there,
+// where a pool with few requests still gets a retry each second.
+//
+// Safe to use from several threads.
 class RetryWindow {
 public:
     struct Bounds {
         double ratio { 0.1 }; // Retries for each request.
-        double allowance { 0 }; // Retries beyond that, in one window: this router's share.
+        double allowance { 0 }; // Retries beyond that in one window; this router's share.
         Common::Milliseconds window { 10'000 };
     };
 
@@ -28,7 +35,8 @@
     bool takeRetry(Common::TimePoint now);
 
 private:
-    // The window is cut into slices; one more than fits, so that the oldest is counted whole for retries.
+    // Slices of the window, plus one: the oldest one, partly outside of it, still counts for retries but no longer for
+    // requests, which errs on the safe side. 40 slices keep that error at 2.5%; chosen, not measured.
     static constexpr size_t slices = 41;
     struct Slice {
         int64_t number { -1 };
@@ -44,4 +52,7 @@
     std::array<Slice, slices> m_slices;
 };
 
+// This router's share of the allowance of a fleet of `routers` (at least one).
+double retryAllowanceShare(double fleetAllowance, size_t routers);
+
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -13,10 +13,14 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Whether a request may reach an upstream more than once.
-enum class RouteKind : uint8_t { Repeatable, OnceOnly, Stream };
+// What kind of responses a route has, and whether its requests may run more than once.
+enum class RouteKind : uint8_t {
+    Repeatable, // Idempotent: may run any number of times.
+    OnceOnly, // Runs at most once for each attempt of its caller.
+    Stream, // An event stream. Runs at most once unless the route is resumable.
+};
 
-// One service that a route leads to. Weights of a route's shares need not add up to anything.
+// One service that a route leads to. Weights are relative to their sum.
 struct ServiceShare {
     std::string service;
     uint32_t weight { 1 };
@@ -28,28 +32,25 @@
     std::string pathPrefix; // Begins and ends with a slash.
     RouteKind kind { RouteKind::OnceOnly };
     Common::Milliseconds timeout { 0 }; // The longest time that a request is held.
-    Common::Milliseconds objective { 0 }; // Until the answer, or a stream's first event.
-    std::optional<Common::Milliseconds> pauseTarget; // Between two events of a stream.
+    Common::Milliseconds objective { 0 }; // Wanted time until the response, or a stream's first event.
     unsigned priority { 0 }; // 0 is the most urgent.
     unsigned maxAttempts { 1 }; // Upstreams that one request may be sent to.
     bool anonymous { false }; // Needs no key.
-    bool resumable { false }; // A stream may be taken up after its last event at another upstream.
+    bool resumable { false }; // A stream may be resumed after its last event at another upstream.
     std::vector<ServiceShare> shares;
 
-    // Whether a request whose fate is not known may be sent again.
+    // Whether a request that may have run may be sent again.
     bool mayRepeat() const { return kind == RouteKind::Repeatable || (kind == RouteKind::Stream && resumable); }
 };
 
 // A service whose upstreams are model engines that work in batches.
 struct EngineTraits {
     unsigned batch { 0 }; // Requests at once.
-    uint64_t memoryTokens { 0 }; // Shared by running requests and cached prompt parts.
-    bool replicatesKvCache { false }; // An engine sends a run's memory to another one as it grows.
+    bool replicatesKvCache { false }; // An engine can replicate a run's KV cache to another engine as it grows.
 };
 
 struct Service {
     std::string name;
-    unsigned maxConnections { 0 }; // That one upstream takes from all routers together.
     std::optional<EngineTraits> engine;
 };
 
@@ -58,7 +59,7 @@
     std::optional<unsigned> priority; // Goes before that of the route.
 };
 
-// Bounds on what a caller may send.
+// Bounds on what a caller may send, and on how slowly.
 struct CallerLimits {
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 4 * 1024 * 1024 };
@@ -66,7 +67,8 @@
     Common::Milliseconds idleTimeout { 15'000 };
 };
 
-// One version of the configuration, whole and immutable, indexed for the path of a request.
+// One version of the operators' configuration, immutable, indexed for look-ups by host and path and by key. Safe to use
+// from several threads.
 class RouteTable {
 public:
     class Builder;
@@ -74,17 +76,17 @@
     uint64_t version() const { return m_version; }
     const CallerLimits& limits() const { return m_limits; }
     size_t routeCount() const { return m_routeCount; }
-    // Whether requests have to show a key, but on anonymous routes.
-    bool wantsKeys() const { return !m_workspaces.empty(); }
+    // Whether requests have to show a key, except on anonymous routes.
+    bool requiresKeys() const { return !m_workspaces.empty(); }
 
     // The route of that host with the longest prefix that begins the path; null when there is none.
     const Route* find(std::string_view host, std::string_view path) const;
     const Service* service(std::string_view name) const;
-    // The workspace that holds the key; null when none does.
+    // The workspace that the key belongs to; null when none.
     const Workspace* workspaceOfKey(std::string_view key) const;
 
 private:
-    // Of one host, the longest prefix first.
+    // The routes of one host, longest prefix first.
     using HostRoutes = std::vector<Route>;
 
     uint64_t m_version { 0 };
@@ -93,7 +95,7 @@
     std::map<std::string, HostRoutes, std::less<>> m_hosts;
     std::map<std::string, Service, std::less<>> m_services;
     std::vector<Workspace> m_workspaces;
-    std::unordered_map<std::string, size_t> m_keys;
+    std::unordered_map<std::string, size_t> m_keys; // Index into `m_workspaces`.
 };
 
 class RouteTable::Builder {
--- /dev/null
+++ b/Source/RouteServing/Routing/Upstream.h
@@ -0,0 +1,48 @@
+// SPDX-License-Identifier: Apache-2.0
+#pragma once
+
+#include "Common/Endpoint.h"
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+
+// What is known of an upstream: its entry in the platform's list, what it reports, and what routers have sent to it.
+namespace Brassladder::RouteServing::Routing {
+
+// One start of an upstream, as the platform lists it. Another start has another id, also at the same address.
+struct UpstreamRecord {
+    std::string id;
+    std::string service;
+    Common::Endpoint endpoint;
+    std::string failureDomain;
+    unsigned slots { 1 }; // Requests that it serves at once.
+    bool leaving { false };
+    bool operator==(const UpstreamRecord&) const = default;
+};
+
+// Requests at an upstream, as it reports them itself with a response.
+struct ReportedLoad {
+    unsigned running { 0 };
+    unsigned waiting { 0 };
+    unsigned slots { 0 };
+};
+
+// Requests that routers have outstanding at one upstream.
+struct UpstreamLoad {
+    unsigned requests { 0 };
+    unsigned decodeHeavy { 0 }; // Of those, the generations whose decoding takes longer than their prefill.
+    uint64_t prefillTokens { 0 }; // Prompt tokens, estimated as not cached, of requests without a first event yet.
+};
+
+// Keys of `LoadsByUpstream`: shorter on the wire than the id. Two upstreams with the same hash are each assumed to have
+// the load of both.
+uint32_t shortHash(std::string_view upstreamId);
+
+using LoadsByUpstream = std::unordered_map<uint32_t, UpstreamLoad>; // By the short hash.
+
+// Adds the second to the first.
+void addLoads(LoadsByUpstream&, const LoadsByUpstream&);
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -8,43 +8,50 @@
 
 using namespace std::chrono_literals;
 
-// Two failures in a row tell a fault from a single request's misfortune.
-static constexpr unsigned failuresToLeaveOut = 2;
-static constexpr Common::Milliseconds firstPause = 500ms;
-static constexpr Common::Milliseconds longestPause = 8000ms;
-// The weight of one try in the fading share: about the last seven tries count.
-static constexpr double tryWeight = 0.15;
-// Without tries, half of a bad name is forgotten in this time.
-static constexpr double forgetSeconds = 4.0;
-
-void UpstreamHealth::record(TryOutcome outcome, Common::TimePoint now)
+// All chosen, not measured. A single broken attempt may be bad luck; two in a row are taken for a fault. A connection
+// that cannot be made ejects at once.
+static constexpr unsigned failuresToEject = 2;
+static constexpr Common::Milliseconds initialEjection = 500ms;
+static constexpr Common::Milliseconds maxEjection = 8000ms;
+// Weight of the newest attempt in the error rate: about the last seven attempts count.
+static constexpr double newestAttemptWeight = 0.15;
+// Without attempts, half of the error rate is forgotten in this time.
+static constexpr double errorRateHalfLifeSeconds = 4.0;
+
+void UpstreamHealth::record(AttemptOutcome outcome, Common::TimePoint now)
 {
-    if (outcome == TryOutcome::Withdrawn || outcome == TryOutcome::Refused)
+    bool saysNothing = outcome == AttemptOutcome::CancelledBeforeSending
+        || outcome == AttemptOutcome::CancelledAfterSending || outcome == AttemptOutcome::NotExecuted;
+    if (saysNothing)
         return;
-    bool failed = outcome != TryOutcome::Answered;
-    m_errorRate = errorRate(now) * (1 - tryWeight) + (failed ? tryWeight : 0);
-    m_lastTry = now;
-    bool isFault = outcome == TryOutcome::Broken || outcome == TryOutcome::Unreachable;
-    if (!isFault) {
-        if (!failed) {
-            m_consecutiveFailures = 0;
-            m_pause = 0ms;
-        }
+    bool hasFailed = outcome != AttemptOutcome::Answered;
+    m_errorRate = errorRate(now) * (1 - newestAttemptWeight) + (hasFailed ? newestAttemptWeight : 0);
+    m_lastAttempt = now;
+    if (!hasFailed) {
+        m_consecutiveFailures = 0;
+        m_ejection = 0ms;
         return;
     }
-    // What was sent before it was left out tells nothing new.
+    // A 5xx response counts for the error rate only: the upstream is there and answers.
+    if (outcome == AttemptOutcome::ServerError)
+        return;
+    // Attempts that were under way when it was ejected say nothing new.
     if (isEjected(now))
         return;
     ++m_consecutiveFailures;
-    if (m_consecutiveFailures < failuresToLeaveOut && outcome != TryOutcome::Unreachable)
-        return;
-    m_pause = m_pause.count() ? std::min(longestPause, m_pause * 2) : firstPause;
-    m_ejectedUntil = now + m_pause;
+    if (m_consecutiveFailures >= failuresToEject || outcome == AttemptOutcome::ConnectFailed)
+        eject(now);
+}
+
+void UpstreamHealth::eject(Common::TimePoint now)
+{
+    m_ejection = m_ejection.count() ? std::min(maxEjection, m_ejection * 2) : initialEjection;
+    m_ejectedUntil = now + m_ejection;
 }
 
 double UpstreamHealth::errorRate(Common::TimePoint now) const
 {
-    return m_errorRate * std::exp2(-Common::toSeconds(now - m_lastTry) / forgetSeconds);
+    return m_errorRate * std::exp2(-Common::toSeconds(now - m_lastAttempt) / errorRateHalfLifeSeconds);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamHealth.h
+++ b/Source/RouteServing/Routing/UpstreamHealth.h
@@ -2,35 +2,26 @@
 #pragma once
 
 #include "Common/Clock.h"
-
-#include <cstdint>
+#include "RouteServing/Routing/AttemptOutcome.h"
 
 namespace Brassladder::RouteServing::Routing {
 
-// How a try ended, as far as it tells something of the upstream.
-enum class TryOutcome : uint8_t {
-    Answered,
-    Failed, // Answered with a failure of its own.
-    Broken, // Reset, garbled, or no answer in time.
-    Unreachable, // No connection.
-    Refused, // Not run, and said so.
-    Withdrawn, // The caller left: says nothing.
-};
-
-// Judges one upstream by the outcomes of real requests. After failures in a row it is left out for a time that doubles
-// up to a bound; then it gets a single request as a trial. Not safe for several threads.
+// Outlier ejection: judges one upstream by the outcomes of real requests (no probes). After failures in a row it is
+// ejected for a time that doubles up to a bound; then it gets requests again. Not safe for several threads.
 class UpstreamHealth {
 public:
-    void record(TryOutcome, Common::TimePoint now);
+    void record(AttemptOutcome, Common::TimePoint now);
     bool isEjected(Common::TimePoint now) const { return now < m_ejectedUntil; }
-    // A fading share of the tries that failed, 0 to 1.
+    // Exponentially weighted share of attempts that failed, 0 to 1; decays while there are none.
     double errorRate(Common::TimePoint now) const;
 
 private:
+    void eject(Common::TimePoint now);
+
     unsigned m_consecutiveFailures { 0 };
-    Common::Milliseconds m_pause { 0 };
+    Common::Milliseconds m_ejection { 0 }; // The last one's length; zero after a success.
     Common::TimePoint m_ejectedUntil {};
-    Common::TimePoint m_lastTry {};
+    Common::TimePoint m_lastAttempt {};
     double m_errorRate { 0 };
 };
 
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -2,9 +2,10 @@
 #pragma once
 
 #include "Common/Clock.h"
-#include "Common/Endpoint.h"
 #include "RouteServing/Routing/EnginePlacement.h"
 #include "RouteServing/Routing/Prompt.h"
+#include "RouteServing/Routing/ReplicaPolicy.h"
+#include "RouteServing/Routing/Upstream.h"
 #include "RouteServing/Routing/UpstreamHealth.h"
 
 #include <map>
@@ -13,59 +14,27 @@
 #include <span>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 namespace Brassladder::RouteServing::Routing {
 
-// One start of an upstream, as the platform lists it. Another start has another id, also at the same address.
-struct UpstreamRecord {
-    std::string id;
-    std::string service;
-    Common::Endpoint endpoint;
-    std::string failureDomain;
-    unsigned slots { 1 };
-    bool leaving { false };
-    bool operator==(const UpstreamRecord&) const = default;
-};
-
-// What an upstream says of itself with an answer.
-struct ReportedLoad {
-    unsigned running { 0 };
-    unsigned waiting { 0 };
-    unsigned slots { 0 };
-};
-
-// Requests under way at one upstream.
-struct UpstreamLoad {
-    unsigned requests { 0 };
-    unsigned writers { 0 }; // Of those, the generations that write more than they read.
-    uint64_t prefillTokens { 0 }; // Prompt tokens, thought not to be cached, of requests without a first event yet.
-};
-
-// Shorter to tell than the id. Two upstreams that share one are thought to have the load of both.
-uint32_t shortHash(std::string_view upstreamId);
-
-using LoadsByUpstream = std::unordered_map<uint32_t, UpstreamLoad>; // By the short hash.
-
-// All upstreams that this router knows, what is under way at each, and the choice among them. Safe to use from several
-// threads.
+// All upstreams that this router knows, with their load and health, and the choice of one for a request. Owns the load
+// that this router has outstanding; relies on PlainPlacement and EnginePlacement for the rules of the choice. Safe to
+// use from several threads.
 class UpstreamRegistry {
 public:
     // What a request needs of an upstream.
     struct PlacementRequest {
         std::string_view service;
-        const Prompt* prompt { nullptr }; // Of a generation; null else.
+        const Prompt* prompt { nullptr }; // Of a generation; null for a plain service.
         unsigned batch { 1 }; // Requests that one engine runs at once.
-        std::span<const std::string> attempted; // Ids of upstreams that this request was already sent to.
+        std::span<const std::string> attempted; // Ids of upstreams that had this request before.
     };
     struct Placement {
         UpstreamRecord upstream;
-        uint64_t prefillTokens { 0 }; // What the engine has to read of the prompt, as far as we can tell.
-        bool isDecodeHeavy { false }; // A generation that writes more than it reads.
-        uint64_t queuedPrefillTokens {
-            0
-        }; // Of other prompts that the engine has to read first, as far as we can tell.
+        uint64_t prefillTokens { 0 }; // Estimated tokens of the prompt that the engine has not cached.
+        bool isDecodeHeavy { false };
+        uint64_t queuedPrefillTokens { 0 }; // Estimated tokens of other prompts that the engine prefills first.
     };
 
     explicit UpstreamRegistry(std::string failureDomain)
@@ -73,35 +42,34 @@
     {
     }
 
-    // Takes over the platform's list, whole.
+    // Replaces the list by the platform's, whole. An upstream that was leaving stays leaving, whatever a late list
+    // says.
     void setUpstreams(std::vector<UpstreamRecord>);
-    // An upstream said that it is leaving: it gets nothing new, whatever the list says.
-    void markLeaving(std::string_view id);
     bool isServing(std::string_view id) const;
-    size_t size() const;
 
-    // The upstream where the request is expected to be answered first; none when no upstream may take it.
+    // The upstream that is expected to respond first; none when no upstream may take the request.
     std::optional<Placement> choose(const PlacementRequest&, Common::TimePoint now);
-    // A request is sent to the chosen one.
+
+    // The request is about to be sent to the chosen upstream.
     void recordStart(const Placement&);
-    // The engine has read the prompt: its first event is here.
-    void prefillDone(const Placement&);
-    // `wasRead`: `prefillDone` was called before.
-    void recordEnd(const Placement&, bool wasRead, TryOutcome, Common::TimePoint now);
+    // The first event of a generation arrived: its prefill is done.
+    void recordPrefillDone(const Placement&);
+    // The attempt is over. `hadPrefillDone`: `recordPrefillDone` was called for it.
+    void recordEnd(const Placement&, bool hadPrefillDone, AttemptOutcome, Common::TimePoint now);
     void recordReport(std::string_view id, const ReportedLoad&, Common::TimePoint now);
 
-    // Whether an engine broke off in the middle of an answer lately: copies of runs are worth their price.
-    bool enginesFailMidStream(Common::TimePoint now) const;
+    // Whether an engine broke off in the middle of a response lately: replicas of runs are worth their cost.
+    bool midStreamFailuresAreLikely(Common::TimePoint now) const;
 
-    // What this router has under way: to tell the others.
+    // What this router has outstanding, to report it to other routers.
     LoadsByUpstream ownLoads() const;
-    // What all other routers have under way; replaces what was told before.
+    // What all other routers have outstanding; replaces the loads that were set before.
     void setPeerLoads(LoadsByUpstream);
     LoadsByUpstream peerLoads() const;
 
-    // The list as it was last set, with what upstreams said of themselves.
+    // The list as it was last set, with `leaving` as this router knows it.
     std::vector<UpstreamRecord> upstreams() const;
-    // The same for equal lists.
+    // Equal for equal lists.
     uint64_t digest() const;
 
 private:
@@ -109,27 +77,26 @@
         UpstreamRecord record;
         uint32_t hash { 0 };
         UpstreamLoad own;
-        ReportedLoad recordReport;
+        ReportedLoad reported;
         Common::TimePoint reportedAt {};
         UpstreamHealth health;
     };
+    using Candidates = std::vector<const Entry*>;
 
     Entry* find(std::string_view id);
-    double plainCost(const Entry&, Common::TimePoint now) const;
     double outstanding(const Entry&, Common::TimePoint now) const;
-    std::vector<const Entry*> candidates(const PlacementRequest&, Common::TimePoint now) const;
-    std::optional<Placement> choosePlain(std::span<const Entry* const>, Common::TimePoint now) const;
-    std::optional<Placement> chooseEngine(
-        const PlacementRequest&, std::span<const Entry* const>, Common::TimePoint now);
-    UpstreamLoad loadOfOthersAt(const Entry&) const;
+    Candidates candidates(const PlacementRequest&, Common::TimePoint now) const;
+    std::optional<Placement> choosePlain(const Candidates&, Common::TimePoint now) const;
+    std::optional<Placement> chooseEngine(const PlacementRequest&, const Candidates&, Common::TimePoint now);
+    EngineState engineState(const Entry&, double lowestErrorRate, Common::TimePoint now) const;
+    UpstreamLoad peerLoadOf(const Entry&) const;
 
     std::string m_failureDomain;
     mutable std::mutex m_mutex;
-    std::map<std::string, Entry, std::less<>> m_entries;
+    std::map<std::string, Entry, std::less<>> m_entries; // By id.
     std::map<std::string, EnginePlacement, std::less<>> m_placements; // By service.
     LoadsByUpstream m_peerLoads;
-    std::optional<Common::TimePoint>
-        m_lastMidStreamFailure; // The last time that an engine did in the middle of an answer.
+    MidStreamFailures m_midStreamFailures;
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
@@ -73,17 +73,17 @@
 {
     UpstreamHealth health;
     Common::TimePoint now(1h);
-    health.record(TryOutcome::Broken, now);
+    health.record(AttemptOutcome::BrokenOff, now);
     EXPECT_FALSE(health.isEjected(now)) << "one failure is a single request's misfortune";
-    health.record(TryOutcome::Broken, now);
+    health.record(AttemptOutcome::BrokenOff, now);
     EXPECT_TRUE(health.isEjected(now + 499ms));
     EXPECT_FALSE(health.isEjected(now + 500ms));
     now += 600ms;
-    health.record(TryOutcome::Broken, now);
+    health.record(AttemptOutcome::BrokenOff, now);
     EXPECT_TRUE(health.isEjected(now + 999ms));
     now += 1100ms;
-    health.record(TryOutcome::Answered, now);
-    health.record(TryOutcome::Broken, now);
+    health.record(AttemptOutcome::Answered, now);
+    health.record(AttemptOutcome::BrokenOff, now);
     EXPECT_FALSE(health.isEjected(now)) << "an answer ends the row";
 }
 
@@ -92,8 +92,9 @@
     UpstreamHealth health;
     Common::TimePoint now(1h);
     for (int index = 0; index < 20; ++index) {
-        health.record(TryOutcome::Withdrawn, now);
-        health.record(TryOutcome::Refused, now);
+        health.record(AttemptOutcome::CancelledBeforeSending, now);
+        health.record(AttemptOutcome::CancelledAfterSending, now);
+        health.record(AttemptOutcome::NotExecuted, now);
     }
     EXPECT_FALSE(health.isEjected(now));
     EXPECT_EQ(health.errorRate(now), 0);
@@ -104,7 +105,7 @@
     UpstreamHealth health;
     Common::TimePoint now(1h);
     for (int index = 0; index < 10; ++index)
-        health.record(TryOutcome::Failed, now);
+        health.record(AttemptOutcome::ServerError, now);
     EXPECT_GT(health.errorRate(now), 0.7);
     EXPECT_LT(health.errorRate(now + 20s), 0.05);
 }
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -70,7 +70,7 @@
     for (int index = 0; index < 20; ++index) {
         auto pick = placement.place(writer(), engines, s_batch, s_now);
         engines[pick->index].running += 1;
-        engines[pick->index].writers += 1;
+        engines[pick->index].decodeHeavy += 1;
         writers.insert(pick->index);
     }
     EXPECT_EQ(writers.size(), 1U) << "20 fit into half of one batch";
@@ -86,7 +86,7 @@
     EnginePlacement placement;
     auto engines = nine();
     for (auto& engine : engines)
-        engine.writers = 10;
+        engine.decodeHeavy = 10;
     std::set<size_t> used;
     for (int index = 0; index < 300; ++index)
         used.insert(placement.place(writer(), engines, s_batch, s_now)->index);
@@ -101,7 +101,7 @@
     auto engines = nine();
     auto usedBy = [&](double writers) {
         for (auto& engine : engines)
-            engine.writers = writers / static_cast<double>(engines.size());
+            engine.decodeHeavy = writers / static_cast<double>(engines.size());
         std::set<size_t> used;
         for (int index = 0; index < 300; ++index)
             used.insert(placement.place(writer(), engines, s_batch, s_now)->index);
@@ -116,7 +116,7 @@
     EnginePlacement placement;
     auto engines = nine();
     for (auto& engine : engines)
-        engine.writers = 200;
+        engine.decodeHeavy = 200;
     std::set<size_t> readers;
     for (uint64_t subject = 0; subject < 300; ++subject)
         readers.insert(placement.place(reader(subject), engines, s_batch, s_now)->index);
--- /dev/null
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -0,0 +1,55 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Common/Precompiled.h"
+
+#include "RouteServing/Routing/OutstandingRequests.h"
+
+#include <gtest/gtest.h>
+
+namespace Brassladder::RouteServing::Routing {
+
+using namespace std::chrono_literals;
+
+static constexpr Common::TimePoint s_now(1h);
+
+// With a round trip longer than the exchange interval, each response came after the next request.
+TEST(OutstandingRequestsTest, AResponseCountsAlsoAfterLaterRequests)
+{
+    OutstandingRequests requests;
+    requests.setTarget("h1", false);
+    auto first = requests.add(s_now);
+    auto second = requests.add(s_now + 100ms);
+    auto third = requests.add(s_now + 200ms);
+    EXPECT_EQ(requests.take("h1", second), s_now + 100ms);
+    EXPECT_FALSE(requests.take("h1", second)) << "once";
+    EXPECT_FALSE(requests.take("h1", first)) << "the later response covers it";
+    EXPECT_FALSE(requests.take("h2", third)) << "nothing was requested from it";
+    EXPECT_EQ(requests.take("h1", third), s_now + 200ms);
+    EXPECT_FALSE(requests.take("h1", 0)) << "a notification answers no request";
+}
+
+TEST(OutstandingRequestsTest, ATargetIsOverdueWhenItsFirstResponseIsLate)
+{
+    OutstandingRequests requests;
+    requests.setTarget("h1", false);
+    EXPECT_FALSE(requests.isOverdue(s_now)) << "nothing was requested yet";
+    requests.add(s_now);
+    requests.add(s_now + 400ms);
+    EXPECT_FALSE(requests.isOverdue(s_now + 499ms));
+    EXPECT_TRUE(requests.isOverdue(s_now + 500ms));
+    requests.setTarget("h1", false);
+    EXPECT_TRUE(requests.isOverdue(s_now + 500ms)) << "the same target";
+    requests.setTarget("h2", false);
+    EXPECT_FALSE(requests.isOverdue(s_now + 500ms));
+}
+
+TEST(OutstandingRequestsTest, AVersionInFlightIsNotSentAgain)
+{
+    LastSentVersion sent;
+    EXPECT_FALSE(sent.isInFlight(0, s_now));
+    sent.record(7, s_now);
+    EXPECT_TRUE(sent.isInFlight(7, s_now + 499ms));
+    EXPECT_FALSE(sent.isInFlight(8, s_now));
+    EXPECT_FALSE(sent.isInFlight(7, s_now + 500ms));
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -0,0 +1,78 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Common/Precompiled.h"
+
+#include "RouteServing/Routing/PeerDirectory.h"
+#include "RouteServing/Routing/PeerLoads.h"
+
+#include <gtest/gtest.h>
+
+namespace Brassladder::RouteServing::Routing {
+
+using namespace std::chrono_literals;
+
+static constexpr Common::TimePoint s_now(1h);
+
+TEST(HubBackoffTest, TheBackoffDoublesUntilAResponse)
+{
+    HubBackoff backoff;
+    EXPECT_FALSE(backoff.isIgnored(s_now));
+    auto expected = 2000ms;
+    for (int timeout = 1; timeout <= 7; ++timeout) {
+        backoff.recordTimeout(s_now);
+        EXPECT_TRUE(backoff.isIgnored(s_now + expected - 1ms)) << timeout;
+        EXPECT_FALSE(backoff.isIgnored(s_now + expected)) << timeout;
+        expected = std::min(expected * 2, 32'000ms);
+    }
+    EXPECT_EQ(backoff.timeouts(), 7U);
+    backoff.recordRequest();
+    EXPECT_FALSE(backoff.isIgnored(s_now)) << "it is alive";
+    EXPECT_EQ(backoff.timeouts(), 7U) << "but has not responded";
+    backoff.recordResponse();
+    backoff.recordTimeout(s_now);
+    EXPECT_FALSE(backoff.isIgnored(s_now + 2000ms)) << "it starts again from the beginning";
+    backoff.recordResponse();
+    backoff.recordLeaving(s_now);
+    EXPECT_TRUE(backoff.isIgnored(s_now + 1999ms));
+}
+
+TEST(PeerDirectoryTest, APeerWithANewAddressIsUsedAtOnce)
+{
+    PeerDirectory peers("self");
+    EXPECT_FALSE(peers.add("self", { "127.0.0.1", 1 })) << "this router itself is no peer";
+    EXPECT_TRUE(peers.add("p", { "127.0.0.1", 1 }));
+    EXPECT_FALSE(peers.add("p", { "127.0.0.1", 1 }));
+    peers.state("p").backoff.recordTimeout(s_now);
+    EXPECT_TRUE(peers.ranking(s_now).otherHubs().empty()) << "an unresponsive router is no hub";
+    EXPECT_TRUE(peers.add("p", { "127.0.0.1", 2 }));
+    EXPECT_EQ(peers.ranking(s_now).otherHubs().size(), 1U);
+}
+
+TEST(PeerDirectoryTest, ThoseThatRequestedLatelyAreSubscribers)
+{
+    PeerDirectory peers("self");
+    peers.state("p").lastRequest = s_now;
+    EXPECT_EQ(peers.subscribers(s_now + 1499ms), std::vector<std::string> { "p" });
+    EXPECT_TRUE(peers.subscribers(s_now + 1500ms).empty());
+}
+
+// Two hubs with a subscriber each: every load is counted once at each of the four routers.
+TEST(PeerLoadsTest, EachLoadIsCountedOnceEverywhere)
+{
+    auto load = [](unsigned requests) { return LoadsByUpstream { { 7, { requests, 0, 0 } } }; };
+    PeerLoads hub;
+    hub.recordSubscriber("subscriber", load(1), s_now);
+    hub.recordHub("other", load(20), 2, s_now);
+    EXPECT_EQ(hub.ofOthers(s_now).at(7).requests, 21U);
+    EXPECT_EQ(hub.withSubscribers(load(300), s_now).at(7).requests, 301U) << "for the other hub";
+    EXPECT_EQ(hub.forSubscriber("subscriber", load(300), s_now).at(7).requests, 320U) << "without its own";
+    EXPECT_EQ(hub.subscriberRouters(s_now) + hub.hubRouters(s_now), 3U);
+    hub.forgetHub("other");
+    EXPECT_EQ(hub.ofOthers(s_now).at(7).requests, 1U);
+    EXPECT_TRUE(hub.ofOthers(s_now + 1500ms).empty()) << "reports that old are ignored";
+
+    PeerLoads subscriber;
+    subscriber.recordHub("hub", load(320), 3, s_now);
+    EXPECT_EQ(subscriber.withSubscribers(load(1), s_now, "hub").at(7).requests, 1U) << "only its own goes to its hub";
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- /dev/null
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -0,0 +1,144 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Common/Precompiled.h"
+
+#include "RouteServing/Routing/ConnectionPolicy.h"
+#include "RouteServing/Routing/RetryPolicy.h"
+
+#include <gtest/gtest.h>
+
+namespace Brassladder::RouteServing::Routing {
+
+using namespace std::chrono_literals;
+using Common::ErrorKind;
+using Common::Ran;
+
+namespace {
+
+constexpr std::array s_allOutcomes { AttemptOutcome::ConnectFailed, AttemptOutcome::CancelledBeforeSending,
+    AttemptOutcome::NotExecuted, AttemptOutcome::BrokenOff, AttemptOutcome::CancelledAfterSending,
+    AttemptOutcome::ServerError, AttemptOutcome::Answered };
+
+Route routeOf(RouteKind kind, bool resumable = false)
+{
+    Route route;
+    route.kind = kind;
+    route.resumable = resumable;
+    route.maxAttempts = 2;
+    return route;
+}
+
+// The decision after these outcomes, with time left.
+RetryDecision decideAfter(const Route& route, std::vector<AttemptOutcome> outcomes, bool hasRelayedEvents = false)
+{
+    AttemptHistory history;
+    for (auto outcome : outcomes)
+        history.record(outcome);
+    return decideRetry(route, history, outcomes.back(), hasRelayedEvents, false);
+}
+
+} // namespace
+
+TEST(AttemptOutcomeTest, TheLogFieldTellsWhetherTheRequestRan)
+{
+    std::vector<std::string_view> labels;
+    for (auto outcome : s_allOutcomes)
+        labels.push_back(fateLabel(outcome));
+    EXPECT_EQ(labels,
+        (std::vector<std::string_view> { "not_sent", "not_sent", "refused", "maybe_ran", "maybe_ran", "ran", "ran" }));
+}
+
+// The rule that matters most: whatever happened before, a once-only request that may have run is not sent again.
+TEST(RetryPolicyTest, ARequestThatMustRunOnceIsNotSentAgainOnceItMayHaveRun)
+{
+    for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Stream) }) {
+        for (auto first : s_allOutcomes) {
+            for (auto second : s_allOutcomes) {
+                bool mayHaveRun = ranAfter(first) != Ran::No || ranAfter(second) != Ran::No;
+                auto decision = decideAfter(route, { first, second });
+                if (mayHaveRun) {
+                    EXPECT_EQ(decision, RetryDecision::GiveUp) << fateLabel(first) << " " << fateLabel(second);
+                }
+            }
+        }
+    }
+}
+
+TEST(RetryPolicyTest, WhatDidNotRunIsRetriedWhateverItsKind)
+{
+    for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Repeatable) }) {
+        EXPECT_EQ(decideAfter(route, { AttemptOutcome::NotExecuted }), RetryDecision::RetryWithinBudget);
+        EXPECT_EQ(decideAfter(route, { AttemptOutcome::ConnectFailed }), RetryDecision::Retry);
+        EXPECT_EQ(
+            decideAfter(route, { AttemptOutcome::NotExecuted, AttemptOutcome::NotExecuted }), RetryDecision::GiveUp)
+            << "the route allows two attempts";
+    }
+}
+
+TEST(RetryPolicyTest, ARepeatableRequestIsRetriedAfterAnyFailure)
+{
+    for (const auto& route : { routeOf(RouteKind::Repeatable), routeOf(RouteKind::Stream, true) }) {
+        EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }), RetryDecision::RetryWithinBudget);
+        EXPECT_EQ(decideAfter(route, { AttemptOutcome::ServerError }), RetryDecision::RetryWithinBudget);
+    }
+}
+
+TEST(RetryPolicyTest, ConnectionsThatFailDoNotUseUpTheAttemptsOfTheRoute)
+{
+    std::vector<AttemptOutcome> outcomes;
+    for (int failures = 1; failures <= 4; ++failures) {
+        outcomes.push_back(AttemptOutcome::ConnectFailed);
+        EXPECT_EQ(decideAfter(routeOf(RouteKind::OnceOnly), outcomes), RetryDecision::Retry) << failures;
+    }
+    outcomes.push_back(AttemptOutcome::ConnectFailed);
+    EXPECT_EQ(decideAfter(routeOf(RouteKind::OnceOnly), outcomes), RetryDecision::GiveUp);
+    EXPECT_EQ(decideAfter(routeOf(RouteKind::OnceOnly), { AttemptOutcome::ConnectFailed, AttemptOutcome::NotExecuted }),
+        RetryDecision::RetryWithinBudget);
+}
+
+// Before the first event there may be no replica, and an engine without one might run the request anew.
+TEST(RetryPolicyTest, ARunFailsOverOnlyAfterItsFirstEvent)
+{
+    auto route = routeOf(RouteKind::Stream);
+    EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }, false), RetryDecision::GiveUp);
+    EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }, true), RetryDecision::FailOver);
+    EXPECT_EQ(
+        decideAfter(route, { AttemptOutcome::BrokenOff, AttemptOutcome::ConnectFailed }, true), RetryDecision::GiveUp)
+        << "the engine with the replica cannot be reached";
+}
+
+TEST(RetryPolicyTest, NothingIsRetriedPastTheDeadline)
+{
+    AttemptHistory history;
+    history.record(AttemptOutcome::ConnectFailed);
+    EXPECT_EQ(decideRetry(routeOf(RouteKind::Repeatable), history, AttemptOutcome::ConnectFailed, false, true),
+        RetryDecision::GiveUp);
+}
+
+TEST(RetryPolicyTest, OnlyARequestThatDidNotRunIsRefusedAsSuch)
+{
+    AttemptHistory notRun;
+    notRun.record(AttemptOutcome::NotExecuted);
+    EXPECT_EQ(refusalAfterFailure(notRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamRefused);
+    EXPECT_EQ(refusalAfterFailure(notRun, AttemptOutcome::ConnectFailed, true, "p").kind, ErrorKind::NoUpstream);
+    AttemptHistory mayHaveRun;
+    mayHaveRun.record(AttemptOutcome::BrokenOff);
+    EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamBroken);
+    EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::BrokenOff, true, "p").kind, ErrorKind::UpstreamTimeout);
+    for (const auto& row : Common::errorTable()) {
+        EXPECT_EQ(honestKind(row.kind, false), row.kind);
+        EXPECT_NE(Common::traits(honestKind(row.kind, true)).ran, Ran::No) << row.name;
+    }
+}
+
+TEST(ConnectionPolicyTest, TheConnectTimeoutFollowsTheObjectiveWithinItsBounds)
+{
+    Route route;
+    for (auto [objective, timeout] : { std::pair(10ms, 50ms), std::pair(200ms, 100ms), std::pair(9000ms, 500ms) }) {
+        route.objective = objective;
+        EXPECT_EQ(connectTimeout(route), timeout);
+    }
+    EXPECT_EQ(maxIdleTime(routeOf(RouteKind::OnceOnly)), 1000ms);
+    EXPECT_EQ(maxIdleTime(routeOf(RouteKind::Repeatable)), Common::Milliseconds::max());
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
@@ -43,12 +43,12 @@
                      .workspace({ "shop", 1 }, { "k1", "k2" })
                      .workspace({ "office", std::nullopt }, { "k3" })
                      .build();
-    ASSERT_TRUE(table.wantsKeys());
+    ASSERT_TRUE(table.requiresKeys());
     EXPECT_EQ(table.workspaceOfKey("k2")->name, "shop");
     EXPECT_EQ(table.workspaceOfKey("k3")->name, "office");
     EXPECT_EQ(table.workspaceOfKey("k4"), nullptr);
     EXPECT_EQ(table.workspaceOfKey(""), nullptr);
-    EXPECT_FALSE(RouteTable::Builder().build().wantsKeys());
+    EXPECT_FALSE(RouteTable::Builder().build().requiresKeys());
 }
 
 TEST(RouteTableTest, OnlyRepeatableRoutesAndResumableStreamsMayRepeat)
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -34,7 +34,9 @@
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
     ASSERT_TRUE(registry.choose(plainRequest(), s_now));
-    registry.markLeaving("u1");
+    auto leaving = upstream("u1");
+    leaving.leaving = true;
+    registry.setUpstreams({ leaving });
     EXPECT_FALSE(registry.choose(plainRequest(), s_now));
     registry.setUpstreams({ upstream("u1") });
     EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a late list says that it is serving";
@@ -45,17 +47,17 @@
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
-    auto endOne = [&](bool wasRead, TryOutcome outcome) {
+    auto endOne = [&](bool wasRead, AttemptOutcome outcome) {
         auto choice = registry.choose(plainRequest(), s_now);
         registry.recordStart(*choice);
         registry.recordEnd(*choice, wasRead, outcome, s_now);
     };
-    endOne(true, TryOutcome::Answered);
-    endOne(false, TryOutcome::Broken);
-    EXPECT_FALSE(registry.enginesFailMidStream(s_now)) << "none broke off in the middle of an answer";
-    endOne(true, TryOutcome::Broken);
-    EXPECT_TRUE(registry.enginesFailMidStream(s_now + 59s));
-    EXPECT_FALSE(registry.enginesFailMidStream(s_now + 60s));
+    endOne(true, AttemptOutcome::Answered);
+    endOne(false, AttemptOutcome::BrokenOff);
+    EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now)) << "none broke off in the middle of an answer";
+    endOne(true, AttemptOutcome::BrokenOff);
+    EXPECT_TRUE(registry.midStreamFailuresAreLikely(s_now + 59s));
+    EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now + 60s));
 }
 
 TEST(UpstreamRegistryTest, WhatWasTriedIsNotChosenAgain)
@@ -103,12 +105,12 @@
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
     UpstreamRegistry::Placement first { upstream("u1"), 0, false };
     registry.recordStart(first);
-    registry.recordEnd(first, false, TryOutcome::Unreachable, s_now);
+    registry.recordEnd(first, false, AttemptOutcome::ConnectFailed, s_now);
     for (int index = 0; index < 50; ++index)
         EXPECT_EQ(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
     UpstreamRegistry::Placement second { upstream("u2"), 0, false };
     registry.recordStart(second);
-    registry.recordEnd(second, false, TryOutcome::Unreachable, s_now);
+    registry.recordEnd(second, false, AttemptOutcome::ConnectFailed, s_now);
     EXPECT_TRUE(registry.choose(plainRequest(), s_now)) << "a try is better than a refusal";
 }
 
@@ -120,7 +122,8 @@
         for (const auto& record : three()) {
             UpstreamRegistry::Placement choice { record, 0, false };
             registry.recordStart(choice);
-            registry.recordEnd(choice, false, record.id == "u2" ? TryOutcome::Failed : TryOutcome::Answered, s_now);
+            registry.recordEnd(
+                choice, false, record.id == "u2" ? AttemptOutcome::ServerError : AttemptOutcome::Answered, s_now);
         }
     }
     for (int index = 0; index < 100; ++index)
