--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -20,10 +20,7 @@
 static Common::HttpResponse responseOf(const Common::HttpClientResponse& answer, const std::string& requestId)
 {
     Common::HttpResponse response { answer.status, answer.body, std::string(answer.header("Content-Type")), {} };
-    for (const auto& header : answer.headers) {
-        if (Upstream::isForwarded(header.name))
-            response.headers.push_back(header);
-    }
+    response.headers = Upstream::headersForCaller(answer);
     response.headers.push_back({ std::string(requestIdHeader), requestId });
     return response;
 }
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "ClassServing/Upstream/ServiceCall.h"
 
-#include <array>
+#include <absl/strings/ascii.h>
 
 namespace Brassladder::ClassServing::Upstream {
 
@@ -12,16 +12,34 @@
 
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
 
-bool isForwarded(std::string_view header)
+// The caller's key and target, and our own headers, are not for the other side.
+static bool isPrivate(std::string_view header)
 {
-    // RFC 9110 section 7.6.1, the caller's key, and our own headers.
-    static constexpr std::array<std::string_view, 11> s_dropped { "connection", "keep-alive", "proxy-connection", "te",
-        "trailer", "transfer-encoding", "upgrade", "content-length", "host", "authorization", "expect" };
-    std::string lower;
-    for (char letter : header)
-        lower += static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
-    return !lower.starts_with("brassladder-")
-        && std::find(s_dropped.begin(), s_dropped.end(), lower) == s_dropped.end();
+    auto lower = absl::AsciiStrToLower(absl::string_view(header.data(), header.size()));
+    return lower.starts_with("brassladder-") || lower == "host" || lower == "authorization";
+}
+
+static std::vector<Common::HttpHeader> headersForService(const Common::HttpRequest& request)
+{
+    auto hopByHop = Common::hopByHopFieldsOf(request);
+    std::vector<Common::HttpHeader> headers;
+    for (const auto& field : request) {
+        std::string name(field.name_string().data(), field.name_string().size());
+        if (!hopByHop.contains(name) && !isPrivate(name))
+            headers.push_back({ std::move(name), std::string(field.value().data(), field.value().size()) });
+    }
+    return headers;
+}
+
+std::vector<Common::HttpHeader> headersForCaller(const HttpClientResponse& response)
+{
+    auto hopByHop = Common::hopByHopFieldsOf(response);
+    std::vector<Common::HttpHeader> headers;
+    for (const auto& header : response.headers) {
+        if (!hopByHop.contains(header.name) && !isPrivate(header.name))
+            headers.push_back(header);
+    }
+    return headers;
 }
 
 Result<HttpClientResponse> ServiceCall::run(
@@ -32,11 +50,7 @@
     call.target = target;
     call.body = request.body();
     call.responseTimeout = timeouts.answer;
-    for (const auto& field : request) {
-        std::string name(field.name_string().data(), field.name_string().size());
-        if (isForwarded(name))
-            call.headers.push_back({ std::move(name), std::string(field.value().data(), field.value().size()) });
-    }
+    call.headers = headersForService(request);
     call.headers.push_back({ std::string(requestIdHeader), m_requestId });
 
     if (mayRepeat) {
--- a/Source/ClassServing/Upstream/ServiceCall.h
+++ b/Source/ClassServing/Upstream/ServiceCall.h
@@ -26,7 +26,7 @@
     std::unique_ptr<Common::HttpConnection> m_connection;
 };
 
-// Whether a header belongs to the message, and not to one connection or to this router.
-bool isForwarded(std::string_view header);
+// The service's response headers for the caller: without those of a single connection and our own.
+std::vector<Common::HttpHeader> headersForCaller(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::ClassServing::Upstream
--- /dev/null
+++ b/Source/Common/HopByHop.cpp
@@ -0,0 +1,30 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "Common/HopByHop.h"
+
+#include <absl/strings/ascii.h>
+#include <absl/strings/str_split.h>
+#include <algorithm>
+#include <array>
+
+namespace Brassladder::Common {
+
+static constexpr std::array<std::string_view, 11> s_always { "connection", "content-length", "expect", "keep-alive",
+    "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade" };
+
+void HopByHopFields::addConnectionField(std::string_view value)
+{
+    for (absl::string_view option : absl::StrSplit(absl::string_view(value.data(), value.size()), ',')) {
+        auto name = absl::AsciiStrToLower(absl::StripAsciiWhitespace(option));
+        if (!name.empty())
+            m_named.push_back(std::move(name));
+    }
+}
+
+bool HopByHopFields::contains(std::string_view name) const
+{
+    auto lower = absl::AsciiStrToLower(absl::string_view(name.data(), name.size()));
+    return std::find(s_always.begin(), s_always.end(), lower) != s_always.end()
+        || std::find(m_named.begin(), m_named.end(), lower) != m_named.end();
+}
+
+} // namespace Brassladder::Common
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -27,6 +27,16 @@
     return {};
 }
 
+HopByHopFields hopByHopFieldsOf(const HttpClientResponse& response)
+{
+    HopByHopFields fields;
+    for (const auto& header : response.headers) {
+        if (beast::iequals({ header.name.data(), header.name.size() }, "Connection"))
+            fields.addConnectionField(header.value);
+    }
+    return fields;
+}
+
 HttpConnection::HttpConnection()
     : m_stream(FiberRuntime::here())
 {
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -64,6 +64,8 @@
     bool m_broken { false };
 };
 
+HopByHopFields hopByHopFieldsOf(const HttpClientResponse&);
+
 // Connects, sends, and reads the whole answer: for short calls where a pool of connections would not pay.
 Result<HttpClientResponse> callOnce(const Endpoint&, const HttpClientRequest&, size_t bodyLimit = 16 * 1024 * 1024);
 
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -308,4 +308,13 @@
     return { status, dumpJson(json), "application/json", {} };
 }
 
+HopByHopFields hopByHopFieldsOf(const HttpRequest& request)
+{
+    HopByHopFields fields;
+    auto [first, last] = request.equal_range(http::field::connection);
+    for (auto field = first; field != last; ++field)
+        fields.addConnectionField({ field->value().data(), field->value().size() });
+    return fields;
+}
+
 } // namespace Brassladder::Common
--- a/Source/Common/HttpServer.h
+++ b/Source/Common/HttpServer.h
@@ -5,6 +5,7 @@
 #include "Common/Endpoint.h"
 #include "Common/FiberIo.h"
 #include "Common/FiberRuntime.h"
+#include "Common/HopByHop.h"
 #include "Common/Json.h"
 #include "Common/Listener.h"
 
@@ -166,6 +167,8 @@
     HttpHandler m_handler;
 };
 
+HopByHopFields hopByHopFieldsOf(const HttpRequest&);
+
 // The answer that callers get for an error: `{"error":{kind,message,ran,retry_after_ms}}` with the table's status.
 HttpResponse errorResponse(const Error&);
 Json errorJson(const Error&);
--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -28,4 +28,22 @@
     EXPECT_EQ(passed[0].name, "Content-Type");
 }
 
+// RFC 9110, 7.6.1: fields that `Connection` names concern one connection as well.
+TEST(HeaderRulesTest, FieldsThatConnectionNamesAreNotPassedOn)
+{
+    Common::HttpRequest request;
+    request.set("Connection", "close, X-Hop");
+    request.set("X-Hop", "h");
+    request.set("X-End", "e");
+    auto headers = headersForUpstream(request, {});
+    ASSERT_EQ(headers.size(), 1U);
+    EXPECT_EQ(headers[0].name, "X-End");
+
+    Common::HttpClientResponse response;
+    response.headers = { { "x-hop", "h" }, { "Connection", "X-HOP" }, { "X-End", "e" } };
+    auto passed = headersForCaller(response);
+    ASSERT_EQ(passed.size(), 1U);
+    EXPECT_EQ(passed[0].name, "X-End");
+}
+
 } // namespace Brassladder::RouteServing::Gateway
