--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -19,8 +19,8 @@
 
 static Common::HttpResponse responseOf(const Common::HttpClientResponse& answer, const std::string& requestId)
 {
-    Common::HttpResponse response { answer.status, answer.body, std::string(answer.header("Content-Type")), {} };
-    response.headers = Upstream::headersForCaller(answer);
+    // The content type is among the headers.
+    Common::HttpResponse response { answer.status, answer.body, {}, Upstream::headersForCaller(answer) };
     response.headers.push_back({ std::string(requestIdHeader), requestId });
     return response;
 }
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -167,6 +167,20 @@
     EXPECT_TRUE(goodCall(true, "after-raw").whole);
 }
 
+// Found on reading: the content type of a service's response was passed on twice.
+TEST_F(CallerContractTest, AServiceResponseHasOneContentType)
+{
+    auto response = s_cluster->call("router-1",
+        { "GET", "/services/orders/x", "",
+            { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey },
+                { "Brassladder-Class", "stock" } } });
+    ASSERT_FALSE(isError(response)) << errorOf(response).message;
+    ASSERT_EQ(valueOf(response).status, 200U);
+    auto isContentType = [](const auto& header) { return header.name == "Content-Type"; };
+    const auto& headers = valueOf(response).headers;
+    EXPECT_EQ(std::count_if(headers.begin(), headers.end(), isContentType), 1);
+}
+
 TEST_F(CallerContractTest, CallerThatGoesAwayCancelsItsGeneration)
 {
     auto tokensBefore = s_cluster->counters("engine-1")["tokens"].get<uint64_t>();
