--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -7,7 +7,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-TEST(HeaderRulesTest, HeadersOfOneConnectionAndWithheldOnesAreNotPassedOn)
+TEST(HeaderRulesTest, HopByHopAndWithheldHeadersAreNotPassedOn)
 {
     Common::HttpRequest request;
     request.set("Connection", "close");
--- a/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
@@ -18,7 +18,7 @@
     EXPECT_EQ(encodeAge(-5ms), 0U);
 }
 
-TEST(SnapshotCodecTest, LoadsAndUpstreamsSurviveTheWay)
+TEST(SnapshotCodecTest, LoadsAndUpstreamsSurviveEncoding)
 {
     Routing::LoadsByUpstream loads { { 7, { 3, 1, 900 } }, { 8, {} } };
     Inner::Wire::Knowledge message;
--- a/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
@@ -7,7 +7,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-TEST(SseFramerTest, EventsPassWholeAndUnchanged)
+TEST(SseFramerTest, EventsAreRelayedWholeAndUnchanged)
 {
     SseFramer cutter;
     cutter.feed("id: 1\ndata: a");
@@ -21,7 +21,7 @@
 }
 
 // Found on the users' platform: the unfinished event of an engine that crashed stood before the events of the next one.
-TEST(SseFramerTest, AnUnfinishedEventIsForgottenBeforeAnotherUpstreamGoesOn)
+TEST(SseFramerTest, AnUnfinishedEventIsDiscardedBeforeAnotherUpstreamResumes)
 {
     SseFramer cutter;
     cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
@@ -31,7 +31,7 @@
     EXPECT_EQ(cutter.takeEvents(), "id: 2\ndata: half\n\n");
 }
 
-TEST(SseFramerTest, EventsThatWerePassedOnAreNotRepeated)
+TEST(SseFramerTest, EventsThatWereRelayedAreNotRepeated)
 {
     SseFramer cutter;
     cutter.feed("id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -67,7 +67,7 @@
 }
 
 // Calls to the store are paid for: their number must not grow with the fleet.
-TEST(HubRankingTest, OnlyAFewHubsReadAndTheOthersAskThem)
+TEST(HubRankingTest, OnlyAFewHubsReadTheStoreAndTheOthersRequestFromThem)
 {
     auto ids = routers(350);
     std::set<std::string> readers;
@@ -91,7 +91,7 @@
     EXPECT_TRUE(alone.otherHubs().empty());
 }
 
-TEST(LoadSumsTest, WordIsReplacedLeftOutForItsTellerAndForgottenWithTime)
+TEST(LoadSumsTest, ReportsAreReplacedExcludedForTheirSenderAndExpire)
 {
     LoadSums sums(1500ms);
     Common::TimePoint now(1h);
--- a/Source/UnitTests/RouteServing/Routing/BoundsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(FreshnessLeaseTest, RunsFromTheStartOfTheLastReadingAndNeverBack)
+TEST(FreshnessLeaseTest, RunsFromTheStartOfTheLastReadAndNeverBack)
 {
     FreshnessLease lease(5000ms);
     Common::TimePoint start(1h);
@@ -25,13 +25,13 @@
     EXPECT_EQ(lease.age(start + 300ms), 300ms);
 }
 
-TEST(FreshnessLeaseTest, WithoutABoundItNeverLapses)
+TEST(FreshnessLeaseTest, WithoutABoundItNeverExpires)
 {
     EXPECT_TRUE(FreshnessLease(0ms).isFresh(Common::TimePoint(9h)));
 }
 
 // In any window, retries stay within ratio x requests of that window + allowance, whatever the order of events.
-TEST(RetryWindowTest, NoWindowSeesMoreRetriesThanItsRequestsPayFor)
+TEST(RetryWindowTest, NoWindowHasMoreRetriesThanItsBoundsAllow)
 {
     bool holds = rc::check("each sliding window is within the bound", [] {
         RetryWindow::Bounds bounds { 0.2, static_cast<double>(*rc::gen::inRange(0, 5)), 10'000ms };
@@ -60,7 +60,7 @@
     EXPECT_TRUE(holds);
 }
 
-TEST(RetryWindowTest, RetriesArePossibleAgainWhenTheOldOnesAreOut)
+TEST(RetryWindowTest, RetriesArePossibleAgainWhenOldOnesLeaveTheWindow)
 {
     RetryWindow window({ 0, 1, 10'000ms });
     Common::TimePoint now(1h);
@@ -69,7 +69,7 @@
     EXPECT_TRUE(window.takeRetry(now + 11s));
 }
 
-TEST(UpstreamHealthTest, FailuresInARowLeaveItOutForATimeThatDoubles)
+TEST(UpstreamHealthTest, ConsecutiveFailuresEjectForATimeThatDoubles)
 {
     UpstreamHealth health;
     Common::TimePoint now(1h);
@@ -87,7 +87,7 @@
     EXPECT_FALSE(health.isEjected(now)) << "an answer ends the row";
 }
 
-TEST(UpstreamHealthTest, WhatSaysNothingOfTheUpstreamIsNotCounted)
+TEST(UpstreamHealthTest, CancelledAndRefusedAttemptsDoNotCount)
 {
     UpstreamHealth health;
     Common::TimePoint now(1h);
@@ -100,7 +100,7 @@
     EXPECT_EQ(health.errorRate(now), 0);
 }
 
-TEST(UpstreamHealthTest, ANoLongerTriedUpstreamIsForgiven)
+TEST(UpstreamHealthTest, TheErrorRateDecaysWithoutAttempts)
 {
     UpstreamHealth health;
     Common::TimePoint now(1h);
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST(UpstreamRegistryTest, ALeavingUpstreamGetsNothingNewAndDoesNotComeBack)
+TEST(UpstreamRegistryTest, ALeavingUpstreamGetsNothingNewAndStaysLeaving)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
@@ -43,7 +43,7 @@
     EXPECT_FALSE(registry.isServing("u1"));
 }
 
-TEST(UpstreamRegistryTest, EnginesAreThoughtToBreakOffForAMinuteAfterOneDid)
+TEST(UpstreamRegistryTest, MidStreamFailuresAreLikelyForAMinuteAfterOne)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
@@ -60,7 +60,7 @@
     EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now + 60s));
 }
 
-TEST(UpstreamRegistryTest, WhatWasTriedIsNotChosenAgain)
+TEST(UpstreamRegistryTest, AnAttemptedUpstreamIsNotChosenAgain)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
@@ -86,7 +86,7 @@
     EXPECT_EQ(std::count(chosen.begin(), chosen.end(), "far"), 2);
 }
 
-TEST(UpstreamRegistryTest, AReportNarrowsAnUpstreamUntilItIsOld)
+TEST(UpstreamRegistryTest, ALoadReportCountsUntilItIsOld)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -99,7 +99,7 @@
     EXPECT_EQ(later.size(), 2U);
 }
 
-TEST(UpstreamRegistryTest, AnUnreachableUpstreamIsLeftOutUnlessAllAre)
+TEST(UpstreamRegistryTest, AnUnreachableUpstreamIsEjectedUnlessAllAre)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -114,7 +114,7 @@
     EXPECT_TRUE(registry.choose(plainRequest(), s_now)) << "a try is better than a refusal";
 }
 
-TEST(UpstreamRegistryTest, AnUpstreamThatFailsMoreThanTheOthersIsTakenLast)
+TEST(UpstreamRegistryTest, AnOutlierIsChosenLast)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
@@ -130,7 +130,7 @@
         EXPECT_NE(registry.choose(plainRequest(), s_now)->upstream.id, "u2");
 }
 
-TEST(UpstreamRegistryTest, LoadsOfOtherRoutersCountUntilTheyAreReplaced)
+TEST(UpstreamRegistryTest, LoadsOfPeersCountUntilTheyAreReplaced)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
