--- a/Source/Inner/Mesh.cpp
+++ b/Source/Inner/Mesh.cpp
@@ -128,9 +128,12 @@
         }
         if (!connected)
             continue;
+        // The connection may have ended while the last frame was written. What waits now is lost with it.
+        auto session = link->session;
+        if (!session)
+            continue;
         auto bytes = encodeFrame(frame);
         m_bytesSent.fetch_add(bytes.size(), std::memory_order_relaxed);
-        auto session = link->session;
         session->send(bytes);
         if (session->backlog() > maxBacklogBytes)
             session->close();
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -4,6 +4,7 @@
 #include "Inner/Mesh.h"
 #include "UnitTests/TestRuntime.h"
 
+#include <future>
 #include <gtest/gtest.h>
 #include <thread>
 
@@ -29,9 +30,16 @@
         m_port = valueOf(m_mesh.listen({ "127.0.0.1", 0 }, hooks));
     }
 
-    void knows(const Node& other, const std::string& id)
+    void knows(const Node& other, const std::string& id) { knows(other.m_port, id); }
+    void knows(uint16_t otherPort, const std::string& id)
     {
-        m_mesh.setPeers(std::vector<Peer> { { id, { "127.0.0.1", other.m_port } } });
+        m_mesh.setPeers(std::vector<Peer> { { id, { "127.0.0.1", otherPort } } });
+    }
+    void sendLarge(const std::string& to, size_t bytes)
+    {
+        Wire::Item item;
+        item.mutable_config_state()->add_files()->set_content(std::string(bytes, 'x'));
+        m_mesh.send(to, item);
     }
     void send(const std::string& to, uint64_t sequence)
     {
@@ -96,6 +104,52 @@
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
 }
 
+// Found beside load: a router crashed when a peer was killed while a message to it was being written and another one
+// waited.
+TEST(MeshTest, AConnectionThatEndsDuringAWriteDoesNotHarmTheSender)
+{
+    using boost::asio::ip::tcp;
+    auto& sender = *new Node("a", "key");
+    std::promise<uint16_t> port;
+    std::promise<void> isWriting;
+    std::promise<void> mayEnd;
+    auto mayEndFuture = mayEnd.get_future();
+    std::thread peer([&] {
+        boost::asio::io_context io;
+        tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
+        // Small, so that the sender's write cannot end.
+        acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
+        port.set_value(acceptor.local_endpoint().port());
+        tcp::socket socket(io);
+        acceptor.accept(socket);
+        // HTTP/2: SETTINGS with a large INITIAL_WINDOW_SIZE, and WINDOW_UPDATE for the connection.
+        static constexpr char s_openWindows[] = "\0\0\6\4\0\0\0\0\0\0\4\x7f\xff\xff\xff"
+                                                "\0\0\4\x8\0\0\0\0\0\x7f\xff\0\0";
+        boost::asio::write(socket, boost::asio::buffer(s_openWindows, sizeof s_openWindows - 1));
+        // Far more than the preface and a small frame: the large one is on its way.
+        std::string received(256 * 1024, '\0');
+        boost::asio::read(socket, boost::asio::buffer(received));
+        isWriting.set_value();
+        mayEndFuture.wait();
+        socket.shutdown(tcp::socket::shutdown_send);
+        // Held open until the sender closes.
+        boost::system::error_code error;
+        while (!error)
+            socket.read_some(boost::asio::buffer(received), error);
+    });
+    sender.knows(port.get_future().get(), "b");
+    sender.sendLarge("b", 15 * 1024 * 1024);
+    isWriting.get_future().wait();
+    sender.send("b", 1);
+    mayEnd.set_value();
+    EXPECT_TRUE(sender.awaitDisconnected());
+    peer.join();
+    auto& receiver = *new Node("b", "key");
+    sender.knows(receiver, "b");
+    sender.send("b", 2);
+    EXPECT_TRUE(receiver.awaitCount(1)) << "the sender goes on";
+}
+
 TEST(MeshTest, GarbageEndsItsOwnConnectionOnly)
 {
     auto& receiver = *new Node("b", "key");
