--- a/Source/ClassServing/Frontend/AttemptLoop.cpp
+++ b/Source/ClassServing/Frontend/AttemptLoop.cpp
@@ -13,22 +13,8 @@
 using Common::Status;
 using Scheduling::Outcome;
 
-void LoadBoard::set(const std::string& upstream, uint32_t load)
-{
-    std::lock_guard lock(m_mutex);
-    m_loads[upstream] = load;
-}
-
-uint32_t LoadBoard::of(const std::string& upstream) const
-{
-    std::lock_guard lock(m_mutex);
-    auto found = m_loads.find(upstream);
-    return found == m_loads.end() ? 0 : found->second;
-}
-
 AttemptLoop::AttemptLoop(Parts parts)
     : m_parts(parts)
-    , m_localChoice(parts.placement, Common::randomNumber())
 {
 }
 
@@ -171,8 +157,6 @@
 Result<AttemptLoop::Placed> AttemptLoop::place(
     RequestContext& context, const std::string& pinned, const std::string& avoid)
 {
-    if (m_parts.placement != Scheduling::Placement::SharedQueue)
-        return placeLocally(context);
     Dispatch::SlotRequest request;
     request.shard = chooseShard(context, pinned);
     request.requestClass = context.requestClass;
@@ -200,28 +184,6 @@
     return placed;
 }
 
-Result<AttemptLoop::Placed> AttemptLoop::placeLocally(RequestContext& context)
-{
-    auto view = m_parts.membership.view();
-    auto upstreams = view->pools.find(context.requestClass->pool);
-    std::vector<Scheduling::LocalChoice::Candidate> candidates;
-    if (upstreams != view->pools.end()) {
-        for (const auto& upstream : upstreams->second) {
-            if (!upstream.leaving)
-                candidates.push_back({ upstream.id, m_parts.loads.of(upstream.id) });
-        }
-    }
-    std::string chosen;
-    {
-        std::lock_guard lock(m_mutex);
-        chosen = m_localChoice.choose(candidates);
-    }
-    const auto* upstream = view->upstream(context.requestClass->pool, chosen);
-    if (!upstream)
-        return Common::makeError(ErrorKind::NoUpstream, "no upstream is live");
-    return Placed { {}, { context.requestClass->pool, 0 }, *upstream };
-}
-
 Attempt AttemptLoop::tryOnce(RequestContext& context, const Placed& placed, bool resuming, const TryOnce& hook)
 {
     Attempt attempt;
@@ -236,8 +198,7 @@
         attempt = hook(placed.upstream);
     if (attempt.outcome == Outcome::RefusedByWorker && attempt.error)
         context.explanation->step("refused_by_upstream", { { "upstream", placed.upstream.id } });
-    if (placed.slot)
-        m_parts.grants.release(placed.slot, placed.shard, { {}, attempt.outcome, attempt.tokens, attempt.perToken });
+    m_parts.grants.release(placed.slot, placed.shard, { {}, attempt.outcome, attempt.tokens, attempt.perToken });
     return attempt;
 }
 
--- a/Source/ClassServing/Frontend/AttemptLoop.h
+++ b/Source/ClassServing/Frontend/AttemptLoop.h
@@ -4,7 +4,6 @@
 #include "ClassServing/Claims/ClaimClient.h"
 #include "ClassServing/Dispatch/GrantClient.h"
 #include "ClassServing/Frontend/RequestContext.h"
-#include "ClassServing/Scheduling/LocalChoice.h"
 #include "ClassServing/Scheduling/RetryBudget.h"
 #include "ClassServing/Upstream/EngineStream.h"
 
@@ -18,17 +17,6 @@
     Common::Duration perToken {};
 };
 
-// Last load reports by upstream, for the baselines that place requests without a shared queue.
-class LoadBoard {
-public:
-    void set(const std::string& upstream, uint32_t load);
-    uint32_t of(const std::string& upstream) const;
-
-private:
-    mutable std::mutex m_mutex;
-    std::unordered_map<std::string, uint32_t> m_loads;
-};
-
 // Takes a request through claims, slots, tries and retries. The kind of upstream is the caller's hook.
 //
 // A request is tried again only when it provably did not run, or when its class allows repeats and nothing of an
@@ -39,8 +27,6 @@
         Dispatch::GrantClient& grants;
         Claims::ClaimClient& claims;
         Membership::Table& membership;
-        LoadBoard& loads;
-        Scheduling::Placement placement { Scheduling::Placement::SharedQueue };
         Common::Milliseconds claimHorizon { 0 };
     };
     using TryOnce = std::function<Attempt(const Membership::Upstream&)>;
@@ -52,7 +38,7 @@
 
 private:
     struct Placed {
-        Dispatch::Slot slot; // Empty for the baselines.
+        Dispatch::Slot slot;
         Dispatch::ShardKey shard;
         Membership::Upstream upstream;
     };
@@ -60,7 +46,6 @@
     Common::Status claim(RequestContext&);
     Common::Status runClaimed(RequestContext&, const TryOnce&);
     Common::Result<Placed> place(RequestContext&, const std::string& pinned, const std::string& avoid);
-    Common::Result<Placed> placeLocally(RequestContext&);
     // A paused generation goes on in the shard of its worker; else the lighter of two shards.
     Dispatch::ShardKey chooseShard(const RequestContext&, const std::string& pinned);
     Attempt tryOnce(RequestContext&, const Placed&, bool resuming, const TryOnce&);
@@ -71,7 +56,6 @@
     Parts m_parts;
     std::mutex m_mutex;
     std::map<std::string, std::unique_ptr<Scheduling::RetryBudget>> m_budgets;
-    Scheduling::LocalChoice m_localChoice;
 };
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/Router.cpp
+++ b/Source/ClassServing/Frontend/Router.cpp
@@ -43,7 +43,7 @@
     , m_claims({ [this](const std::string& peer, Item item) { sendTo(peer, std::move(item)); },
                    [this](uint32_t partition) { return Dispatch::claimRouterOf(*m_membership.view(), partition); } },
           { m_settings.claimPartitions })
-    , m_attempts({ m_grants, m_claims, m_membership, m_loads, m_settings.placement, m_settings.claimHorizon })
+    , m_attempts({ m_grants, m_claims, m_membership, m_settings.claimHorizon })
     , m_chat(m_attempts, m_settings.upstream)
     , m_services(m_attempts, m_settings.upstream)
     , m_explanations(m_settings.explanations)
@@ -241,30 +241,25 @@
         m_mesh.send(target, item);
 }
 
+// Reads the load of the upstreams that this router schedules. A read that fails changes nothing, since the scheduler
+// relies on its own count of grants; it is logged for debugging only, because an engine that is gone fails twice a
+// second.
 void Router::probeLoads()
 {
-    auto probe = [this](Dispatch::ShardKey shard, const Membership::Upstream& upstream) {
-        Common::FiberRuntime::spawnHere([this, shard = std::move(shard), upstream] {
-            auto load = Upstream::readLoad(upstream.endpoint);
-            if (isError(load))
-                return;
-            m_loads.set(upstream.id, valueOf(load).running + valueOf(load).waiting);
-            m_home.report(shard, upstream.id, valueOf(load));
-            if (valueOf(load).leaving)
-                m_membership.setUpstreamLeaving(upstream.id, Common::now());
-        });
-    };
-    if (m_settings.placement != Scheduling::Placement::SharedQueue) {
-        auto view = m_membership.view();
-        for (const auto& [pool, upstreams] : view->pools) {
-            for (const auto& upstream : upstreams)
-                probe({ pool, 0 }, upstream);
+    auto probe = [this](const Dispatch::ShardKey& shard, const Membership::Upstream& upstream) {
+        auto load = Upstream::readLoad(upstream.endpoint);
+        if (isError(load)) {
+            Common::log(LogLevel::Debug, "router", "load.unreadable",
+                { { "upstream", upstream.id }, { "error", errorOf(load).message } });
+            return;
         }
-        return;
-    }
-    for (const auto& [shard, workers] : m_home.ownShards()) {
-        for (const auto& worker : workers)
-            probe(shard, worker);
+        m_home.report(shard, upstream.id, valueOf(load));
+        if (valueOf(load).leaving)
+            m_membership.setUpstreamLeaving(upstream.id, Common::now());
+    };
+    for (const auto& [shard, upstreams] : m_home.ownShards()) {
+        for (const auto& upstream : upstreams)
+            Common::FiberRuntime::spawnHere([probe, shard = shard, upstream] { probe(shard, upstream); });
     }
 }
 
--- a/Source/ClassServing/Frontend/Router.h
+++ b/Source/ClassServing/Frontend/Router.h
@@ -55,7 +55,6 @@
     Dispatch::GrantClient m_grants;
     Claims::ClaimRouter m_claimRouter;
     Claims::ClaimClient m_claims;
-    LoadBoard m_loads;
     AttemptLoop m_attempts;
     ChatHandler m_chat;
     ServiceHandler m_services;
--- a/Source/ClassServing/Frontend/RouterSettings.cpp
+++ b/Source/ClassServing/Frontend/RouterSettings.cpp
@@ -51,22 +51,14 @@
     SettingSpec { "/claims/horizon_ms", SettingType::Integer, 86'400'000, "ms", 1000, 604'800'000,
         "How long a key holds; the same on all instances" },
     SettingSpec { "/scheduling/placement", SettingType::Text, "shared_queue", "", 0, 0,
-        "round_robin and two_choices are baselines", { "shared_queue", "round_robin", "two_choices" } },
+        "How requests are placed; round_robin and two_choices, baselines of measurements, were removed",
+        { "shared_queue" } },
     SettingSpec { "/explanations", SettingType::Integer, 4096, "requests", 1, 1'000'000,
         "Requests that can be explained afterwards" },
 };
 
 std::span<const SettingSpec> RouterSettings::table() { return s_table; }
 
-static Scheduling::Placement placementOf(std::string_view text)
-{
-    if (text == "round_robin")
-        return Scheduling::Placement::RoundRobin;
-    if (text == "two_choices")
-        return Scheduling::Placement::TwoChoices;
-    return Scheduling::Placement::SharedQueue;
-}
-
 RouterSettings RouterSettings::from(const Common::Settings& settings)
 {
     RouterSettings result;
@@ -94,7 +86,6 @@
     result.drainLimit = settings.milliseconds("/drain/limit_ms");
     result.claimPartitions = static_cast<uint32_t>(settings.integer("/claims/partitions"));
     result.claimHorizon = settings.milliseconds("/claims/horizon_ms");
-    result.placement = placementOf(settings.text("/scheduling/placement"));
     result.explanations = static_cast<size_t>(settings.integer("/explanations"));
     return result;
 }
--- a/Source/ClassServing/Frontend/RouterSettings.h
+++ b/Source/ClassServing/Frontend/RouterSettings.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "ClassServing/Scheduling/LocalChoice.h"
 #include "ClassServing/Upstream/EngineStream.h"
 #include "Common/HttpServer.h"
 #include "Common/Settings.h"
@@ -28,7 +27,6 @@
     uint32_t claimPartitions { 2 };
     Common::Milliseconds claimHorizon { 0 };
     Upstream::UpstreamTimeouts upstream;
-    Scheduling::Placement placement { Scheduling::Placement::SharedQueue };
     size_t explanations { 4096 };
 
     static std::span<const Common::SettingSpec> table();
--- a/Source/Programs/Experiment/Main.cpp
+++ b/Source/Programs/Experiment/Main.cpp
@@ -10,11 +10,8 @@
 
 using namespace Brassladder;
 
-ABSL_FLAG(std::vector<std::string>, policies,
-    std::vector<std::string>({ "round_robin", "two_choices", "shared_queue" }), "Placements to compare");
-ABSL_FLAG(int, seeds, 5, "Runs of each policy, with seeds from 1");
+ABSL_FLAG(int, seeds, 5, "Runs, with seeds from 1");
 ABSL_FLAG(std::string, json, "", "File for the results");
-ABSL_FLAG(std::string, svg, "", "File for a plot of the last policy's first run");
 
 // Median, least and most over the seeds.
 static std::string spread(std::vector<double> values, double factor)
@@ -26,9 +23,9 @@
     return text;
 }
 
-static void printPolicy(const std::string& policy, const std::vector<Testing::Harness::Outcome>& outcomes)
+static void printOutcomes(const std::vector<Testing::Harness::Outcome>& outcomes)
 {
-    std::cout << "\n" << policy << ", " << outcomes.size() << " seeds: median (least to most)\n";
+    std::cout << "\n" << outcomes.size() << " seeds: median (least to most)\n";
     std::vector<double> goodput;
     std::vector<double> finish;
     std::vector<double> wasted;
@@ -54,7 +51,7 @@
 int main(int argc, char** argv)
 {
     auto words = Common::parseCommandLine(
-        argc, argv, "Runs a scenario with several policies on the same seeds.\n  brassladder-experiment FILE");
+        argc, argv, "Runs a scenario of class serving with several seeds.\n  brassladder-experiment FILE");
     if (words.size() != 1)
         Common::finish(Common::ExitCode::Usage);
     auto read = Testing::Harness::readScenario(words[0]);
@@ -66,20 +63,15 @@
     auto& runtime = Common::FiberRuntime::start(2);
     std::cout << "scenario " << scenario.name << ": " << scenario.engines << " engines x " << scenario.engine.slots
               << " slots, step " << scenario.engine.stepMicros << " us, " << scenario.routers << " routers\n";
-    Common::Json results = Common::Json::object();
-    for (const auto& policy : absl::GetFlag(FLAGS_policies)) {
-        std::vector<Testing::Harness::Outcome> outcomes;
-        for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds); ++seed) {
-            outcomes.push_back(Testing::Harness::runScenario(runtime, scenario, policy, static_cast<uint64_t>(seed)));
-            const auto& last = outcomes.back();
-            results[policy].push_back({ { "seed", seed }, { "goodput", last.goodput }, { "finish", last.finish },
-                { "wasted", last.wastedPart() }, { "classes", Testing::Load::toJson(last.report) } });
-        }
-        printPolicy(policy, outcomes);
-        if (auto file = absl::GetFlag(FLAGS_svg); !file.empty())
-            std::ofstream(file) << Testing::Harness::plot(scenario.name + ", " + policy,
-                Testing::Harness::attainmentBySecond(scenario, outcomes.front().history));
+    Common::Json results = Common::Json::array();
+    std::vector<Testing::Harness::Outcome> outcomes;
+    for (int seed = 1; seed <= absl::GetFlag(FLAGS_seeds); ++seed) {
+        outcomes.push_back(Testing::Harness::runScenario(runtime, scenario, static_cast<uint64_t>(seed)));
+        const auto& last = outcomes.back();
+        results.push_back({ { "seed", seed }, { "goodput", last.goodput }, { "finish", last.finish },
+            { "wasted", last.wastedPart() }, { "classes", Testing::Load::toJson(last.report) } });
     }
+    printOutcomes(outcomes);
     if (auto file = absl::GetFlag(FLAGS_json); !file.empty())
         std::ofstream(file) << results.dump(2) << "\n";
     Common::finish(Common::ExitCode::Success);
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -60,7 +60,7 @@
     return scenario;
 }
 
-static void build(Cluster& cluster, const Scenario& scenario, const std::string& placement)
+static void build(Cluster& cluster, const Scenario& scenario)
 {
     auto domain = [&](int index) { return scenario.domains[static_cast<size_t>(index) % scenario.domains.size()]; };
     for (int index = 0; index < scenario.engines; ++index)
@@ -68,8 +68,8 @@
     for (int index = 0; index < scenario.services && !scenario.service.empty(); ++index)
         cluster.addService(scenario.service + "-" + std::to_string(index), scenario.service, 2, domain(index));
     for (int index = 0; index < scenario.routers; ++index)
-        cluster.addRouter("router-" + std::to_string(index),
-            { { "/scheduling/placement", placement }, { "/failure_domain", domain(index) }, { "/threads", "1" } });
+        cluster.addRouter(
+            "router-" + std::to_string(index), { { "/failure_domain", domain(index) }, { "/threads", "1" } });
     cluster.publish(valueOf(Operator::readFolder(scenario.configFolder)));
 }
 
@@ -167,11 +167,10 @@
     return static_cast<double>(generatedTokens - usefulTokens) / static_cast<double>(generatedTokens);
 }
 
-Outcome runScenario(
-    Common::FiberRuntime& runtime, const Scenario& scenario, const std::string& placement, uint64_t seed)
+Outcome runScenario(Common::FiberRuntime& runtime, const Scenario& scenario, uint64_t seed)
 {
     Cluster cluster(runtime);
-    build(cluster, scenario, placement);
+    build(cluster, scenario);
     auto plan = scenario.load;
     plan.seed = seed;
     plan.routers = cluster.routers();
@@ -201,54 +200,4 @@
     return outcome;
 }
 
-std::map<std::string, std::vector<double>> attainmentBySecond(
-    const Scenario& scenario, std::span<const Load::CallRecord> history)
-{
-    std::map<std::string, double> targets;
-    for (const auto& arrivals : scenario.load.arrivals)
-        targets[arrivals.requestClass] = Common::toSeconds(arrivals.target);
-    auto seconds = static_cast<size_t>(scenario.load.seconds) + 1;
-    std::map<std::string, std::vector<std::pair<int, int>>> counts;
-    for (const auto& record : history) {
-        auto& row = counts[record.requestClass];
-        row.resize(seconds);
-        auto& [met, all] = row[std::min(seconds - 1, static_cast<size_t>(record.intendedSeconds))];
-        met += record.whole && record.firstSeconds <= targets[record.requestClass];
-        ++all;
-    }
-    std::map<std::string, std::vector<double>> parts;
-    for (const auto& [name, row] : counts) {
-        for (const auto& [met, all] : row)
-            parts[name].push_back(all ? static_cast<double>(met) / all : 1);
-    }
-    return parts;
-}
-
-std::string plot(const std::string& title, const std::map<std::string, std::vector<double>>& parts)
-{
-    static constexpr int width = 640;
-    static constexpr int rowHeight = 60;
-    std::string svg;
-    int row = 0;
-    for (const auto& [name, values] : parts) {
-        int top = 40 + row++ * (rowHeight + 24);
-        std::string points;
-        for (size_t second = 0; second < values.size(); ++second) {
-            auto x = 130
-                + static_cast<int>(second) * (width - 150) / static_cast<int>(std::max<size_t>(1, values.size() - 1));
-            points += std::to_string(x) + ","
-                + std::to_string(top + rowHeight - static_cast<int>(values[second] * rowHeight)) + " ";
-        }
-        svg += "<text x='8' y='" + std::to_string(top + rowHeight / 2) + "' font-size='12'>" + name + "</text>";
-        svg += "<rect x='130' y='" + std::to_string(top) + "' width='" + std::to_string(width - 150) + "' height='"
-            + std::to_string(rowHeight) + "' fill='none' stroke='#bbb'/>";
-        svg += "<polyline fill='none' stroke='#1f5fa8' stroke-width='2' points='" + points + "'/>\n";
-    }
-    int height = 60 + row * (rowHeight + 24);
-    return "<svg xmlns='http://www.w3.org/2000/svg' width='" + std::to_string(width) + "' height='"
-        + std::to_string(height)
-        + "' font-family='sans-serif'><rect width='100%' height='100%' fill='white'/><text x='8' y='20' font-size='14'>"
-        + title + ": share of requests within target, by second of arrival (0 to 1)</text>\n" + svg + "</svg>\n";
-}
-
 } // namespace Brassladder::Testing::Harness
--- a/Source/Testing/Harness/Experiment.h
+++ b/Source/Testing/Harness/Experiment.h
@@ -31,7 +31,7 @@
 // Reads a scenario; all faults in one go.
 std::variant<Scenario, std::vector<Common::Fault>> readScenario(const std::string& path);
 
-// What one run with one policy and one seed gave.
+// What one run with one seed gave.
 struct Outcome {
     Load::Report report;
     std::vector<Load::CallRecord> history;
@@ -44,12 +44,7 @@
     double wastedPart() const;
 };
 
-// Runs the scenario on a cluster of its own. The policy is a placement as in the router's settings.
-Outcome runScenario(Common::FiberRuntime&, const Scenario&, const std::string& placement, uint64_t seed);
-
-// Share of requests that met their target, by class, for each second of the run: for plots and for repair times.
-std::map<std::string, std::vector<double>> attainmentBySecond(const Scenario&, std::span<const Load::CallRecord>);
-// A plot of it as SVG.
-std::string plot(const std::string& title, const std::map<std::string, std::vector<double>>&);
+// Runs the scenario on a cluster of its own.
+Outcome runScenario(Common::FiberRuntime&, const Scenario&, uint64_t seed);
 
 } // namespace Brassladder::Testing::Harness
