--- a/Source/Benchmarks/GrantDecision.cpp
+++ b/Source/Benchmarks/GrantDecision.cpp
@@ -26,10 +26,10 @@
         policies[tier].preemptible = tier > 0;
     }
     ClassServing::Scheduling::ShardScheduler shard({ 1, 200'000, true });
-    std::vector<ClassServing::Scheduling::WorkerInfo> infos;
+    std::vector<ClassServing::Scheduling::UpstreamInfo> infos;
     for (uint32_t index = 0; index < workers; ++index)
         infos.push_back({ "worker-" + std::to_string(index), slots, false });
-    shard.setWorkers(infos);
+    shard.setUpstreams(infos);
     Common::TimePoint now(1h);
     ClassServing::Scheduling::ShardScheduler::Decisions decisions;
     uint64_t sequence = 0;
@@ -59,7 +59,7 @@
     size_t next = 0;
     for (auto _ : state) {
         now += 10us;
-        shard.release({ running[next], ClassServing::Scheduling::Outcome::Completed, 20, 10ms }, now);
+        shard.release({ running[next], ClassServing::Scheduling::SlotOutcome::Completed, 20, 10ms }, now);
         running[next] = running.back();
         running.pop_back();
         next = running.empty() ? 0 : (next + 7) % running.size();
--- a/Source/ClassServing/Claims/ClaimClient.cpp
+++ b/Source/ClassServing/Claims/ClaimClient.cpp
@@ -10,7 +10,7 @@
     return static_cast<uint32_t>(Common::stableHash(key) % m_options.partitions);
 }
 
-Verdict ClaimClient::claim(const KeyAndRequest& what, bool lookOnly)
+Verdict ClaimClient::claim(const KeyAndRequest& what, bool readOnly)
 {
     auto waiter = std::make_shared<Waiter>();
     uint64_t sequence = 0;
@@ -19,16 +19,16 @@
         sequence = ++m_lastSequence;
         m_waiters[sequence] = waiter;
     }
-    auto giveUp = Common::now() + m_options.patience;
+    auto deadline = Common::now() + m_options.timeout;
     auto verdict = Verdict::Unavailable;
-    while (Common::now() < giveUp) {
+    while (Common::now() < deadline) {
         Inner::Wire::Item item;
         auto& request = *item.mutable_claim_request();
         request.set_sequence(sequence);
         request.set_partition(partitionOf(what.key));
         request.set_key(what.key);
         request.set_request_id(what.requestId);
-        request.set_look_only(lookOnly);
+        request.set_look_only(readOnly);
         m_hooks.send(m_hooks.claimRouterOf(request.partition()), std::move(item));
         std::unique_lock lock(waiter->mutex);
         if (waiter->changed.wait_for(lock, m_options.resend, [&] { return waiter->verdict.has_value(); })) {
--- a/Source/ClassServing/Claims/ClaimClient.h
+++ b/Source/ClassServing/Claims/ClaimClient.h
@@ -19,7 +19,7 @@
     };
     struct Options {
         uint32_t partitions { 2 };
-        Common::Milliseconds patience { 2000 }; // For the whole claim.
+        Common::Milliseconds timeout { 2000 }; // For the whole claim.
         Common::Milliseconds resend { 400 };
     };
 
@@ -30,7 +30,7 @@
     }
 
     // Suspends the calling fiber until the verdict is known or the patience is over.
-    Verdict claim(const KeyAndRequest&, bool lookOnly);
+    Verdict claim(const KeyAndRequest&, bool readOnly);
     // The claimant gives its claim up and will never send its request.
     void free(const KeyAndRequest& what) { update(what, true); }
     // The claimant's request has run to its end.
--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -37,7 +37,7 @@
     return slot;
 }
 
-void ClaimRouter::request(uint32_t number, KeyAndRequest what, bool lookOnly, const Answer& answer)
+void ClaimRouter::request(uint32_t number, KeyAndRequest what, bool readOnly, const Answer& answer)
 {
     auto partition = use(number);
     bool refuse = false;
@@ -46,7 +46,7 @@
         partition->lastUsed = Common::now();
         refuse = !partition->reachable;
         if (!refuse)
-            partition->pending.push_back({ std::move(what), lookOnly, Common::now() + m_options.patience, answer });
+            partition->pending.push_back({ std::move(what), readOnly, Common::now() + m_options.timeout, answer });
     }
     if (refuse)
         answer(Verdict::Unavailable);
@@ -82,7 +82,7 @@
             auto verdict = partition.caughtUp ? partition.fold.verdict(pending.what.key, pending.what.requestId)
                                               : Verdict::Unclaimed;
             bool beingFreed = partition.freeing.contains(partition.fold.holder(pending.what.key));
-            bool settled = partition.caughtUp && !beingFreed && (pending.lookOnly || verdict != Verdict::Unclaimed);
+            bool settled = partition.caughtUp && !beingFreed && (pending.readOnly || verdict != Verdict::Unclaimed);
             bool givenUp = !partition.reachable || now >= pending.deadline;
             if (settled || givenUp)
                 answers.emplace_back(pending.answer, settled ? verdict : Verdict::Unavailable);
@@ -167,7 +167,7 @@
             if (!partition->caughtUp || !partition->reachable)
                 continue;
             for (const auto& pending : partition->pending) {
-                if (!pending.lookOnly)
+                if (!pending.readOnly)
                     batch.claimed.push_back(pending.what);
             }
             std::swap(batch.freed, partition->updates.freed);
--- a/Source/ClassServing/Claims/ClaimRouter.h
+++ b/Source/ClassServing/Claims/ClaimRouter.h
@@ -19,20 +19,20 @@
     struct Options {
         Common::Milliseconds horizon { 24 * 3600 * 1000 };
         Common::Milliseconds interval { 50 }; // Between two appends to one partition: at most 20 a second.
-        Common::Milliseconds patience { 1500 }; // For one claim, until it is answered Unavailable.
+        Common::Milliseconds timeout { 1500 }; // For one claim, until it is answered Unavailable.
     };
 
     ClaimRouter(BackingServices::LogService, Options);
 
-    // Answers at once or later, from another fiber. With `lookOnly` nothing is claimed.
-    void request(uint32_t partition, KeyAndRequest, bool lookOnly, const Answer&);
+    // Answers at once or later, from another fiber. With `readOnly` nothing is claimed.
+    void request(uint32_t partition, KeyAndRequest, bool readOnly, const Answer&);
     void markFreed(uint32_t partition, KeyAndRequest);
     void markEnded(uint32_t partition, KeyAndRequest);
 
 private:
     struct Pending {
         KeyAndRequest what;
-        bool lookOnly { false };
+        bool readOnly { false };
         Common::TimePoint deadline;
         Answer answer;
     };
--- a/Source/ClassServing/Config/Model.cpp
+++ b/Source/ClassServing/Config/Model.cpp
@@ -138,7 +138,7 @@
     Pool pool;
     pool.name = reader.text("name");
     pool.kind = reader.choice("kind", s_kinds) == "service" ? PoolKind::Service : PoolKind::Engine;
-    pool.slotsPerWorker = static_cast<uint32_t>(reader.integer("slots_per_worker", "requests", 1, 4096));
+    pool.slotsPerUpstream = static_cast<uint32_t>(reader.integer("slots_per_worker", "requests", 1, 4096));
     pool.shardSize = static_cast<uint32_t>(reader.integer("shard_size", "workers", 1, 256, 16));
     pool.guaranteedSlots = static_cast<uint32_t>(reader.integer("guaranteed_slots", "requests", 0, 64, 1));
     reader.finish();
--- a/Source/ClassServing/Config/Model.h
+++ b/Source/ClassServing/Config/Model.h
@@ -19,7 +19,7 @@
 struct Pool {
     std::string name;
     PoolKind kind { PoolKind::Engine };
-    uint32_t slotsPerWorker { 8 };
+    uint32_t slotsPerUpstream { 8 };
     uint32_t shardSize { 16 }; // Workers that one home schedules.
     uint32_t guaranteedSlots { 1 }; // Of each shard, for classes that have waited past their bound.
 };
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -30,8 +30,8 @@
 
 void Store::follow(const std::function<std::vector<std::string>()>& peers)
 {
-    auto patience = Common::now() + peerPatience;
-    while (!m_ready && Common::now() < patience) {
+    auto timeout = Common::now() + peerPatience;
+    while (!m_ready && Common::now() < timeout) {
         for (const auto& peer : peers())
             requestFrom(peer);
         Common::sleepFor(pollPause);
--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -49,8 +49,8 @@
     auto waited = std::max(Common::Milliseconds(0), Common::toMilliseconds(now - request.arrived));
     ask.set_waited_ms(static_cast<uint32_t>(waited.count()));
     ask.set_avoid(request.avoid);
-    ask.set_worker(pending.worker.empty() ? request.pinned : pending.worker);
-    ask.set_running(!pending.worker.empty());
+    ask.set_worker(pending.upstream.empty() ? request.pinned : pending.upstream);
+    ask.set_running(!pending.upstream.empty());
     ask.set_guaranteed(pending.guaranteed);
     return item;
 }
@@ -108,15 +108,15 @@
 Result<Slot> GrantClient::await(uint64_t sequence, const SlotRequest& request, RequestSignal& signal)
 {
     const auto& policy = request.requestClass->policy;
-    auto giveUp = std::max(request.arrived + policy.maxWait, Common::now()) + lastResort;
+    auto deadline = std::max(request.arrived + policy.maxWait, Common::now()) + lastResort;
     auto settled = [&] { return signal.m_outcome.has_value() || signal.m_cancelled; };
     std::unique_lock lock(signal.m_mutex);
     bool urgent = policy.tier == 0;
     while (!settled()) {
-        auto patience = urgent && !signal.m_queued ? Common::now() + silentHome : giveUp;
-        if (signal.m_changed.wait_until(lock, patience, settled))
+        auto timeout = urgent && !signal.m_queued ? Common::now() + silentHome : deadline;
+        if (signal.m_changed.wait_until(lock, timeout, settled))
             break;
-        if (Common::now() < giveUp) {
+        if (Common::now() < deadline) {
             // Word that the request is queued may have come meanwhile; then it just waits on.
             if (signal.m_queued)
                 continue;
@@ -125,9 +125,9 @@
             lock.lock();
             continue;
         }
-        // Paused work has no deadline: it waits as long as its home answers for the worker.
+        // Paused work has no deadline: it waits as long as its home answers for the upstream.
         if (!request.pinned.empty()) {
-            giveUp = Common::now() + lastResort;
+            deadline = Common::now() + lastResort;
             continue;
         }
         return Common::makeError(ErrorKind::WaitExpired, "no slot came free in time");
@@ -157,7 +157,7 @@
         --m_outstanding[shard];
         m_pending.erase(found);
     }
-    m_hooks.send(home, releaseItem(sequence, shard, { {}, Scheduling::Outcome::Cancelled, 0, {} }));
+    m_hooks.send(home, releaseItem(sequence, shard, { {}, Scheduling::SlotOutcome::Cancelled, 0, {} }));
 }
 
 void GrantClient::release(const Slot& slot, const ShardKey& shard, const Scheduling::Release& release)
@@ -191,9 +191,9 @@
         // A grant of a home that we have left, or for a request that has ended, is void. The home is told by the
         // release or withdrawal that it has got or will get; here we only must not act on it.
         bool current = found != m_pending.end() && found->second.home == home;
-        if (!current || !found->second.worker.empty())
+        if (!current || !found->second.upstream.empty())
             return;
-        found->second.worker = grant.worker();
+        found->second.upstream = grant.worker();
         found->second.guaranteed = grant.guaranteed();
         signal = found->second.signal;
     }
@@ -206,7 +206,7 @@
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(refusal.sequence());
-        if (found == m_pending.end() || found->second.home != home || !found->second.worker.empty())
+        if (found == m_pending.end() || found->second.home != home || !found->second.upstream.empty())
             return;
         signal = found->second.signal;
     }
@@ -223,7 +223,7 @@
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(preemption.sequence());
-        if (found == m_pending.end() || found->second.home != home || found->second.worker.empty())
+        if (found == m_pending.end() || found->second.home != home || found->second.upstream.empty())
             return;
         signal = found->second.signal;
     }
@@ -263,9 +263,9 @@
             // The old home, should it live, forgets the request; the new one is told of it.
             if (pending.home != place->second)
                 told.emplace_back(pending.home,
-                    releaseItem(sequence, pending.request.shard, { {}, Scheduling::Outcome::Cancelled, 0, {} }));
+                    releaseItem(sequence, pending.request.shard, { {}, Scheduling::SlotOutcome::Cancelled, 0, {} }));
             pending.home = place->second;
-            pending.lastTold = now;
+            pending.lastSent = now;
             told.emplace_back(pending.home, askItem(sequence, pending, now));
         }
     }
@@ -283,7 +283,7 @@
         for (auto& [sequence, pending] : m_pending) {
             if (pending.home != home)
                 continue;
-            pending.lastTold = now;
+            pending.lastSent = now;
             told.push_back(askItem(sequence, pending, now));
         }
     }
@@ -298,9 +298,9 @@
     {
         std::lock_guard lock(m_mutex);
         for (auto& [sequence, pending] : m_pending) {
-            if (!pending.worker.empty() || now - pending.lastTold < repeatInterval)
+            if (!pending.upstream.empty() || now - pending.lastSent < repeatInterval)
                 continue;
-            pending.lastTold = now;
+            pending.lastSent = now;
             told.emplace_back(pending.home, askItem(sequence, pending, now));
         }
     }
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -26,7 +26,7 @@
 // A slot that was granted, until it is released.
 struct Slot {
     uint64_t sequence { 0 };
-    std::string worker;
+    std::string upstream;
     std::string home;
     bool guaranteed { false };
     explicit operator bool() const { return sequence; }
@@ -90,9 +90,9 @@
         SlotRequest request;
         std::string home;
         std::shared_ptr<RequestSignal> signal;
-        std::string worker; // Empty while it waits.
+        std::string upstream; // Empty while it waits.
         bool guaranteed { false };
-        Common::TimePoint lastTold;
+        Common::TimePoint lastSent;
     };
 
     Inner::Wire::Item askItem(uint64_t sequence, const Pending&, Common::TimePoint now) const;
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -61,28 +61,28 @@
         return nullptr;
     auto fresh = std::make_shared<Shard>(Scheduling::ShardOptions { .guaranteedSlots = pool->guaranteedSlots });
     fresh->key = key;
-    fresh->scheduler.setWorkers(workersOf(key));
+    fresh->scheduler.setUpstreams(upstreamsOf(key));
     fresh->scheduler.collectUntil(Common::now() + collectTime);
     Common::log(LogLevel::Info, "dispatch", "shard.opened", { { "shard", key.text() } });
     std::lock_guard lock(m_mutex);
     return m_shards.try_emplace(key, std::move(fresh)).first->second;
 }
 
-std::vector<Scheduling::WorkerInfo> Home::workersOf(const ShardKey& key) const
+std::vector<Scheduling::UpstreamInfo> Home::upstreamsOf(const ShardKey& key) const
 {
-    std::vector<Scheduling::WorkerInfo> workers;
+    std::vector<Scheduling::UpstreamInfo> ofShard;
     auto view = m_hooks.view();
     auto table = m_hooks.table();
     const auto* pool = table->pool(key.pool);
-    auto upstreams = view->pools.find(key.pool);
-    if (!pool || upstreams == view->pools.end())
-        return workers;
-    uint32_t count = shardCount(*pool, upstreams->second.size());
-    for (const auto& upstream : upstreams->second) {
+    auto ofPool = view->pools.find(key.pool);
+    if (!pool || ofPool == view->pools.end())
+        return ofShard;
+    uint32_t count = shardCount(*pool, ofPool->second.size());
+    for (const auto& upstream : ofPool->second) {
         if (shardOf(key.pool, upstream.id, count) == key.index)
-            workers.push_back({ upstream.id, pool->slotsPerWorker, upstream.leaving });
+            ofShard.push_back({ upstream.id, pool->slotsPerUpstream, upstream.leaving });
     }
-    return workers;
+    return ofShard;
 }
 
 void Home::onAsk(const Inner::Mesh::Sender& sender, const Inner::Wire::Ask& message)
@@ -130,7 +130,7 @@
         return;
     Scheduling::Release release;
     release.id = { entryNumber(sender), message.sequence() };
-    release.outcome = static_cast<Scheduling::Outcome>(message.outcome());
+    release.outcome = static_cast<Scheduling::SlotOutcome>(message.outcome());
     release.tokens = message.tokens();
     release.perToken = std::chrono::microseconds(message.per_token_us());
     std::lock_guard lock(shard->mutex);
@@ -180,7 +180,7 @@
             Item item;
             auto& grant = *item.mutable_grant();
             grant.set_sequence(granted.sequence);
-            grant.set_worker(granted.worker);
+            grant.set_worker(granted.upstream);
             grant.set_guaranteed(granted.guaranteed);
             m_hooks.send(entry, std::move(item));
         }
@@ -190,7 +190,7 @@
 void Home::onViewChanged(const Membership::View& view)
 {
     std::set<ShardKey> owned;
-    for (const auto& [key, workers] : ownShards())
+    for (const auto& [key, upstreams] : ownShards())
         owned.insert(key);
     std::set<ShardKey> before;
     {
@@ -198,9 +198,9 @@
         before = std::exchange(m_owned, owned);
     }
     for (const auto& shard : shards()) {
-        auto workers = workersOf(shard->key);
+        auto upstreams = upstreamsOf(shard->key);
         std::lock_guard lock(shard->mutex);
-        shard->scheduler.setWorkers(workers);
+        shard->scheduler.setUpstreams(upstreams);
         if (owned.contains(shard->key) && !before.contains(shard->key))
             shard->scheduler.collectUntil(Common::now() + collectTime);
         // What an entry held that is no longer alive runs on without us; its slots are free for others.
@@ -215,13 +215,13 @@
     }
 }
 
-void Home::report(const ShardKey& key, std::string_view worker, const Scheduling::LoadReport& load)
+void Home::report(const ShardKey& key, std::string_view upstream, const Scheduling::LoadReport& load)
 {
     auto shard = find(key);
     if (!shard)
         return;
     std::lock_guard lock(shard->mutex);
-    shard->scheduler.report(worker, load);
+    shard->scheduler.report(upstream, load);
 }
 
 void Home::tick()
@@ -250,9 +250,9 @@
             entry = grant->id.entry;
             auto& message = *item.mutable_grant();
             message.set_sequence(grant->id.sequence);
-            message.set_worker(grant->worker);
+            message.set_worker(grant->upstream);
             message.set_guaranteed(grant->guaranteed);
-            shard.granted[grant->id] = { entryName(entry), grant->id.sequence, grant->worker, grant->guaranteed };
+            shard.granted[grant->id] = { entryName(entry), grant->id.sequence, grant->upstream, grant->guaranteed };
         } else if (const auto* refusal = std::get_if<Scheduling::Refusal>(&decision)) {
             entry = refusal->id.entry;
             auto& message = *item.mutable_refusal();
@@ -284,20 +284,20 @@
     auto view = m_hooks.view();
     auto table = m_hooks.table();
     for (const auto& [name, pool] : table->pools) {
-        auto upstreams = view->pools.find(name);
-        if (upstreams == view->pools.end())
+        auto ofPool = view->pools.find(name);
+        if (ofPool == view->pools.end())
             continue;
-        uint32_t count = shardCount(pool, upstreams->second.size());
+        uint32_t count = shardCount(pool, ofPool->second.size());
         for (uint32_t index = 0; index < count; ++index) {
             ShardKey key { name, index };
             if (homeOf(*view, key) != m_self)
                 continue;
-            std::vector<Membership::Upstream> workers;
-            for (const auto& upstream : upstreams->second) {
+            std::vector<Membership::Upstream> ofShard;
+            for (const auto& upstream : ofPool->second) {
                 if (shardOf(name, upstream.id, count) == index)
-                    workers.push_back(upstream);
+                    ofShard.push_back(upstream);
             }
-            owned.emplace_back(std::move(key), std::move(workers));
+            owned.emplace_back(std::move(key), std::move(ofShard));
         }
     }
     return owned;
@@ -313,11 +313,11 @@
             byTier.push_back({ { "waiting", shard->scheduler.waitingCount(tier) },
                 { "running", shard->scheduler.runningCount(tier) } });
         }
-        auto workers = Common::Json::object();
+        auto upstreams = Common::Json::object();
         for (const auto& id : shard->scheduler.ledger().ids())
-            workers[id] = shard->scheduler.ledger().runningOn(id);
+            upstreams[id] = shard->scheduler.ledger().runningOn(id);
         list[shard->key.text()]
-            = { { "home", m_owned.contains(shard->key) }, { "tiers", byTier }, { "running_on", workers } };
+            = { { "home", m_owned.contains(shard->key) }, { "tiers", byTier }, { "running_on", upstreams } };
     }
     return list;
 }
--- a/Source/ClassServing/Dispatch/Home.h
+++ b/Source/ClassServing/Dispatch/Home.h
@@ -32,11 +32,11 @@
     // Tells an entry again what it was granted, since its connection was new.
     void onEntryConnected(const std::string& entry);
     void onViewChanged(const Membership::View&);
-    void report(const ShardKey&, std::string_view worker, const Scheduling::LoadReport&);
+    void report(const ShardKey&, std::string_view upstream, const Scheduling::LoadReport&);
     // Expires, preempts and grants what only time decides. To be called every few milliseconds.
     void tick();
 
-    // The shards whose home this router is, in its own view, with their workers.
+    // The shards whose home this router is, in its own view, with their upstreams.
     std::vector<std::pair<ShardKey, std::vector<Membership::Upstream>>> ownShards() const;
     Common::Json status() const;
 
@@ -44,7 +44,7 @@
     struct Granted {
         std::string entry;
         uint64_t sequence { 0 };
-        std::string worker;
+        std::string upstream;
         bool guaranteed { false };
     };
     struct Shard {
@@ -63,7 +63,7 @@
     std::shared_ptr<Shard> shard(const ShardKey&);
     std::shared_ptr<Shard> find(const ShardKey&) const;
     std::vector<std::shared_ptr<Shard>> shards() const;
-    std::vector<Scheduling::WorkerInfo> workersOf(const ShardKey&) const;
+    std::vector<Scheduling::UpstreamInfo> upstreamsOf(const ShardKey&) const;
     static void forgetLocked(Shard&, const std::set<uint64_t>& entries);
     void decideLocked(Shard&, Scheduling::ShardScheduler::Decisions&);
     void emitLocked(Shard&, const Scheduling::ShardScheduler::Decisions&);
--- a/Source/ClassServing/Dispatch/Sharding.cpp
+++ b/Source/ClassServing/Dispatch/Sharding.cpp
@@ -7,20 +7,20 @@
 
 namespace Brassladder::ClassServing::Dispatch {
 
-uint32_t shardCount(const Config::Pool& pool, size_t workers)
+uint32_t shardCount(const Config::Pool& pool, size_t upstreams)
 {
-    auto count = (workers + pool.shardSize - 1) / pool.shardSize;
+    auto count = (upstreams + pool.shardSize - 1) / pool.shardSize;
     return static_cast<uint32_t>(std::max<size_t>(1, count));
 }
 
-uint32_t shardOf(std::string_view pool, std::string_view worker, uint32_t count)
+uint32_t shardOf(std::string_view pool, std::string_view upstream, uint32_t count)
 {
     if (count == 1)
         return 0;
     std::vector<std::string> shards;
     for (uint32_t index = 0; index < count; ++index)
         shards.push_back(ShardKey { std::string(pool), index }.text());
-    auto chosen = Scheduling::rendezvous(shards, worker);
+    auto chosen = Scheduling::rendezvous(shards, upstream);
     return static_cast<uint32_t>(std::find(shards.begin(), shards.end(), chosen) - shards.begin());
 }
 
--- a/Source/ClassServing/Dispatch/Sharding.h
+++ b/Source/ClassServing/Dispatch/Sharding.h
@@ -18,10 +18,10 @@
     std::string text() const { return pool + "/" + std::to_string(index); }
 };
 
-// How many shards a pool of so many workers is cut into.
-uint32_t shardCount(const Config::Pool&, size_t workers);
-// The shard of a worker: by rendezvous, so that a change of the count moves few workers.
-uint32_t shardOf(std::string_view pool, std::string_view worker, uint32_t count);
+// How many shards a pool of so many upstreams is cut into.
+uint32_t shardCount(const Config::Pool&, size_t upstreams);
+// The shard of a upstream: by rendezvous, so that a change of the count moves few upstreams.
+uint32_t shardOf(std::string_view pool, std::string_view upstream, uint32_t count);
 // The router that schedules the shard, in this view; empty when no router is alive.
 std::string homeOf(const Membership::View&, const ShardKey&);
 // The claim router of a partition, in this view.
--- a/Source/ClassServing/Frontend/AttemptLoop.cpp
+++ b/Source/ClassServing/Frontend/AttemptLoop.cpp
@@ -11,7 +11,7 @@
 using Common::Ran;
 using Common::Result;
 using Common::Status;
-using Scheduling::Outcome;
+using Scheduling::SlotOutcome;
 
 AttemptLoop::AttemptLoop(Parts parts)
     : m_parts(parts)
@@ -27,11 +27,11 @@
     return *budget;
 }
 
-Status AttemptLoop::run(RequestContext& context, const TryOnce& tryOnce)
+Status AttemptLoop::run(RequestContext& context, const AttemptHook& runAttempt)
 {
     if (auto status = claim(context); isError(status))
         return status;
-    auto status = runClaimed(context, tryOnce);
+    auto status = runClaimed(context, runAttempt);
     settleClaim(context, status);
     return status;
 }
@@ -89,13 +89,13 @@
     return error.ran == Ran::No || !context.requestClass->noRepeat;
 }
 
-// Whether only the worker that was chosen is to blame, so that another one may do.
-static bool isWorkerGone(const Error& error)
+// Whether only the upstream that was chosen is to blame, so that another one may do.
+static bool isUpstreamGone(const Error& error)
 {
     return error.kind == ErrorKind::UpstreamLostState || error.kind == ErrorKind::UpstreamRefused;
 }
 
-Status AttemptLoop::runClaimed(RequestContext& context, const TryOnce& tryOnceHook)
+Status AttemptLoop::runClaimed(RequestContext& context, const AttemptHook& attemptHook)
 {
     auto& retries = budget(context.requestClass->pool);
     retries.deposit();
@@ -103,14 +103,14 @@
     std::string avoid;
     for (uint32_t tries = 1;;) {
         auto placed = place(context, pinned, avoid);
-        if (isError(placed) && !isWorkerGone(errorOf(placed)))
+        if (isError(placed) && !isUpstreamGone(errorOf(placed)))
             return errorOf(placed);
         Error error;
         if (isError(placed)) {
             error = errorOf(placed);
         } else {
-            auto attempt = tryOnce(context, valueOf(placed), !pinned.empty(), tryOnceHook);
-            if (attempt.outcome == Outcome::Preempted) {
+            auto attempt = runAttempt(context, valueOf(placed), !pinned.empty(), attemptHook);
+            if (attempt.outcome == SlotOutcome::Preempted) {
                 RequestMetrics::preempted(context.policy().name);
                 pinned = valueOf(placed).upstream.id;
                 continue;
@@ -141,8 +141,8 @@
     auto view = m_parts.membership.view();
     auto upstreams = view->pools.find(pool);
     const auto* settings = context.table->pool(pool);
-    size_t workers = upstreams == view->pools.end() ? 0 : upstreams->second.size();
-    uint32_t count = settings ? Dispatch::shardCount(*settings, workers) : 1;
+    size_t upstreamCount = upstreams == view->pools.end() ? 0 : upstreams->second.size();
+    uint32_t count = settings ? Dispatch::shardCount(*settings, upstreamCount) : 1;
     if (count == 1)
         return { pool, 0 };
     if (!pinned.empty())
@@ -170,10 +170,10 @@
         return errorOf(slot);
     Placed placed { valueOf(slot), request.shard, {} };
     auto view = m_parts.membership.view();
-    const auto* upstream = view->upstream(request.shard.pool, placed.slot.worker);
+    const auto* upstream = view->upstream(request.shard.pool, placed.slot.upstream);
     // Our own word of a leaving upstream may be newer than the home's. What was paused there goes on there.
     if (!upstream || (upstream->leaving && pinned.empty())) {
-        m_parts.grants.release(placed.slot, placed.shard, { {}, Outcome::RefusedByWorker, 0, {} });
+        m_parts.grants.release(placed.slot, placed.shard, { {}, SlotOutcome::RefusedByUpstream, 0, {} });
         return Common::makeError(
             pinned.empty() ? ErrorKind::UpstreamRefused : ErrorKind::UpstreamLostState, "the upstream is leaving");
     }
@@ -184,19 +184,20 @@
     return placed;
 }
 
-Attempt AttemptLoop::tryOnce(RequestContext& context, const Placed& placed, bool resuming, const TryOnce& hook)
+AttemptResult AttemptLoop::runAttempt(
+    RequestContext& context, const Placed& placed, bool resuming, const AttemptHook& hook)
 {
-    Attempt attempt;
+    AttemptResult attempt;
     // A claim is good for the horizon from its record on. One that was stopped for long after winning it must not send.
     bool stale = context.claimed && Common::now() - *context.claimed > m_parts.claimHorizon / 2;
     if (context.signal->isCancelled())
-        attempt = { Outcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0, {} };
+        attempt = { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0, {} };
     else if (stale && !resuming)
-        attempt = { Outcome::Cancelled,
+        attempt = { SlotOutcome::Cancelled,
             Common::makeError(ErrorKind::ClaimUnavailable, "the claim is too old to act on"), 0, {} };
     else
         attempt = hook(placed.upstream);
-    if (attempt.outcome == Outcome::RefusedByWorker && attempt.error)
+    if (attempt.outcome == SlotOutcome::RefusedByUpstream && attempt.error)
         context.explanation->step("refused_by_upstream", { { "upstream", placed.upstream.id } });
     m_parts.grants.release(placed.slot, placed.shard, { {}, attempt.outcome, attempt.tokens, attempt.perToken });
     return attempt;
--- a/Source/ClassServing/Frontend/AttemptLoop.h
+++ b/Source/ClassServing/Frontend/AttemptLoop.h
@@ -10,8 +10,8 @@
 namespace Brassladder::ClassServing::Frontend {
 
 // How one try of a request on one upstream ended.
-struct Attempt {
-    Scheduling::Outcome outcome { Scheduling::Outcome::Completed };
+struct AttemptResult {
+    Scheduling::SlotOutcome outcome { Scheduling::SlotOutcome::Completed };
     std::optional<Common::Error> error; // Set unless the try completed or was paused.
     uint32_t tokens { 0 };
     Common::Duration perToken {};
@@ -29,12 +29,12 @@
         Membership::Table& membership;
         Common::Milliseconds claimHorizon { 0 };
     };
-    using TryOnce = std::function<Attempt(const Membership::Upstream&)>;
+    using AttemptHook = std::function<AttemptResult(const Membership::Upstream&)>;
 
     explicit AttemptLoop(Parts);
 
     // Done when a try completed; else the error to answer with.
-    Common::Status run(RequestContext&, const TryOnce&);
+    Common::Status run(RequestContext&, const AttemptHook&);
 
 private:
     struct Placed {
@@ -44,11 +44,11 @@
     };
 
     Common::Status claim(RequestContext&);
-    Common::Status runClaimed(RequestContext&, const TryOnce&);
+    Common::Status runClaimed(RequestContext&, const AttemptHook&);
     Common::Result<Placed> place(RequestContext&, const std::string& pinned, const std::string& avoid);
-    // A paused generation goes on in the shard of its worker; else the lighter of two shards.
+    // A paused generation goes on in the shard of its upstream; else the lighter of two shards.
     Dispatch::ShardKey chooseShard(const RequestContext&, const std::string& pinned);
-    Attempt tryOnce(RequestContext&, const Placed&, bool resuming, const TryOnce&);
+    AttemptResult runAttempt(RequestContext&, const Placed&, bool resuming, const AttemptHook&);
     bool mayRetry(const RequestContext&, const Common::Error&) const;
     void settleClaim(const RequestContext&, const Common::Status&);
     Scheduling::RetryBudget& budget(const std::string& pool);
--- a/Source/ClassServing/Frontend/ChatHandler.cpp
+++ b/Source/ClassServing/Frontend/ChatHandler.cpp
@@ -11,7 +11,7 @@
 using Common::Json;
 using Common::Ran;
 using Common::Status;
-using Scheduling::Outcome;
+using Scheduling::SlotOutcome;
 
 // Prompts that share their first kilobyte share what engines cache of it.
 static constexpr size_t prefixBytes = 1024;
@@ -29,16 +29,16 @@
     {
     }
 
-    Attempt tryOn(const Membership::Upstream&);
+    AttemptResult tryOn(const Membership::Upstream&);
     void answerWhole();
     void responseError(const Error&);
     uint32_t tokens() const { return m_tokens; }
 
 private:
     std::optional<Error> open(Upstream::EngineStream&);
-    Attempt relay(Upstream::EngineStream&);
+    AttemptResult relay(Upstream::EngineStream&);
     bool take(const Upstream::Token&);
-    Attempt failed(const Error&);
+    AttemptResult failed(const Error&);
     Common::HttpResponse head(std::string contentType) const;
 
     RequestContext& m_context;
@@ -62,7 +62,7 @@
         { { std::string(requestIdHeader), m_context.requestId }, { "Cache-Control", "no-cache" } } };
 }
 
-Attempt Generation::tryOn(const Membership::Upstream& upstream)
+AttemptResult Generation::tryOn(const Membership::Upstream& upstream)
 {
     auto stream = std::make_shared<Upstream::EngineStream>(upstream.endpoint, m_context.requestId);
     auto& io = Common::FiberRuntime::here();
@@ -93,7 +93,7 @@
     return std::nullopt;
 }
 
-Attempt Generation::relay(Upstream::EngineStream& stream)
+AttemptResult Generation::relay(Upstream::EngineStream& stream)
 {
     if (auto error = open(stream))
         return failed(*error);
@@ -115,7 +115,7 @@
         m_paused = std::holds_alternative<Upstream::Paused>(valueOf(event));
         if (m_paused)
             m_context.explanation->step("paused", { { "tokens", m_tokens } });
-        return { m_paused ? Outcome::Preempted : Outcome::Completed, std::nullopt, tokens, perToken };
+        return { m_paused ? SlotOutcome::Preempted : SlotOutcome::Completed, std::nullopt, tokens, perToken };
     }
 }
 
@@ -151,25 +151,26 @@
     return true;
 }
 
-Attempt Generation::failed(const Error& error)
+AttemptResult Generation::failed(const Error& error)
 {
     const auto& name = m_context.policy().name;
     if (m_context.signal->isCancelled() || m_context.exchange.callerGone() || error.kind == ErrorKind::CallerGone) {
         m_context.signal->cancel();
         RequestMetrics::wasted(name, Waste::CallerGone, m_tokens);
-        return { Outcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), m_tokens, {} };
+        return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), m_tokens,
+            {} };
     }
     RequestMetrics::wasted(
         name, error.kind == ErrorKind::UpstreamLostState ? Waste::LostState : Waste::UpstreamBroken, m_tokens);
     m_context.explanation->step(
         "try_failed", { { "reason", Common::name(error.kind) }, { "message", error.message }, { "tokens", m_tokens } });
-    auto outcome = Outcome::Broken;
+    auto outcome = SlotOutcome::Broken;
     if (error.kind == ErrorKind::UpstreamConnect)
-        outcome = Outcome::ConnectFailed;
+        outcome = SlotOutcome::ConnectFailed;
     if (error.kind == ErrorKind::UpstreamRefused)
-        outcome = Outcome::RefusedByWorker;
+        outcome = SlotOutcome::RefusedByUpstream;
     if (error.kind == ErrorKind::UpstreamLostState)
-        outcome = Outcome::Cancelled; // The engine itself is well.
+        outcome = SlotOutcome::Cancelled; // The engine itself is well.
     Error known = error;
     // A generation that has been paused did run before.
     if (m_paused && known.ran == Ran::No)
--- a/Source/ClassServing/Frontend/Router.cpp
+++ b/Source/ClassServing/Frontend/ClassRouter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ClassServing/Frontend/Router.h"
+#include "ClassServing/Frontend/ClassRouter.h"
 
 #include "ClassServing/Frontend/RequestMetrics.h"
 #include "ClassServing/Upstream/LoadProbe.h"
@@ -26,7 +26,7 @@
 static constexpr std::string_view servicesPrefix = "/services/";
 static constexpr std::string_view adminPrefix = "/admin/";
 
-Router::Router(Common::FiberRuntime& runtime, RouterSettings settings)
+ClassRouter::ClassRouter(Common::FiberRuntime& runtime, ClassRouterSettings settings)
     : m_runtime(runtime)
     , m_settings(std::move(settings))
     , m_mesh(runtime, { m_settings.id, Common::randomNumber() }, m_settings.fleetKey)
@@ -51,7 +51,7 @@
     m_membership.onChange([this](const Membership::View& view) { onViewChanged(view); });
 }
 
-Common::Status Router::start()
+Common::Status ClassRouter::start()
 {
     Inner::Mesh::Hooks hooks;
     hooks.onItem = [this](const auto& sender, const auto& item) { onItem(sender, item); };
@@ -90,7 +90,7 @@
     return Common::Done {};
 }
 
-void Router::every(Milliseconds interval, std::function<void()> work)
+void ClassRouter::every(Milliseconds interval, std::function<void()> work)
 {
     m_runtime.spawn([interval, work = std::move(work)] {
         while (true) {
@@ -102,7 +102,7 @@
 
 // Inner messages
 
-void Router::sendTo(const std::string& peer, Item item)
+void ClassRouter::sendTo(const std::string& peer, Item item)
 {
     if (peer == m_settings.id)
         onItem(m_mesh.self(), item);
@@ -110,7 +110,7 @@
         m_mesh.send(peer, std::move(item));
 }
 
-void Router::onItem(const Inner::Mesh::Sender& sender, const Item& item)
+void ClassRouter::onItem(const Inner::Mesh::Sender& sender, const Item& item)
 {
     if (sender.id != m_settings.id) {
         m_membership.heard(sender.id, Common::now());
@@ -157,7 +157,7 @@
     }
 }
 
-void Router::onClaimRequest(const Inner::Mesh::Sender& sender, const Inner::Wire::ClaimRequest& request)
+void ClassRouter::onClaimRequest(const Inner::Mesh::Sender& sender, const Inner::Wire::ClaimRequest& request)
 {
     auto answer = [this, peer = sender.id, sequence = request.sequence()](Claims::Verdict verdict) {
         Item item;
@@ -170,26 +170,26 @@
     m_claimRouter.request(request.partition(), { request.key(), request.request_id() }, request.look_only(), answer);
 }
 
-void Router::onHeartbeat(const Inner::Mesh::Sender& sender, const Inner::Wire::Heartbeat& heartbeat)
+void ClassRouter::onHeartbeat(const Inner::Mesh::Sender& sender, const Inner::Wire::Heartbeat& heartbeat)
 {
     auto now = Common::now();
     m_membership.setRouterLeaving(sender.id, heartbeat.leaving(), now);
     for (const auto& suspicion : heartbeat.suspects()) {
         if (suspicion.id() != m_settings.id)
-            m_membership.suspicionTold(suspicion.id(), Milliseconds(suspicion.age_ms()), now);
+            m_membership.recordSuspicion(suspicion.id(), Milliseconds(suspicion.age_ms()), now);
     }
     for (const auto& upstream : heartbeat.leaving_upstreams())
         m_membership.setUpstreamLeaving(upstream, now);
     m_config.compare(sender.id, heartbeat.config_digest());
 }
 
-void Router::onViewChanged(const Membership::View& view)
+void ClassRouter::onViewChanged(const Membership::View& view)
 {
     m_home.onViewChanged(view);
     m_grants.onViewChanged(view);
 }
 
-void Router::onSilentHome(const std::string& home)
+void ClassRouter::onSilentHome(const std::string& home)
 {
     if (home == m_settings.id)
         return;
@@ -204,7 +204,7 @@
 
 // Background work
 
-void Router::readInstances()
+void ClassRouter::readInstances()
 {
     auto instances = BackingServices::httpInstanceList(m_settings.instanceList).read();
     static auto& s_failures = Common::Metrics::counter(
@@ -217,7 +217,7 @@
     m_mesh.setPeers(m_membership.peers());
 }
 
-void Router::sendHeartbeats()
+void ClassRouter::sendHeartbeats()
 {
     std::vector<std::string> ids { m_settings.id };
     for (const auto& peer : m_membership.peers())
@@ -244,7 +244,7 @@
 // Reads the load of the upstreams that this router schedules. A read that fails changes nothing, since the scheduler
 // relies on its own count of grants; it is logged for debugging only, because an engine that is gone fails twice a
 // second.
-void Router::probeLoads()
+void ClassRouter::probeLoads()
 {
     auto probe = [this](const Dispatch::ShardKey& shard, const Membership::Upstream& upstream) {
         auto load = Upstream::readLoad(upstream.endpoint);
@@ -265,7 +265,7 @@
 
 // Callers and operators
 
-void Router::handle(Common::HttpExchange& exchange)
+void ClassRouter::handle(Common::HttpExchange& exchange)
 {
     auto path = exchange.path();
     if (path == "/healthz") {
@@ -287,7 +287,7 @@
     }
 }
 
-void Router::handleCaller(Common::HttpExchange& exchange)
+void ClassRouter::handleCaller(Common::HttpExchange& exchange)
 {
     auto refuse = [&](const Common::Error& error) {
         RequestMetrics::refused("", error.kind);
@@ -337,7 +337,7 @@
     Common::log(LogLevel::Info, "router", "request.failed", std::move(line));
 }
 
-void Router::drain()
+void ClassRouter::drain()
 {
     m_draining = true;
     Common::log(LogLevel::Info, "router", "drain.started", { { "in_flight", m_inFlight.load() } });
--- a/Source/ClassServing/Frontend/Router.h
+++ b/Source/ClassServing/Frontend/ClassRouter.h
@@ -8,16 +8,16 @@
 #include "ClassServing/Dispatch/Home.h"
 #include "ClassServing/Frontend/AttemptLoop.h"
 #include "ClassServing/Frontend/ChatHandler.h"
+#include "ClassServing/Frontend/ClassRouterSettings.h"
 #include "ClassServing/Frontend/Explanations.h"
-#include "ClassServing/Frontend/RouterSettings.h"
 #include "ClassServing/Frontend/ServiceHandler.h"
 
 namespace Brassladder::ClassServing::Frontend {
 
 // One instance: every role in one process. It wires the parts together and owns their background fibers.
-class Router {
+class ClassRouter {
 public:
-    Router(Common::FiberRuntime&, RouterSettings);
+    ClassRouter(Common::FiberRuntime&, ClassRouterSettings);
 
     // Binds the ports and starts to serve. PlatformUnavailable when a port cannot be had.
     Common::Status start();
@@ -47,7 +47,7 @@
     void every(Common::Milliseconds, std::function<void()>);
 
     Common::FiberRuntime& m_runtime;
-    RouterSettings m_settings;
+    ClassRouterSettings m_settings;
     Inner::Mesh m_mesh;
     Membership::Table m_membership;
     Config::Store m_config;
--- a/Source/ClassServing/Frontend/RouterAdmin.cpp
+++ b/Source/ClassServing/Frontend/ClassRouterAdmin.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // The operators' calls of a router.
-#include "ClassServing/Frontend/Router.h"
+#include "ClassServing/Frontend/ClassRouter.h"
 
 #include "Common/Digest.h"
 
@@ -12,7 +12,7 @@
 using Common::ErrorKind;
 using Common::Json;
 
-void Router::handleAdmin(Common::HttpExchange& exchange)
+void ClassRouter::handleAdmin(Common::HttpExchange& exchange)
 {
     if (!Common::equalInConstantTime(exchange.header("Authorization"), "Bearer " + m_settings.fleetKey))
         return void(exchange.respond(
@@ -34,7 +34,7 @@
     exchange.respond(Common::errorResponse(Common::makeError(ErrorKind::UnknownRoute, "no such operator call")));
 }
 
-Json Router::status() const
+Json ClassRouter::status() const
 {
     auto view = m_membership.view();
     Json pools = Json::object();
--- a/Source/ClassServing/Frontend/RouterSettings.cpp
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ClassServing/Frontend/RouterSettings.h"
+#include "ClassServing/Frontend/ClassRouterSettings.h"
 
 #include <array>
 
@@ -57,11 +57,11 @@
         "Requests that can be explained afterwards" },
 };
 
-std::span<const SettingSpec> RouterSettings::table() { return s_table; }
+std::span<const SettingSpec> ClassRouterSettings::table() { return s_table; }
 
-RouterSettings RouterSettings::from(const Common::Settings& settings)
+ClassRouterSettings ClassRouterSettings::from(const Common::Settings& settings)
 {
-    RouterSettings result;
+    ClassRouterSettings result;
     result.id = settings.text("/id");
     result.failureDomain = settings.text("/failure_domain");
     result.fleetKey = settings.text("/fleet_key");
--- a/Source/ClassServing/Frontend/RouterSettings.h
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.h
@@ -8,7 +8,7 @@
 namespace Brassladder::ClassServing::Frontend {
 
 // The router's settings, read from its table of rows.
-struct RouterSettings {
+struct ClassRouterSettings {
     std::string id;
     std::string failureDomain;
     std::string fleetKey;
@@ -30,7 +30,7 @@
     size_t explanations { 4096 };
 
     static std::span<const Common::SettingSpec> table();
-    static RouterSettings from(const Common::Settings&);
+    static ClassRouterSettings from(const Common::Settings&);
 };
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/RequestContext.h
+++ b/Source/ClassServing/Frontend/RequestContext.h
@@ -17,7 +17,7 @@
     const Config::Workspace* workspace { nullptr };
     std::shared_ptr<const Config::RequestClass> requestClass;
     std::optional<std::string> claimKey; // Digest of workspace and Idempotency-Key.
-    std::optional<uint32_t> attempt; // Brassladder-Attempt, from 1.
+    std::optional<uint32_t> attempt; // Brassladder-AttemptResult, from 1.
     Common::TimePoint arrived;
     std::optional<Common::TimePoint> claimed; // When a claim was won or vouched for.
     std::shared_ptr<Explanation> explanation;
--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -8,13 +8,13 @@
 
 using Common::ErrorKind;
 using Common::Status;
-using Scheduling::Outcome;
+using Scheduling::SlotOutcome;
 
-static Outcome outcomeOf(ErrorKind kind)
+static SlotOutcome outcomeOf(ErrorKind kind)
 {
     if (kind == ErrorKind::UpstreamConnect)
-        return Outcome::ConnectFailed;
-    return kind == ErrorKind::UpstreamRefused ? Outcome::RefusedByWorker : Outcome::Broken;
+        return SlotOutcome::ConnectFailed;
+    return kind == ErrorKind::UpstreamRefused ? SlotOutcome::RefusedByUpstream : SlotOutcome::Broken;
 }
 
 static Common::HttpResponse responseOf(const Common::HttpClientResponse& answer, const std::string& requestId)
@@ -28,7 +28,7 @@
 Status ServiceHandler::handle(RequestContext& context, std::string_view target)
 {
     Common::HttpClientResponse answer;
-    auto tryOnce = [&](const Membership::Upstream& upstream) -> Attempt {
+    auto runAttempt = [&](const Membership::Upstream& upstream) -> AttemptResult {
         auto call = std::make_shared<Upstream::ServiceCall>(upstream.endpoint, context.requestId);
         context.exchange.watchCaller(
             [signal = context.signal, weak = std::weak_ptr(call), keep = context.requestClass->noRepeat] {
@@ -44,13 +44,14 @@
             context.explanation->step(
                 "try_failed", { { "reason", Common::name(error.kind) }, { "message", error.message } });
             if (context.signal->isCancelled())
-                return { Outcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0, {} };
+                return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0,
+                    {} };
             return { outcomeOf(error.kind), error, 0, {} };
         }
         answer = std::move(valueOf(result));
         return {};
     };
-    auto status = m_loop.run(context, tryOnce);
+    auto status = m_loop.run(context, runAttempt);
     if (isError(status)) {
         auto response = Common::errorResponse(errorOf(status));
         response.headers.push_back({ std::string(requestIdHeader), context.requestId });
--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -84,7 +84,7 @@
         publish(now);
 }
 
-void Table::suspicionTold(const std::string& router, Common::Milliseconds age, TimePoint now)
+void Table::recordSuspicion(const std::string& router, Common::Milliseconds age, TimePoint now)
 {
     {
         std::lock_guard lock(m_mutex);
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -47,7 +47,7 @@
     // Word from the peer itself.
     void heard(const std::string& router, TimePoint now);
     // Another tells that the peer is missed by its watchers, or was so `age` ago.
-    void suspicionTold(const std::string& router, Common::Milliseconds age, TimePoint now);
+    void recordSuspicion(const std::string& router, Common::Milliseconds age, TimePoint now);
     // A connection failed, or the peer did not answer in time: not alive until word of it comes again.
     void suspect(const std::string& router, TimePoint now);
     void setRouterLeaving(const std::string& router, bool leaving, TimePoint now);
--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -14,7 +14,7 @@
     static constexpr double retriesPerTry = 0.1;
     static constexpr double retriesPerSecond = 1;
     // Two seconds of the trickle, and what a burst of a hundred tries earns.
-    static constexpr double mostSaved = 10;
+    static constexpr double maxSaved = 10;
 
     void deposit();
     // True when a retry may be made now; it is paid for.
@@ -22,7 +22,7 @@
 
 private:
     std::mutex m_mutex;
-    double m_balance { mostSaved };
+    double m_balance { maxSaved };
     Common::TimePoint m_updated {};
 };
 
--- a/Source/ClassServing/Scheduling/ShardScheduler.cpp
+++ b/Source/ClassServing/Scheduling/ShardScheduler.cpp
@@ -10,16 +10,16 @@
 using namespace std::chrono_literals;
 
 // A waiting request has a lower one paused for it after this part of its target: a slot often frees by itself sooner.
-static constexpr int preemptionPatience = 8;
-static constexpr Milliseconds shortestComeBack = 200ms;
-static constexpr Milliseconds longestComeBack = 60s;
+static constexpr int preemptionDivisor = 8;
+static constexpr Milliseconds minRetryAfter = 200ms;
+static constexpr Milliseconds maxRetryAfter = 60s;
 
 void ShardScheduler::ask(const Ask& ask, TimePoint now, Decisions& decisions)
 {
     if (m_waiting.contains(ask.id))
         return;
     if (auto running = m_running.find(ask.id); running != m_running.end()) {
-        decisions.push_back(Grant { ask.id, running->second.worker, running->second.guaranteed });
+        decisions.push_back(Grant { ask.id, running->second.upstream, running->second.guaranteed });
         return;
     }
     if (m_ledger.isEmpty()) {
@@ -85,7 +85,7 @@
 {
     // When the queue has shrunk to what the class can wait for.
     auto excess = std::chrono::duration_cast<Milliseconds>(wait - policy.maxWait);
-    return std::clamp(excess, shortestComeBack, longestComeBack);
+    return std::clamp(excess, minRetryAfter, maxRetryAfter);
 }
 
 ShardScheduler::ClassQueue& ShardScheduler::classQueue(const ClassPolicy& policy)
@@ -125,21 +125,21 @@
     m_waiting.erase(id);
 }
 
-void ShardScheduler::restore(const Ask& ask, std::string_view worker, bool guaranteed, TimePoint now)
+void ShardScheduler::restore(const Ask& ask, std::string_view upstream, bool guaranteed, TimePoint now)
 {
     if (auto waiting = m_waiting.find(ask.id); waiting != m_waiting.end())
         dequeue(waiting->second);
     if (m_running.contains(ask.id))
         return;
-    run(ask, FairQueue::flowKey(ask), m_estimator.work(*ask.policy), worker, guaranteed, now);
+    run(ask, FairQueue::flowKey(ask), m_estimator.work(*ask.policy), upstream, guaranteed, now);
 }
 
 void ShardScheduler::run(
-    const Ask& ask, uint64_t flowKey, double work, std::string_view worker, bool guaranteed, TimePoint now)
+    const Ask& ask, uint64_t flowKey, double work, std::string_view upstream, bool guaranteed, TimePoint now)
 {
     auto& queue = classQueue(*ask.policy);
-    Running running { ask.policy, &queue, std::string(worker), now, flowKey, work, guaranteed, false };
-    m_ledger.start(worker);
+    Running running { ask.policy, &queue, std::string(upstream), now, flowKey, work, guaranteed, false };
+    m_ledger.start(upstream);
     ++m_runningByTier[ask.policy->tier];
     if (ask.policy->preemptible && !guaranteed)
         m_preemptible[ask.policy->tier].insert({ running.started, ask.id });
@@ -162,7 +162,7 @@
     Running& running = found->second;
     const auto& policy = *running.policy;
     auto held = now - running.started;
-    m_ledger.finish(running.worker, release, now);
+    m_ledger.finish(running.upstream, release, now);
     --m_runningByTier[policy.tier];
     m_preemptible[policy.tier].erase({ running.started, release.id });
     if (running.preempting)
@@ -172,7 +172,7 @@
         --running.classQueue->runningGuaranteed;
     }
     m_tiers[policy.tier].correct(running.flowKey, Common::toSeconds(held) - running.work);
-    if (release.outcome == Outcome::Completed)
+    if (release.outcome == SlotOutcome::Completed)
         m_estimator.observe(policy, held);
     m_running.erase(found);
 }
@@ -223,43 +223,43 @@
         }
         if (!longest)
             return;
-        std::string worker = longest->ask.pinned.empty() ? m_ledger.pick(longest->ask, now) : longest->ask.pinned;
-        bool room = longest->ask.pinned.empty() ? !worker.empty() : m_ledger.hasRoomToResume(worker, now);
+        std::string upstream = longest->ask.pinned.empty() ? m_ledger.pick(longest->ask, now) : longest->ask.pinned;
+        bool room = longest->ask.pinned.empty() ? !upstream.empty() : m_ledger.hasRoomToResume(upstream, now);
         if (!room)
             return;
-        grant(*longest, worker, true, now, decisions);
+        grant(*longest, upstream, true, now, decisions);
     }
 }
 
-// What was paused goes on where its state lies, also on a worker that is leaving: it is no new work.
+// What was paused goes on where its state lies, also on a upstream that is leaving: it is no new work.
 void ShardScheduler::grantPinned(Tier tier, TimePoint now, Decisions& decisions)
 {
     auto& pinned = m_pinned[tier];
     for (auto place = pinned.begin(); place != pinned.end();) {
         Waiting& waiting = **place++;
-        std::string worker = waiting.ask.pinned;
-        if (!m_ledger.isKnown(worker)) {
+        std::string upstream = waiting.ask.pinned;
+        if (!m_ledger.isKnown(upstream)) {
             decisions.push_back(Refusal { waiting.ask.id, ErrorKind::UpstreamLostState, Milliseconds(0) });
             dequeue(waiting);
             continue;
         }
-        if (m_ledger.hasRoomToResume(worker, now))
-            grant(waiting, worker, false, now, decisions);
+        if (m_ledger.hasRoomToResume(upstream, now))
+            grant(waiting, upstream, false, now, decisions);
     }
 }
 
 void ShardScheduler::grantTier(Tier tier, TimePoint now, Decisions& decisions)
 {
     while (Waiting* next = m_tiers[tier].front()) {
-        std::string worker = m_ledger.pick(next->ask, now);
-        if (worker.empty())
+        std::string upstream = m_ledger.pick(next->ask, now);
+        if (upstream.empty())
             return;
-        grant(*next, worker, false, now, decisions);
+        grant(*next, upstream, false, now, decisions);
     }
 }
 
 void ShardScheduler::grant(
-    Waiting& waiting, const std::string& worker, bool guaranteed, TimePoint now, Decisions& decisions)
+    Waiting& waiting, const std::string& upstream, bool guaranteed, TimePoint now, Decisions& decisions)
 {
     Ask ask = waiting.ask;
     uint64_t flowKey = waiting.flowKey;
@@ -272,9 +272,9 @@
     } else {
         dequeue(waiting);
     }
-    m_ledger.rememberPrefix(ask.prefix, worker);
-    run(ask, flowKey, work, worker, guaranteed, now);
-    decisions.push_back(Grant { ask.id, worker, guaranteed });
+    m_ledger.rememberPrefix(ask.prefix, upstream);
+    run(ask, flowKey, work, upstream, guaranteed, now);
+    decisions.push_back(Grant { ask.id, upstream, guaranteed });
 }
 
 // Pauses one lower request for each higher one that has waited past its patience and that nothing paused yet serves.
@@ -285,7 +285,7 @@
         if (!mayGrant(tier, now))
             return;
         Waiting* next = m_tiers[tier].front();
-        if (!next || now - next->ask.arrived < next->ask.policy->target / preemptionPatience)
+        if (!next || now - next->ask.arrived < next->ask.policy->target / preemptionDivisor)
             continue;
         wanted += static_cast<uint32_t>(m_tiers[tier].size());
         while (m_preempting < wanted) {
@@ -306,7 +306,7 @@
     for (Tier lowest = tierCount - 1; lowest > above; --lowest) {
         const auto& candidates = m_preemptible[lowest];
         auto found = std::find_if(candidates.rbegin(), candidates.rend(),
-            [&](const RunningKey& key) { return m_ledger.takesWork(m_running.at(key.second).worker, now); });
+            [&](const RunningKey& key) { return m_ledger.takesWork(m_running.at(key.second).upstream, now); });
         if (found != candidates.rend())
             return &found->second;
     }
@@ -325,7 +325,7 @@
             gone.push_back(id);
     }
     for (const auto& id : gone)
-        release({ id, Outcome::Cancelled, 0, {} }, now);
+        release({ id, SlotOutcome::Cancelled, 0, {} }, now);
 }
 
 } // namespace Brassladder::ClassServing::Scheduling
--- a/Source/ClassServing/Scheduling/ShardScheduler.h
+++ b/Source/ClassServing/Scheduling/ShardScheduler.h
@@ -3,8 +3,8 @@
 
 #include "ClassServing/Scheduling/FairQueue.h"
 #include "ClassServing/Scheduling/Types.h"
+#include "ClassServing/Scheduling/UpstreamLedger.h"
 #include "ClassServing/Scheduling/WaitEstimator.h"
-#include "ClassServing/Scheduling/WorkerLedger.h"
 
 #include <map>
 #include <set>
@@ -18,8 +18,8 @@
     bool preemption { true };
 };
 
-// The one queue and slot ledger of a shard of workers. It decides in strict order of tiers who runs, who waits, who is
-// refused and who is paused:
+// The one queue and slot ledger of a shard of upstreams. It decides in strict order of tiers who runs, who waits, who
+// is refused and who is paused:
 //
 // 1. A free slot goes to the highest tier that waits; within a tier, to the flow that is furthest behind.
 // 2. While a higher tier waits and nothing is free, the lowest preemptible running request is paused.
@@ -37,15 +37,15 @@
 
     using Decisions = std::vector<Decision>;
 
-    void setWorkers(std::span<const WorkerInfo> workers) { m_ledger.setWorkers(workers); }
-    void markLeaving(std::string_view worker) { m_ledger.markLeaving(worker); }
-    void report(std::string_view worker, const LoadReport& load) { m_ledger.report(worker, load); }
+    void setUpstreams(std::span<const UpstreamInfo> upstreams) { m_ledger.setUpstreams(upstreams); }
+    void markLeaving(std::string_view upstream) { m_ledger.markLeaving(upstream); }
+    void report(std::string_view upstream, const LoadReport& load) { m_ledger.report(upstream, load); }
 
     // A request wants a slot. An ask with a known id is a repeat and changes nothing; when
     // that request was granted already, the grant is told again.
     void ask(const Ask&, TimePoint now, Decisions&);
     // A request that already runs, told again after the shard came here from another home.
-    void restore(const Ask&, std::string_view worker, bool guaranteed, TimePoint now);
+    void restore(const Ask&, std::string_view upstream, bool guaranteed, TimePoint now);
     // A slot is given back, or a waiting request is withdrawn.
     void release(const Release&, TimePoint now);
     // Until this time only tier 0 is granted: the other entries are still telling what runs.
@@ -62,7 +62,7 @@
     size_t waitingCount(Tier tier) const { return m_tiers[tier].size(); }
     size_t runningCount() const { return m_running.size(); }
     size_t runningCount(Tier tier) const { return m_runningByTier[tier]; }
-    const WorkerLedger& ledger() const { return m_ledger; }
+    const UpstreamLedger& ledger() const { return m_ledger; }
 
 private:
     struct ClassQueue {
@@ -73,7 +73,7 @@
     struct Running {
         const ClassPolicy* policy { nullptr };
         ClassQueue* classQueue { nullptr };
-        std::string worker;
+        std::string upstream;
         TimePoint started;
         uint64_t flowKey { 0 };
         double work { 0 };
@@ -85,13 +85,13 @@
     bool makeRoom(Tier, Decisions&);
     ClassQueue& classQueue(const ClassPolicy&);
     void enqueue(const Ask&, uint64_t flowKey, double work);
-    void run(const Ask&, uint64_t flowKey, double work, std::string_view worker, bool guaranteed, TimePoint now);
+    void run(const Ask&, uint64_t flowKey, double work, std::string_view upstream, bool guaranteed, TimePoint now);
     void dequeue(Waiting&);
     void expire(TimePoint now, Decisions&);
     void grantGuaranteed(TimePoint now, Decisions&);
     void grantPinned(Tier, TimePoint now, Decisions&);
     void grantTier(Tier, TimePoint now, Decisions&);
-    void grant(Waiting&, const std::string& worker, bool guaranteed, TimePoint now, Decisions&);
+    void grant(Waiting&, const std::string& upstream, bool guaranteed, TimePoint now, Decisions&);
     void preempt(TimePoint now, Decisions&);
     const AskId* victim(Tier above, TimePoint now) const;
     bool mayGrant(Tier tier, TimePoint now) const { return tier == 0 || now >= m_collectUntil; }
@@ -101,7 +101,7 @@
     Duration guaranteedWait(const ClassPolicy&, double work) const;
 
     ShardOptions m_options;
-    WorkerLedger m_ledger;
+    UpstreamLedger m_ledger;
     WaitEstimator m_estimator;
     std::array<FairQueue, tierCount> m_tiers;
     std::array<std::list<Waiting*>, tierCount> m_pinned;
--- a/Source/ClassServing/Scheduling/Types.h
+++ b/Source/ClassServing/Scheduling/Types.h
@@ -43,13 +43,13 @@
     double weight { 1 }; // The workspace's share within its tier.
     uint64_t prefix { 0 }; // Hash of the prompt's prefix; 0: none.
     TimePoint arrived; // At its entry.
-    std::string pinned; // The worker that holds the paused generation; empty: any.
-    std::string avoid; // The worker that failed the last try; empty: none.
+    std::string pinned; // The upstream that holds the paused generation; empty: any.
+    std::string avoid; // The upstream that failed the last try; empty: none.
 };
 
 struct Grant {
     AskId id;
-    std::string worker;
+    std::string upstream;
     bool guaranteed { false };
 };
 
@@ -67,18 +67,18 @@
 using Decision = std::variant<Grant, Refusal, Preemption>;
 
 // How a granted slot was given back.
-enum class Outcome : uint8_t {
+enum class SlotOutcome : uint8_t {
     Completed,
     Preempted,
     Cancelled, // The caller went away, or the request was withdrawn before it was sent.
     ConnectFailed, // Did not run.
-    RefusedByWorker, // Did not run; the worker is leaving or full.
-    Broken, // The worker failed while it ran.
+    RefusedByUpstream, // Did not run; the upstream is leaving or full.
+    Broken, // The upstream failed while it ran.
 };
 
 struct Release {
     AskId id;
-    Outcome outcome { Outcome::Completed };
+    SlotOutcome outcome { SlotOutcome::Completed };
     uint32_t tokens { 0 };
     Duration perToken {}; // Mean time between two tokens; zero when unknown.
 };
--- /dev/null
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.cpp
@@ -0,0 +1,232 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "ClassServing/Scheduling/UpstreamLedger.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace Brassladder::ClassServing::Scheduling {
+
+using namespace std::chrono_literals;
+
+// A upstream counts as slow when a token takes it more than twice the shard's median.
+static constexpr double slowFactor = 2.0;
+static constexpr double shrinkFactor = 0.8;
+static constexpr Duration limitInterval = 500ms;
+// Weight of the newest sample in a upstream's time for a token: about the last ten answers count.
+static constexpr double sampleWeight = 0.2;
+// The median moves slowly: it is taken anew after this many answers.
+static constexpr uint32_t samplesPerMedian = 16;
+static constexpr Duration initialEjection = 500ms;
+static constexpr Duration maxEjection = 10s;
+// A upstream that has the prefix cached is taken while its cost is at most this much above the best one's.
+static constexpr double prefixAdvantage = 1.25;
+
+void UpstreamLedger::setUpstreams(std::span<const UpstreamInfo> infos)
+{
+    std::unordered_map<std::string, LedgerEntry> next;
+    for (const auto& info : infos) {
+        auto old = m_upstreams.find(info.id);
+        LedgerEntry upstream;
+        if (old != m_upstreams.end())
+            upstream = std::move(old->second);
+        else
+            upstream.limit = info.slots;
+        upstream.info = info;
+        upstream.limit = std::min<double>(upstream.limit, info.slots);
+        next.emplace(info.id, std::move(upstream));
+    }
+    // A upstream that left the list while our requests still run on it keeps its place until they end.
+    for (auto& [id, upstream] : m_upstreams) {
+        if (upstream.running && !next.contains(id)) {
+            upstream.info.leaving = true;
+            next.emplace(id, std::move(upstream));
+        }
+    }
+    m_upstreams = std::move(next);
+    refreshMedian();
+}
+
+void UpstreamLedger::markLeaving(std::string_view id)
+{
+    if (auto found = m_upstreams.find(std::string(id)); found != m_upstreams.end())
+        found->second.info.leaving = true;
+}
+
+void UpstreamLedger::report(std::string_view id, const LoadReport& load)
+{
+    auto found = m_upstreams.find(std::string(id));
+    if (found == m_upstreams.end())
+        return;
+    LedgerEntry& upstream = found->second;
+    upstream.info.leaving = upstream.info.leaving || load.leaving;
+    // A report lags behind our own grants in both directions, so only the surplus over them is taken for the load of
+    // others, and it never takes the last slot: a false report must not close a upstream.
+    uint32_t reported = load.running + load.waiting;
+    uint32_t surplus = reported > upstream.running ? reported - upstream.running : 0;
+    uint32_t smoothed = std::min(surplus, upstream.foreign + 1);
+    upstream.foreign = std::min(smoothed, upstream.info.slots > 1 ? upstream.info.slots - 1 : 0);
+}
+
+void UpstreamLedger::start(std::string_view id)
+{
+    if (auto found = m_upstreams.find(std::string(id)); found != m_upstreams.end())
+        ++found->second.running;
+}
+
+void UpstreamLedger::finish(std::string_view id, const Release& release, TimePoint now)
+{
+    auto found = m_upstreams.find(std::string(id));
+    if (found == m_upstreams.end())
+        return;
+    LedgerEntry& upstream = found->second;
+    if (upstream.running)
+        --upstream.running;
+    switch (release.outcome) {
+    case SlotOutcome::Completed:
+    case SlotOutcome::Preempted:
+        upstream.failures = 0;
+        break;
+    case SlotOutcome::Cancelled:
+        break;
+    case SlotOutcome::RefusedByUpstream:
+    case SlotOutcome::ConnectFailed:
+    case SlotOutcome::Broken: {
+        auto exclusion = initialEjection * (1u << std::min(upstream.failures, 5u));
+        upstream.ejectedUntil = now + std::min<Duration>(exclusion, maxEjection);
+        ++upstream.failures;
+        return;
+    }
+    }
+    if (release.perToken > Duration::zero()) {
+        double seconds = Common::toSeconds(release.perToken);
+        upstream.perToken
+            = upstream.perToken ? upstream.perToken + sampleWeight * (seconds - upstream.perToken) : seconds;
+        if (!m_medianPerToken || ++m_samplesSinceMedian >= samplesPerMedian)
+            refreshMedian();
+        adapt(upstream, now);
+    }
+}
+
+void UpstreamLedger::adapt(LedgerEntry& upstream, TimePoint now)
+{
+    bool slow = m_medianPerToken > 0 && upstream.perToken > slowFactor * m_medianPerToken;
+    if (!slow) {
+        upstream.limit = std::min<double>(upstream.info.slots, upstream.limit + 1 / upstream.limit);
+        return;
+    }
+    if (now - upstream.limitChanged < limitInterval)
+        return;
+    upstream.limitChanged = now;
+    upstream.limit = std::max(1.0, upstream.limit * shrinkFactor);
+}
+
+void UpstreamLedger::refreshMedian()
+{
+    m_samplesSinceMedian = 0;
+    std::vector<double> samples;
+    samples.reserve(m_upstreams.size());
+    for (const auto& [id, upstream] : m_upstreams) {
+        if (upstream.perToken > 0)
+            samples.push_back(upstream.perToken);
+    }
+    if (samples.empty()) {
+        m_medianPerToken = 0;
+        return;
+    }
+    auto middle = samples.begin() + static_cast<ptrdiff_t>((samples.size() - 1) / 2);
+    std::nth_element(samples.begin(), middle, samples.end());
+    m_medianPerToken = *middle;
+}
+
+bool UpstreamLedger::takesWork(const LedgerEntry& upstream, TimePoint now)
+{
+    return !upstream.info.leaving && now >= upstream.ejectedUntil;
+}
+
+bool UpstreamLedger::roomOn(const LedgerEntry& upstream, TimePoint now)
+{
+    if (!takesWork(upstream, now))
+        return false;
+    // After a failure one request tries the upstream before it gets its full share again.
+    double limit = upstream.failures ? 1 : std::floor(upstream.limit);
+    return upstream.running + upstream.foreign < limit;
+}
+
+bool UpstreamLedger::hasRoomToResume(std::string_view id, TimePoint now) const
+{
+    auto found = m_upstreams.find(std::string(id));
+    if (found == m_upstreams.end() || now < found->second.ejectedUntil)
+        return false;
+    return found->second.running < found->second.info.slots;
+}
+
+bool UpstreamLedger::takesWork(std::string_view id, TimePoint now) const
+{
+    auto found = m_upstreams.find(std::string(id));
+    return found != m_upstreams.end() && takesWork(found->second, now);
+}
+
+std::string UpstreamLedger::pick(const Ask& ask, TimePoint now) const
+{
+    const LedgerEntry* best = nullptr;
+    const LedgerEntry* cached = nullptr;
+    double bestCost = 0;
+    double cachedCost = 0;
+    const PrefixSlot* slot = ask.prefix && !m_prefixes.empty() ? &m_prefixes[ask.prefix % prefixSlots] : nullptr;
+    for (const auto& [id, upstream] : m_upstreams) {
+        if (!roomOn(upstream, now))
+            continue;
+        double perToken = upstream.perToken > 0 ? upstream.perToken : m_medianPerToken;
+        double cost = (perToken > 0 ? perToken : 1) * (1 + (upstream.running + upstream.foreign) / upstream.limit);
+        if (id == ask.avoid)
+            cost *= 1000; // Only when there is no other.
+        if (slot && slot->prefix == ask.prefix && slot->upstream == id) {
+            cached = &upstream;
+            cachedCost = cost;
+        }
+        // Equal costs go by the name, so that the choice does not hang on the order of a hash table.
+        if (!best || cost < bestCost || (cost == bestCost && id < best->info.id)) {
+            best = &upstream;
+            bestCost = cost;
+        }
+    }
+    if (cached && cachedCost <= bestCost * prefixAdvantage)
+        return cached->info.id;
+    return best ? best->info.id : std::string();
+}
+
+void UpstreamLedger::rememberPrefix(uint64_t prefix, std::string_view upstream)
+{
+    if (!prefix)
+        return;
+    if (m_prefixes.empty())
+        m_prefixes.resize(prefixSlots);
+    m_prefixes[prefix % prefixSlots] = { prefix, std::string(upstream) };
+}
+
+double UpstreamLedger::capacity(TimePoint now) const
+{
+    double sum = 0;
+    for (const auto& [id, upstream] : m_upstreams) {
+        if (takesWork(upstream, now))
+            sum += std::floor(upstream.limit);
+    }
+    return sum;
+}
+
+uint32_t UpstreamLedger::runningOn(std::string_view id) const
+{
+    auto found = m_upstreams.find(std::string(id));
+    return found == m_upstreams.end() ? 0 : found->second.running;
+}
+
+std::vector<std::string> UpstreamLedger::ids() const
+{
+    std::vector<std::string> ids;
+    for (const auto& [id, upstream] : m_upstreams)
+        ids.push_back(id);
+    std::sort(ids.begin(), ids.end());
+    return ids;
+}
+
+} // namespace Brassladder::ClassServing::Scheduling
--- a/Source/ClassServing/Upstream/LoadProbe.h
+++ b/Source/ClassServing/Upstream/LoadProbe.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "ClassServing/Scheduling/WorkerLedger.h"
+#include "ClassServing/Scheduling/UpstreamLedger.h"
 #include "Common/Endpoint.h"
 #include "Common/Error.h"
 
--- a/Source/Programs/Router/Main.cpp
+++ b/Source/Programs/Router/Main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "ClassServing/Frontend/Router.h"
+#include "ClassServing/Frontend/ClassRouter.h"
 #include "Common/Log.h"
 #include "Common/Program.h"
 #include "RouteServing/Gateway/Gateway.h"
@@ -29,13 +29,13 @@
 
 static void serveClasses()
 {
-    auto settings = ClassServing::Frontend::RouterSettings::from(
-        Common::loadSettings(ClassServing::Frontend::RouterSettings::table()));
+    auto settings = ClassServing::Frontend::ClassRouterSettings::from(
+        Common::loadSettings(ClassServing::Frontend::ClassRouterSettings::table()));
     Common::blockSignals();
     Common::startProgramLogging(settings.id);
     auto& runtime = Common::FiberRuntime::start(settings.threads);
     // Lives until the process ends: fibers refer to it.
-    auto& router = *new ClassServing::Frontend::Router(runtime, settings);
+    auto& router = *new ClassServing::Frontend::ClassRouter(runtime, settings);
     if (auto status = router.start(); isError(status))
         failToStart(errorOf(status));
     Common::Endpoint http { settings.http.address, router.httpPort() };
--- a/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
+++ b/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
@@ -97,7 +97,7 @@
                     std::lower_bound(m_ids.begin(), m_ids.end(), target) - m_ids.begin())];
                 table.heard(m_ids[from], m_now);
                 for (const auto& [id, age] : suspicions)
-                    table.suspicionTold(id, age, m_now);
+                    table.recordSuspicion(id, age, m_now);
             }
         }
         for (auto& table : m_tables)
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -30,10 +30,10 @@
 
     void useWorkers(uint32_t count, uint32_t slots)
     {
-        std::vector<WorkerInfo> workers;
+        std::vector<UpstreamInfo> upstreams;
         for (uint32_t index = 0; index < count; ++index)
-            workers.push_back({ "w" + std::to_string(index), slots, false });
-        m_shard.setWorkers(workers);
+            upstreams.push_back({ "w" + std::to_string(index), slots, false });
+        m_shard.setUpstreams(upstreams);
     }
 
     AskId ask(Tier tier, uint64_t workspace = 1, std::string pinned = {})
@@ -48,7 +48,7 @@
         return ask.id;
     }
 
-    void release(AskId id, Outcome outcome = Outcome::Completed, Duration perToken = {})
+    void release(AskId id, SlotOutcome outcome = SlotOutcome::Completed, Duration perToken = {})
     {
         m_shard.release({ id, outcome, 1, perToken }, m_now);
     }
@@ -121,7 +121,7 @@
     ASSERT_EQ(preemptions.size(), 1u);
     EXPECT_EQ(preemptions[0].id, lowest);
     EXPECT_TRUE(only<Preemption>(decide(10ms)).empty()) << "one pause is under way for the one that waits";
-    release(lowest, Outcome::Preempted);
+    release(lowest, SlotOutcome::Preempted);
     EXPECT_EQ(only<Grant>(decide()).size(), 1u);
     (void)middle;
 }
@@ -144,7 +144,7 @@
     auto grants = only<Grant>(decide());
     ASSERT_EQ(grants.size(), 1u);
     EXPECT_EQ(grants[0].id, resumed);
-    EXPECT_EQ(grants[0].worker, "w1");
+    EXPECT_EQ(grants[0].upstream, "w1");
 }
 
 TEST_F(ShardSchedulerTest, PausedRequestOnAWorkerThatIsGoneIsToldSo)
@@ -293,7 +293,7 @@
     auto grants = only<Grant>(decide());
     EXPECT_EQ(grants.size(), 4u);
     for (const auto& grant : grants)
-        EXPECT_EQ(grant.worker, "w1");
+        EXPECT_EQ(grant.upstream, "w1");
 }
 
 TEST_F(ShardSchedulerTest, NewHomeServesOnlyTheHighestTierWhileItCollects)
@@ -349,7 +349,7 @@
     useWorkers(1, 4);
     auto id = ask(1);
     decide();
-    release(id, Outcome::ConnectFailed);
+    release(id, SlotOutcome::ConnectFailed);
     ask(1);
     ask(1);
     EXPECT_TRUE(only<Grant>(decide()).empty());
@@ -363,13 +363,13 @@
         for (int index = 0; index < 6; ++index)
             ask(1);
         for (const auto& grant : only<Grant>(decide(500ms)))
-            release(grant.id, Outcome::Completed, grant.worker == "w0" ? 40ms : 10ms);
+            release(grant.id, SlotOutcome::Completed, grant.upstream == "w0" ? 40ms : 10ms);
     }
     for (int index = 0; index < 12; ++index)
         ask(1);
     size_t onSlow = 0;
     for (const auto& grant : only<Grant>(decide()))
-        onSlow += grant.worker == "w0";
+        onSlow += grant.upstream == "w0";
     EXPECT_LE(onSlow, 1u);
 }
 
--- a/Source/UnitTests/Common/SettingsTest.cpp
+++ b/Source/UnitTests/Common/SettingsTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "ClassServing/Frontend/RouterSettings.h"
+#include "ClassServing/Frontend/ClassRouterSettings.h"
 #include "Common/Settings.h"
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 
 TEST(SettingsTest, DefaultsFillAValidFile)
 {
-    auto checked = Settings::check(ClassServing::Frontend::RouterSettings::table(), validRouter());
+    auto checked = Settings::check(ClassServing::Frontend::ClassRouterSettings::table(), validRouter());
     ASSERT_TRUE(std::holds_alternative<Settings>(checked));
-    auto settings = ClassServing::Frontend::RouterSettings::from(std::get<Settings>(checked));
+    auto settings = ClassServing::Frontend::ClassRouterSettings::from(std::get<Settings>(checked));
     EXPECT_EQ(settings.threads, 2u);
     EXPECT_EQ(settings.log.port, 1);
 }
@@ -32,7 +32,7 @@
     file["platform"]["log"] = "localhost";
     file["scheduling"]["placement"] = "best";
     file.erase("id");
-    auto checked = Settings::check(ClassServing::Frontend::RouterSettings::table(), file);
+    auto checked = Settings::check(ClassServing::Frontend::ClassRouterSettings::table(), file);
     auto* faults = std::get_if<std::vector<Fault>>(&checked);
     ASSERT_NE(faults, nullptr);
     auto text = describe(*faults);
