--- a/Source/ClassServing/BackingServices/LogService.h
+++ b/Source/ClassServing/BackingServices/LogService.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-// The platform's services, as sets of functions, so that a test can put its own in their place.
+// The platform's services that class serving relies on, as sets of functions, so that a test can replace them.
 namespace Brassladder::ClassServing::BackingServices {
 
 struct LogRecord {
--- a/Source/ClassServing/Claims/ClaimClient.h
+++ b/Source/ClassServing/Claims/ClaimClient.h
@@ -9,8 +9,9 @@
 
 namespace Brassladder::ClassServing::Claims {
 
-// The entry's side: asks the claim router of a key's partition, and asks again, with the same request id, when that
-// router is lost. A repeated question is harmless: the claim of one request id is one claim.
+// The entry's side of claims: sends a claim to the claim router of the key's partition, and sends it again with the
+// same request id when that router is lost. Repeats are harmless: all claims of one request id are one claim. Safe to
+// use from several threads.
 class ClaimClient {
 public:
     struct Hooks {
@@ -35,9 +36,9 @@
     {
     }
 
-    // Suspends the calling fiber until the verdict is known or the patience is over.
+    // Suspends the calling fiber until the verdict is known or the timeout is over. With `readOnly` nothing is claimed.
     Verdict claim(const KeyAndRequest&, bool readOnly);
-    // The claimant gives its claim up and will never send its request.
+    // The claimant withdraws its claim and will never send its request.
     void free(const KeyAndRequest& what) { update(what, true); }
     // The claimant's request has run to its end.
     void end(const KeyAndRequest& what) { update(what, false); }
--- a/Source/ClassServing/Claims/ClaimFold.h
+++ b/Source/ClassServing/Claims/ClaimFold.h
@@ -18,8 +18,8 @@
     Won, // The key is this request's.
     Taken, // Another request holds the key; it may run, have run, or have been lost.
     Ended, // Another request held the key, and it ran to its end.
-    Unclaimed, // Only for a look without a claim.
-    Unavailable, // The log did not tell in time. The claim may still take effect.
+    Unclaimed, // Only for a read without a claim.
+    Unavailable, // The log did not confirm in time. The claim may still take effect.
 };
 
 std::string_view name(Verdict);
@@ -29,16 +29,16 @@
     std::string requestId;
 };
 
-// One record of a claim stream: what one claim router had gathered when it wrote.
+// One record of a claim stream: what one claim router collected within an interval.
 struct ClaimBatch {
     std::vector<KeyAndRequest> claimed;
-    std::vector<KeyAndRequest> freed; // Given up before anything was sent.
+    std::vector<KeyAndRequest> freed; // Withdrawn before anything was sent.
     std::vector<KeyAndRequest> ended;
     bool isEmpty() const { return claimed.empty() && freed.empty() && ended.empty(); }
 };
 
 std::string encodeBatch(const ClaimBatch&);
-// An empty batch when the text is none.
+// Empty when the text is not a batch.
 ClaimBatch decodeBatch(std::string_view);
 
 // The state of one partition's keys. A claim holds for the horizon, counted on the log's clock.
@@ -70,7 +70,7 @@
 
     Common::Milliseconds m_horizon;
     std::unordered_map<std::string, Claim> m_claims;
-    // A claim record that lands after the claimant has given up must not take the key.
+    // A claim record that arrives after the claimant withdrew must not take the key.
     std::unordered_set<std::string> m_freedRequests;
     std::deque<Expiry> m_expiries;
 };
--- a/Source/ClassServing/Claims/ClaimRouter.h
+++ b/Source/ClassServing/Claims/ClaimRouter.h
@@ -9,10 +9,10 @@
 
 namespace Brassladder::ClassServing::Claims {
 
-// Settles the claims of the partitions that this router is the claim router of. Claims that come within one interval
-// are written as one record (group commit). A verdict is only ever read from the log: an append whose answer was lost
+// Settles the claims of the partitions that this router is the claim router of. Claims that arrive within one interval
+// are written as one record (group commit). A verdict is only ever read from the log: an append whose response was lost
 // is settled by the record itself, and a resend of it changes nothing. So two claim routers for one partition, or one
-// that was stopped and goes on, cannot give different verdicts.
+// that was stopped and goes on, cannot give different verdicts. Safe to use from several threads.
 class ClaimRouter {
 public:
     using Answer = std::function<void(Verdict)>;
@@ -31,7 +31,7 @@
 
     ClaimRouter(BackingServices::LogService, Options);
 
-    // Answers at once or later, from another fiber. With `readOnly` nothing is claimed.
+    // Calls the hook at once, or later from another fiber. With `readOnly` nothing is claimed.
     void request(uint32_t partition, KeyAndRequest, bool readOnly, const Answer&);
     void markFreed(uint32_t partition, KeyAndRequest);
     void markEnded(uint32_t partition, KeyAndRequest);
--- a/Source/ClassServing/Config/Fold.h
+++ b/Source/ClassServing/Config/Fold.h
@@ -23,7 +23,7 @@
     bool operator==(const AcceptedFile&) const = default;
 };
 
-// An operator's wish to replace a file, valid only against the version that it was written for.
+// An operator's publish of a file, valid only against the version that it was written for.
 struct PublishRecord {
     std::string file;
     uint64_t base { 0 }; // 0: the file does not exist yet.
@@ -41,7 +41,7 @@
 using ConfigRecord = std::variant<PublishRecord, SnapshotRecord>;
 
 std::string encodeRecord(const ConfigRecord&);
-// Nothing when the text is no record; such records are passed over by every reader alike.
+// None when the text is not a record; every reader skips such records.
 std::optional<ConfigRecord> decodeRecord(std::string_view);
 
 enum class FoldVerdict { Accepted, Conflict, Repeated, Malformed, Snapshot };
@@ -51,7 +51,7 @@
 class Fold {
 public:
     FoldVerdict apply(uint64_t offset, int64_t timeMs, std::string_view data);
-    // Takes over what a peer has, file by file, where its version is higher and its digest right.
+    // Adopts a file of a peer when its version is higher and its digest right.
     bool merge(const std::string& file, const AcceptedFile&);
 
     const std::map<std::string, AcceptedFile>& files() const { return m_files; }
--- a/Source/ClassServing/Config/Model.cpp
+++ b/Source/ClassServing/Config/Model.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Reads the members of one object and notes what is wrong with them.
+// Reads the members of one object and collects what is wrong with them.
 class ObjectReader {
 public:
     ObjectReader(const Json& object, std::string pointer, std::vector<Fault>& faults)
@@ -96,7 +96,7 @@
         return value->get<std::vector<Json>>();
     }
 
-    // To be called last: members that nothing asked for are unknown.
+    // To be called last: members that were not read by then are unknown.
     void finish()
     {
         if (!m_object.is_object())
--- a/Source/ClassServing/Config/Model.h
+++ b/Source/ClassServing/Config/Model.h
@@ -20,7 +20,7 @@
     std::string name;
     PoolKind kind { PoolKind::Engine };
     uint32_t slotsPerUpstream { 8 };
-    uint32_t shardSize { 16 }; // Workers that one home schedules.
+    uint32_t shardSize { 16 }; // Upstreams that one home schedules.
     uint32_t guaranteedSlots { 1 }; // Of each shard, for classes that have waited past their bound.
 };
 
@@ -28,7 +28,7 @@
     Scheduling::ClassPolicy policy;
     std::string pool;
     bool noRepeat { false };
-    // Each request with an Idempotency-Key states which try it is, and only the first may run while the log is out.
+    // Each request with an Idempotency-Key states which attempt it is, and only the first may run while the log is out.
     bool vouchedAttempts { false };
     uint32_t maxAttempts { 3 };
 };
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -61,8 +61,8 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        // Offsets only grow. A smaller one means that the log was replaced: what is in force stays, and a person is
-        // called.
+        // Offsets only grow. A smaller one means that the log was replaced: the configuration in force stays, and the
+        // error log asks for an operator.
         if (page.next < m_next) {
             if (!std::exchange(m_logReplaced, true))
                 Common::log(LogLevel::Error, "config", "log.replaced",
--- a/Source/ClassServing/Config/Store.h
+++ b/Source/ClassServing/Config/Store.h
@@ -10,8 +10,8 @@
 
 namespace Brassladder::ClassServing::Config {
 
-// Keeps the configuration in force: follows the log, takes from peers what it lacks, writes snapshots before the
-// log's retention ends, and publishes the compiled table.
+// Owns the configuration in force: follows the log, fetches from peers what is missing, writes snapshots before the
+// log's retention ends, and publishes the compiled table. Safe to use from several threads.
 class Store {
 public:
     struct Hooks {
@@ -31,7 +31,7 @@
     uint64_t digest() const;
     Common::Json status() const;
 
-    // A peer's heartbeat shows another set of versions: ask it for what differs.
+    // A peer's heartbeat shows another set of versions: requests from it what differs.
     void compare(const std::string& peer, uint64_t digest);
     void onRequest(const std::string& peer, const Inner::Wire::ConfigRequest&);
     void onState(const Inner::Wire::ConfigState&);
--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -120,7 +120,7 @@
         if (signal.m_changed.wait_until(lock, timeout, settled))
             break;
         if (Common::now() < deadline) {
-            // Word that the request is queued may have come meanwhile; then it just waits on.
+            // The home may have confirmed meanwhile that the request is queued; then it waits on.
             if (signal.m_queued)
                 continue;
             lock.unlock();
@@ -191,8 +191,8 @@
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(grant.sequence());
-        // A grant of a home that we have left, or for a request that has ended, is void. The home is told by the
-        // release or withdrawal that it has got or will get; here we only must not act on it.
+        // A grant of a former home, or for a request that has ended, is void. The home learns it from the release or
+        // withdrawal; here the grant must only not be used.
         bool current = found != m_pending.end() && found->second.home == home;
         if (!current || !found->second.upstream.empty())
             return;
@@ -263,7 +263,7 @@
             auto place = moved.find(pending.request.shard);
             if (place == moved.end())
                 continue;
-            // The old home, should it live, forgets the request; the new one is told of it.
+            // The old home, if it is alive, forgets the request; the new one gets it.
             if (pending.home != place->second)
                 told.emplace_back(pending.home,
                     releaseItem(sequence, pending.request.shard, { {}, Scheduling::SlotOutcome::Cancelled, 0, {} }));
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -32,8 +32,8 @@
     explicit operator bool() const { return sequence; }
 };
 
-// Lets a caller's departure end a wait for a slot, and a preemption reach the request that runs. Shared between the
-// request's fiber and the threads that bring news.
+// Ends a request's wait for a slot when its caller leaves, and delivers a preemption to a running request. Shared
+// between the request's fiber and the threads that receive messages.
 class RequestSignal {
 public:
     void setOnPreempt(std::function<void()> hook);
@@ -43,7 +43,7 @@
 
 private:
     friend class GrantClient;
-    // A mutex of the thread, not of the fiber: homes call in with their own locks held and must not be suspended.
+    // A thread mutex, not a fiber mutex: homes call with their own locks held and must not be suspended.
     std::mutex m_mutex;
     boost::fibers::condition_variable_any m_changed;
     std::optional<Common::Result<Slot>> m_outcome;
@@ -52,8 +52,8 @@
     std::function<void()> m_onPreempt;
 };
 
-// The entry's side of granting. It keeps, for each request of this router, what it has asked of which home, and tells
-// it all again to the next home when one is lost; so the homes' state can always be rebuilt.
+// The entry's side of granting. Owns, for each request of this router, what it asked of which home, and sends it again
+// to the next home when one is lost, so that the homes' state can always be rebuilt. Safe to use from several threads.
 class GrantClient {
 public:
     struct Hooks {
@@ -78,9 +78,9 @@
     void onPreemption(const std::string& home, const Inner::Wire::Preemption&);
     void onQueued(const Inner::Wire::Queued&);
     void onViewChanged(const Membership::View&);
-    // A new connection to a home stands: tells it everything anew.
+    // A new connection to a home is open: sends everything again.
     void onConnected(const std::string& home);
-    // Asks again for what has waited long, in case the home forgot us while we were silent.
+    // Sends requests that have waited long again, in case the home forgot this router while it was silent.
     void repeatWaiting();
 
     size_t outstanding(const ShardKey&) const;
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -114,7 +114,7 @@
     Scheduling::ShardScheduler::Decisions decisions;
     shard->scheduler.ask(ask, now, decisions);
     decideLocked(*shard, decisions);
-    // The highest tier learns at once that its home lives, and need not look for another.
+    // Confirms to the highest tier at once that its home is alive, so that it does not look for another.
     bool granted = shard->granted.contains(ask.id);
     if (!granted && requestClass->policy.tier == 0) {
         Item item;
@@ -203,7 +203,7 @@
         shard->scheduler.setUpstreams(upstreams);
         if (owned.contains(shard->key) && !before.contains(shard->key))
             shard->scheduler.collectUntil(Common::now() + collectTime);
-        // What an entry held that is no longer alive runs on without us; its slots are free for others.
+        // Requests of an entry that is no longer alive run on by themselves; their slots are free for others.
         std::set<uint64_t> dead;
         for (const auto& [id, granted] : shard->granted) {
             if (granted.entry != m_self && !std::binary_search(view.routers.begin(), view.routers.end(), granted.entry))
--- a/Source/ClassServing/Dispatch/Home.h
+++ b/Source/ClassServing/Dispatch/Home.h
@@ -11,9 +11,10 @@
 
 namespace Brassladder::ClassServing::Dispatch {
 
-// Schedules the shards that this router is the home of. Its state is soft: when it is lost, the entries tell the next
-// home what waits and what runs. It takes whatever it is asked, also when its own view names another home: two homes
-// for a moment only admit too much, which the engines' priorities absorb.
+// Schedules the shards that this router is the home of, by Scheduling/ShardScheduler.h. Its state is soft: when it is
+// lost, the entries report to the next home what waits and what runs. It accepts every request, also when its own view
+// names another home: two homes for a moment admit too much at worst, which the engines' priorities absorb. Safe to use
+// from several threads.
 class Home {
 public:
     struct Hooks {
@@ -30,11 +31,11 @@
     void onAsk(const Inner::Mesh::Sender&, const Inner::Wire::Ask&);
     void onRelease(const Inner::Mesh::Sender&, const Inner::Wire::Release&);
     void onReset(const Inner::Mesh::Sender&, const Inner::Wire::Reset&);
-    // Tells an entry again what it was granted, since its connection was new.
+    // Sends an entry its grants again, since its connection is new.
     void onEntryConnected(const std::string& entry);
     void onViewChanged(const Membership::View&);
     void report(const ShardKey&, std::string_view upstream, const Scheduling::LoadReport&);
-    // Expires, preempts and grants what only time decides. To be called every few milliseconds.
+    // Expires, preempts and grants where only time decides. To be called every few milliseconds.
     void tick();
 
     // The shards whose home this router is, in its own view, with their upstreams.
--- a/Source/ClassServing/Dispatch/Sharding.h
+++ b/Source/ClassServing/Dispatch/Sharding.h
@@ -18,9 +18,9 @@
     std::string text() const { return pool + "/" + std::to_string(index); }
 };
 
-// How many shards a pool of so many upstreams is cut into.
+// How many shards a pool of this many upstreams is divided into.
 uint32_t shardCount(const Config::Pool&, size_t upstreams);
-// The shard of an upstream: by rendezvous, so that a change of the count moves few upstreams.
+// The shard of an upstream, by rendezvous hashing, so that a change of the count moves few upstreams.
 uint32_t shardOf(std::string_view pool, std::string_view upstream, uint32_t count);
 // The router that schedules the shard, in this view; empty when no router is alive.
 std::string homeOf(const Membership::View&, const ShardKey&);
--- a/Source/ClassServing/Frontend/Explanations.h
+++ b/Source/ClassServing/Frontend/Explanations.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-// The caller side of the router and what wires its parts together.
+// The caller-facing side of class serving, and what wires its parts together.
 namespace Brassladder::ClassServing::Frontend {
 
 // What happened to one request, step by step: why it ran where it ran, waited, or was refused.
@@ -37,7 +37,7 @@
     std::vector<Step> m_steps;
 };
 
-// The explanations of the latest requests, bounded.
+// The explanations of the latest requests, up to a bound. Safe to use from several threads.
 class Explanations {
 public:
     explicit Explanations(size_t kept)
--- a/Source/ClassServing/Frontend/RequestContext.h
+++ b/Source/ClassServing/Frontend/RequestContext.h
@@ -9,7 +9,7 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// One classified request of a caller, from its arrival to its answer. Belongs to its fiber.
+// One classified request of a caller, from its arrival to its response. Belongs to its fiber.
 struct RequestContext {
     Common::HttpExchange& exchange;
     std::string requestId;
@@ -17,13 +17,13 @@
     const Config::Workspace* workspace { nullptr };
     std::shared_ptr<const Config::RequestClass> requestClass;
     std::optional<std::string> claimKey; // Digest of workspace and Idempotency-Key.
-    std::optional<uint32_t> attempt; // Brassladder-AttemptResult, from 1.
+    std::optional<uint32_t> attempt; // Of the header Brassladder-Attempt, from 1.
     Common::TimePoint arrived;
     std::optional<Common::TimePoint> claimed; // When a claim was won or vouched for.
     std::shared_ptr<Explanation> explanation;
     std::shared_ptr<Dispatch::RequestSignal> signal;
     uint64_t prefix { 0 };
-    bool relayed { false }; // Something of an answer has gone to the caller.
+    bool relayed { false }; // A part of a response has gone to the caller.
 
     const Scheduling::ClassPolicy& policy() const { return requestClass->policy; }
 };
--- a/Source/ClassServing/Frontend/RequestMetrics.h
+++ b/Source/ClassServing/Frontend/RequestMetrics.h
@@ -9,13 +9,13 @@
 // Why generated tokens were of no use to a caller.
 enum class Waste { CallerGone, UpstreamBroken, LostState };
 
-// The counters that the users judge by. Labels: class, tier and reason.
+// Counters and histograms of class serving (docs/OPERATIONS.md). Labels: class, tier and reason.
 namespace RequestMetrics {
 void arrived(const Config::RequestClass&);
 void refused(std::string_view requestClass, Common::ErrorKind);
 void retried(std::string_view requestClass, Common::ErrorKind reason);
 void preempted(std::string_view requestClass);
-// First token of a generation, or the answer of a plain service.
+// First token of a generation, or the response of a plain service.
 void answered(const Config::RequestClass&, Common::Duration afterArrival);
 void completed(std::string_view requestClass, uint32_t tokens);
 void wasted(std::string_view requestClass, Waste, uint32_t tokens);
--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -33,7 +33,7 @@
         context.exchange.watchCaller(
             [signal = context.signal, weak = std::weak_ptr(call), keep = context.requestClass->noRepeat] {
                 signal->cancel();
-                // A call that may not be repeated is let run to its end: cut in the middle, nobody would know its fate.
+                // A call that must not be repeated is not cancelled: nobody would know whether it ran.
                 if (auto live = weak.lock(); live && !keep)
                     live->cancel();
             });
--- a/Source/ClassServing/Scheduling/ShardScheduler.cpp
+++ b/Source/ClassServing/Scheduling/ShardScheduler.cpp
@@ -241,7 +241,7 @@
     }
 }
 
-// What was paused goes on where its state lies, also on an upstream that is leaving: it is no new work.
+// A paused generation goes on where its state is, also on an upstream that is leaving: it is not new work.
 void ShardScheduler::grantPinned(Tier tier, TimePoint now, Decisions& decisions)
 {
     auto& pinned = m_pinned[tier];
@@ -287,7 +287,8 @@
     decisions.push_back(Grant { ask.id, upstream, guaranteed });
 }
 
-// Pauses one lower request for each higher one that has waited past its patience and that nothing paused yet serves.
+// Preempts one lower request for each higher one that has waited for its part of the target and is not yet served by an
+// earlier preemption.
 void ShardScheduler::preempt(TimePoint now, Decisions& decisions)
 {
     uint32_t wanted = 0;
--- a/Source/Common/Error.cpp
+++ b/Source/Common/Error.cpp
@@ -8,8 +8,9 @@
 
 using namespace std::chrono_literals;
 
-// Retry times: a refusal for load comes back after about one second, the time in which a queue of short calls drains;
-// a refusal for an outage of the platform after two, the time in which a lost instance is replaced in the ledger.
+// Times after which callers may come back. Refusals for load: about one second, in which a queue of short calls drains.
+// Refusals for an outage of the platform or a lost instance: two seconds, in which a lost instance is replaced. Chosen,
+// not measured.
 static constexpr std::array s_errorTable {
     ErrorTraits { ErrorKind::BadRequest, "bad_request", 400, Ran::No, 0ms },
     ErrorTraits { ErrorKind::BodyTooLarge, "body_too_large", 413, Ran::No, 0ms },
--- a/Source/Common/Error.h
+++ b/Source/Common/Error.h
@@ -46,12 +46,12 @@
     Internal,
 };
 
-// How a kind of error is answered.
+// How a caller sees a kind of error.
 struct ErrorTraits {
     ErrorKind kind;
     std::string_view name; // Stable: used on the wire, in metrics labels and in logs.
     unsigned httpStatus;
-    Ran ran; // What is known in general; an Error may carry a more careful value.
+    Ran ran; // The usual value; an Error may carry a more careful one.
     std::chrono::milliseconds retryAfter; // Zero: repeating the request will not help.
 };
 
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -21,9 +21,8 @@
     std::string body;
     std::vector<HttpHeader> headers;
     Milliseconds connectTimeout { defaultConnectTimeout };
-    Milliseconds responseTimeout {
-        defaultResponseTimeout
-    }; // For the response head, and then for each piece of its body.
+    // For the response head, and then for each piece of its body.
+    Milliseconds responseTimeout { defaultResponseTimeout };
     std::optional<TimePoint> deadline; // When set, bounds the whole exchange in place of `responseTimeout`.
 };
 
@@ -44,20 +43,20 @@
     HttpConnection();
 
     Status connect(const Endpoint&, Milliseconds timeout);
-    // Sends the request and reads the head of the answer.
+    // Sends the request and reads the response head.
     Result<HttpClientResponse> start(const HttpClientRequest&);
     // Reads the next piece of the body; empty at the end. An end without the announced length is UpstreamBroken.
     Result<std::string_view> readPiece();
     // The rest of the body.
     Result<std::string> readRest(size_t limit);
 
-    // May be called by another fiber of the same thread: the operation under way fails at once.
+    // May be called by another fiber of the same thread: the operation in progress fails at once.
     void close();
     bool isReusable() const;
-    // How long the other side keeps the connection open between two requests, as its last answer told; none when it
-    // did not tell.
+    // How long the other side keeps an idle connection open, by its last response (`Keep-Alive`); none when it did not
+    // say.
     std::optional<Milliseconds> keepAliveTime() const { return m_keepAliveTime; }
-    // Whether an idle kept connection still looks open. The other side may close it right afterwards.
+    // Whether an idle connection still looks open. The other side may close it right afterwards.
     bool looksOpen();
 
 private:
@@ -76,7 +75,7 @@
 
 HopByHopFields hopByHopFieldsOf(const HttpClientResponse&);
 
-// Connects, sends, and reads the whole answer: for short calls where a pool of connections would not pay.
+// Connects, sends, and reads the whole response: for short calls where a connection pool would not pay.
 Result<HttpClientResponse> callOnce(
     const Endpoint&, const HttpClientRequest&, size_t bodyLimit = maxWholeResponseBytes);
 
--- a/Source/Common/HttpExchange.h
+++ b/Source/Common/HttpExchange.h
@@ -63,8 +63,8 @@
 
     // Answers at once. Returns false when the caller is gone.
     bool respond(const HttpResponse&);
-    // Answers piece by piece in chunked coding: begin, any number of writes, end. A stream that is not ended closes
-    // the connection without the last chunk, so that a caller can tell it from a whole answer. The head travels with
+    // Responds piece by piece in chunked coding: begin, any number of writes, end. A stream that is not ended closes
+    // the connection without the last chunk, so that a caller can tell it from a whole response. The head is sent with
     // the first piece.
     bool beginStream(const HttpResponse& head);
     bool write(std::string_view piece);
@@ -77,7 +77,7 @@
     bool isAnswered() const { return m_answered; }
     bool mayKeepAlive() const { return m_keepAlive && !m_streaming; }
     void closeAfterAnswer() { m_keepAlive = false; }
-    // Closes the connection without an answer, or without the end of one that has begun.
+    // Closes the connection without a response, or without the end of one that has begun.
     void abandon()
     {
         m_answered = true;
--- a/Source/Common/HttpServer.h
+++ b/Source/Common/HttpServer.h
@@ -21,9 +21,9 @@
 
     // The port in use; the kernel chooses it when the builder was given port 0.
     uint16_t port() const { return m_port; }
-    // Ends the acceptance of connections; those that are open go on, and close after their next answer.
+    // Accepts no more connections; open ones close after their next response.
     void stopAccepting();
-    // Closes the connections on which no request has begun. Those that come to rest later are not touched.
+    // Closes the connections on which no request has begun. Those that become idle later are not closed.
     void closeIdle();
 
 private:
@@ -62,7 +62,7 @@
     {
         return limits([fixed] { return fixed; });
     }
-    // Limits that may change while the server runs: asked for at each request, on any thread.
+    // Limits that may change while the server runs: the hook is called for each request, on any thread.
     Builder& limits(std::function<HttpLimits()> current)
     {
         m_limits = std::move(current);
--- a/Source/Common/Log.h
+++ b/Source/Common/Log.h
@@ -9,11 +9,11 @@
 
 enum class LogLevel { Debug, Info, Warning, Error };
 
-// Sends log lines to standard output as one JSON object a line, from a thread of its own so that a slow pipe stops no
-// fiber. `instance` stands in each line.
+// Writes log lines to standard output, one JSON object a line, from a thread of its own so that a slow pipe blocks no
+// fiber. Each line has the field `instance`.
 //
 // The volume is bounded: beyond `linesPerSecond`, and while the reader of standard output does not keep up, lines are
-// left out. How many is told in a line `log.left_out` once there is room again. Errors are left out last.
+// left out. How many is logged in a line `log.left_out` once there is room again. Errors are left out last.
 void startLogging(LogLevel least, std::string_view instance);
 
 inline constexpr unsigned linesPerSecond = 200;
--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -11,11 +11,12 @@
 
 namespace asio = boost::asio;
 
-// A peer behind a cut says nothing and resets nothing: the connection ends when bytes stay unacknowledged for so long.
+// A peer behind a network cut neither responds nor resets: the connection ends when bytes stay unacknowledged for this
+// long (TCP_USER_TIMEOUT). Chosen, not measured.
 static constexpr int unacknowledgedMs = 2000;
 
 static constexpr size_t readBytes = 16 * 1024;
-// Room for a burst of frames without waiting for the peer's window updates: 1 MB.
+// HTTP/2 window: room for a burst of frames without waiting for window updates. Chosen, not measured.
 static constexpr int32_t windowBytes = 1 << 20;
 
 Http2Session::Http2Session(Socket socket, Hooks hooks)
--- a/Source/Inner/Mesh.cpp
+++ b/Source/Inner/Mesh.cpp
@@ -13,9 +13,9 @@
 using tcp = asio::ip::tcp;
 using Common::LogLevel;
 
-// One-way latency inside a region is a few milliseconds (brief, "Sizes of today").
+// For a connection between routers. One-way latency inside a region is a few milliseconds (brief, "Sizes of today").
 static constexpr Common::Milliseconds connectTimeout { 500 };
-// A peer that takes nothing is cut off before its backlog grows past this.
+// A connection whose peer does not read is closed when its backlog exceeds this. Chosen, not measured.
 static constexpr size_t maxBacklogBytes = 8 * 1024 * 1024;
 
 Mesh::Mesh(Common::FiberRuntime& runtime, Sender self, std::string_view fleetKey)
@@ -106,7 +106,7 @@
     m_runtime.spawnOn(link->thread, [this, link] { pump(link); });
 }
 
-// Sends what waits, in one frame, until nothing waits.
+// Sends all items that wait, in one frame at a time, until none waits.
 void Mesh::pump(const std::shared_ptr<Link>& link)
 {
     bool connected = link->session && link->session->isOpen();
--- a/Source/Inner/Mesh.h
+++ b/Source/Inner/Mesh.h
@@ -17,8 +17,9 @@
 };
 
 // Carries items between routers, in order, over one connection in each direction that is opened when there is
-// something to send. Items are never repeated by the mesh: when a connection breaks, what was under way is lost, both
-// sides are told, and whoever owns the state tells it again. Items to one peer that wait together travel in one frame.
+// something to send. The mesh never repeats an item: when a connection breaks, items in flight are lost, the hooks of
+// both sides are called, and the owner of the state sends it again. Items that wait for one peer are sent in one frame.
+// Safe to use from several threads.
 class Mesh {
 public:
     struct Sender {
@@ -28,7 +29,7 @@
     struct Hooks {
         // Called on a thread of the runtime, in the order of sending. Must not block.
         std::function<void(const Sender&, const Wire::Item&)> onItem;
-        // A connection to the peer stands: what it should know has to be told now.
+        // A connection to the peer is open: state that the peer needs must be sent now.
         std::function<void(const std::string& peer)> onConnected;
         std::function<void(const std::string& peer)> onDisconnected;
     };
