--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -179,6 +179,11 @@
         if (prepareRetry(attempt.outcome()))
             return Next::Retry;
     }
+    // This response belongs to an attempt to resume the stream; the caller already has another response's head.
+    if (m_stream.hasBegun()) {
+        abandon("stream_not_resumed");
+        return Next::Done;
+    }
     const auto& response = attempt.response();
     m_report.status = response.status;
     GatewayMetrics::firstByte(Common::now() - m_report.arrived);
