--- a/Source/ClassServing/BackingServices/InstanceList.cpp
+++ b/Source/ClassServing/BackingServices/InstanceList.cpp
@@ -9,6 +9,7 @@
 using Common::Json;
 using Common::member;
 
+// For one read of the list. Chosen, not measured.
 static constexpr Common::Milliseconds connectTimeout { 500 };
 static constexpr Common::Milliseconds responseTimeout { 2000 };
 
--- a/Source/ClassServing/BackingServices/LogService.cpp
+++ b/Source/ClassServing/BackingServices/LogService.cpp
@@ -9,6 +9,7 @@
 using Common::Json;
 using Common::member;
 
+// For a call to the service; a long poll adds its own wait. Chosen, not measured.
 static constexpr Common::Milliseconds connectTimeout { 500 };
 static constexpr Common::Milliseconds responseTimeout { 2000 };
 
--- a/Source/ClassServing/Frontend/RequestContext.cpp
+++ b/Source/ClassServing/Frontend/RequestContext.cpp
@@ -11,6 +11,7 @@
 using Common::Result;
 
 static constexpr std::string_view bearer = "Bearer ";
+// Bytes of an Idempotency-Key (docs/INTERFACE.md). Chosen, not measured.
 static constexpr size_t maxKeyLength = 256;
 
 static Result<std::optional<uint32_t>> readAttempt(std::string_view text)
--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -97,7 +97,7 @@
     publish(now);
 }
 
-// Its own watcher goes by the heartbeats; all others by what is told, unless they had word of it since.
+// A watcher decides by heartbeats. Other routers decide by reported suspicions, unless the peer was heard since.
 bool Table::isMissed(const RouterState& state, TimePoint now) const
 {
     if (state.watched)
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -102,7 +102,7 @@
 // The routers that watch this one: the next ones on a ring of the sorted ids, all or `fullMeshRouters - 1`. The cost
 // for a node does not grow with the fleet.
 std::vector<std::string> watchersOf(std::span<const std::string> sortedIds, std::string_view self);
-// To spread news in logarithmic time, heartbeats also go to a few others by chance.
+// Heartbeats also go to a few random routers, so that suspicions reach all in logarithmic time.
 std::vector<std::string> chanceTargets(std::span<const std::string> sortedIds, std::string_view self, uint64_t chance);
 
 } // namespace Brassladder::ClassServing::Membership
--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -16,8 +16,10 @@
 public:
     // Chosen, not measured: a tenth of extra load is what a pool near its capacity can still bear.
     static constexpr double retriesPerRequest = 0.1;
+    // So that an idle pool can be retried at all. Chosen, not measured.
     static constexpr double retriesPerSecond = 1;
-    // The most retries that are saved up: ten seconds of the trickle, or what a hundred requests earn.
+    // The most retries that are saved up: ten seconds of the trickle, or what a hundred requests earn. Chosen, not
+    // measured.
     static constexpr double maxSaved = 10;
 
     void deposit();
--- a/Source/ClassServing/Scheduling/ShardScheduler.h
+++ b/Source/ClassServing/Scheduling/ShardScheduler.h
@@ -25,7 +25,7 @@
 //
 // 1. A free slot goes to the highest tier that waits; within a tier, to the flow that is furthest behind.
 // 2. While a higher tier waits and nothing is free, the lowest preemptible running request is paused.
-// 3. When the queue is full, the lowest tier that waits gives up its place first.
+// 3. When the queue is full, a waiting request of the lowest tier is refused first.
 // 4. A class that has waited past its bound may use the guaranteed slots, whatever the higher tiers do.
 // 5. A request that cannot get a slot before its deadline is refused on arrival, with the time to come back.
 //
--- a/Source/ClassServing/Scheduling/Types.h
+++ b/Source/ClassServing/Scheduling/Types.h
@@ -16,6 +16,7 @@
 
 // Service tiers, 0 being the highest. Four are what the users ask for.
 using Tier = uint8_t;
+// Tiers in all (the users' two-year target, docs/CAPACITY.md).
 inline constexpr size_t tierCount = 4;
 
 // One request for a slot: the entry that asks, and its own number for it.
--- a/Source/ClassServing/Scheduling/UpstreamLedger.cpp
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.cpp
@@ -24,6 +24,7 @@
 // request.
 static constexpr Duration initialEjection = 500ms;
 static constexpr Duration maxEjection = 10s;
+// Doublings until the bound above holds anyway: 0.5 s x 2^5 is 16 s.
 static constexpr uint32_t maxEjectionDoublings = 5;
 // The upstream that has the prefix cached is taken while its cost is at most this many times the best one's. Chosen,
 // not measured.
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -12,9 +12,11 @@
 using Common::HttpClientRequest;
 using Common::Status;
 
+// Events of the contract with engines (docs/INTERFACE.md, "Model engines").
 static constexpr std::string_view endMarker = "[DONE]";
 static constexpr std::string_view pausedEvent = "paused";
 static constexpr std::string_view errorEvent = "error";
+// The engine no longer holds the paused generation.
 static constexpr unsigned statusGone = 410;
 // For the call that pauses a generation. Chosen, not measured.
 static constexpr Common::Milliseconds pauseTimeout { 2000 };
--- a/Source/Common/Log.cpp
+++ b/Source/Common/Log.cpp
@@ -18,6 +18,7 @@
 // Room of the queue to the writing thread. A writer of lines would have to wait when it is full, so lines are left out
 // from half of it on.
 static constexpr unsigned queueLines = 16384;
+// Lines that may wait for the writer.
 static constexpr uint64_t mostWaiting = queueLines / 2;
 
 static std::string s_instance;
--- a/Source/Common/Log.h
+++ b/Source/Common/Log.h
@@ -16,6 +16,7 @@
 // left out. How many is logged in a line `log.left_out` once there is room again. Errors are left out last.
 void startLogging(LogLevel least, std::string_view instance);
 
+// Log lines of one process in a second (docs/OPERATIONS.md). Chosen, not measured.
 inline constexpr unsigned linesPerSecond = 200;
 
 // Writes one line, or leaves it out; never waits. It has time, level, package, event and the fields given. Events are
--- a/Source/Inner/FrameCodec.cpp
+++ b/Source/Inner/FrameCodec.cpp
@@ -7,6 +7,7 @@
 
 using Common::ErrorKind;
 
+// Width of the length in front of each frame.
 static constexpr size_t lengthBytes = sizeof(uint32_t);
 
 std::string encodeFrame(const Wire::Frame& frame)
--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -15,6 +15,7 @@
 // long (TCP_USER_TIMEOUT). Chosen, not measured.
 static constexpr int unacknowledgedMs = 2000;
 
+// Buffer for one read: HTTP/2's default maximum frame size (RFC 9113, 6.5.2).
 static constexpr size_t readBytes = 16 * 1024;
 // HTTP/2 window: room for a burst of frames without waiting for window updates. Chosen, not measured.
 static constexpr int32_t windowBytes = 1 << 20;
--- a/Source/Operator/Commands.cpp
+++ b/Source/Operator/Commands.cpp
@@ -237,6 +237,7 @@
     bool needsLog { false };
 };
 
+// Name, takes a word, needs routers, needs the log.
 static constexpr std::array s_commands { CommandSpec { "validate", true, false, false },
     CommandSpec { "diff", true, false, true }, CommandSpec { "publish", true, false, true },
     CommandSpec { "status", false, true, false }, CommandSpec { "explain", true, true, false },
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -18,6 +18,7 @@
 
 // How often an append whose fate is unknown is sent again, and the pause in between.
 static constexpr int publishTries = 20;
+// Chosen, not measured.
 static constexpr Common::Milliseconds retryPause = 250ms;
 
 Result<FileSet> readFolder(const std::string& path)
--- a/Source/RouteServing/Gateway/GatewaySettings.h
+++ b/Source/RouteServing/Gateway/GatewaySettings.h
@@ -15,10 +15,15 @@
     // Defaults of the table. The bounds are the users' present ones (their site files); the rest was chosen, not
     // measured.
     static constexpr size_t defaultCallerConnections = 2000;
+    // `ConfigApplyMs` of the users' site files.
     static constexpr Common::Milliseconds defaultConfigurationBound { 2000 };
+    // `DrainMs` of the users' site files.
     static constexpr Common::Milliseconds defaultLeavingBound { 2000 };
+    // `GraceS` of the users' site files.
     static constexpr Common::Milliseconds defaultGrace { 8000 };
+    // Half of the users' `RetryRatio`. Chosen, not measured.
     static constexpr double defaultRetryRatio = 0.1;
+    // `RetryWindowS` of the users' site files.
     static constexpr Common::Milliseconds defaultRetryWindow { 10'000 };
 
     std::string id;
--- a/Source/RouteServing/Gateway/SseFramer.cpp
+++ b/Source/RouteServing/Gateway/SseFramer.cpp
@@ -5,6 +5,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
+// An empty line ends an event (HTML, "Server-sent events").
 static constexpr std::string_view eventEnd = "\n\n";
 static constexpr std::string_view idField = "id:";
 
--- a/Source/RouteServing/Routing/FreshnessLease.h
+++ b/Source/RouteServing/Routing/FreshnessLease.h
@@ -41,6 +41,7 @@
         return Common::TimePoint(Common::Duration(m_confirmed.load(std::memory_order_relaxed)));
     }
 
+    // 5% of the bound, see durationWithin.
     static constexpr int marginDivisor = 20;
 
     Common::Milliseconds m_duration;
--- a/Source/RouteServing/Routing/HubBackoff.h
+++ b/Source/RouteServing/Routing/HubBackoff.h
@@ -13,6 +13,7 @@
     // Initial backoff before an unresponsive hub is asked again; doubles on each failure, up to 32 s. Chosen, not
     // measured: above the longest freeze from which instances usually come back.
     static constexpr Common::Milliseconds initial { 2000 };
+    // 2 s x 2^4 is 32 s.
     static constexpr unsigned maxDoublings = 4;
 
     // It did not respond in time.
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -11,6 +11,7 @@
 // All chosen, not measured. A single broken attempt may be bad luck; two in a row are taken for a fault. A connection
 // that cannot be made ejects at once.
 static constexpr unsigned failuresToEject = 2;
+// The first ejection, and the bound of its doubling.
 static constexpr Common::Milliseconds initialEjection = 500ms;
 static constexpr Common::Milliseconds maxEjection = 8000ms;
 // Weight of the newest attempt in the error rate: about the last seven attempts count.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -85,6 +85,7 @@
 // Evenly distributed in [0, 1).
 static double randomShare()
 {
+    // Resolution of the jitter: far finer than its 2%.
     static constexpr uint64_t steps = 1024;
     return static_cast<double>(Common::randomNumber() % steps) / steps;
 }
--- a/Source/Testing/Harness/Cluster.h
+++ b/Source/Testing/Harness/Cluster.h
@@ -43,7 +43,7 @@
     // Publishes and waits until every router has it in force and sees every other and all upstreams.
     void publish(const Operator::FileSet&);
     void awaitReady();
-    // Waits until the condition holds; false after the patience. Never a measurement.
+    // Waits until the condition holds; false after the timeout. Not a measurement.
     bool await(const std::function<bool()>&, std::chrono::seconds patience = std::chrono::seconds(30));
 
     Node& node(const std::string& id) { return m_nodes.at(id); }
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -118,6 +118,7 @@
 
 static PerfectRun perfectRun(const Scenario& scenario, std::span<const Load::CallRecord> history)
 {
+    // Seconds of one step of the fluid model.
     static constexpr double slice = 0.01;
     double step = static_cast<double>(scenario.engine.stepMicros) / 1e6;
     std::vector<std::pair<double, double>> arrivals;
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -16,8 +16,10 @@
 using Common::member;
 using namespace std::chrono_literals;
 
+// For a response to begin, and for a connection. Chosen, not measured.
 static constexpr Common::Milliseconds responseTimeout = 120s;
 static constexpr Common::Milliseconds connectTimeout = 2s;
+// Added at random to Retry-After, so that refused callers do not come back together.
 static constexpr uint64_t comeBackJitterMs = 500;
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
 
