--- a/Source/RouteServing/Gateway/CrashWatch.cpp
+++ b/Source/RouteServing/Gateway/CrashWatch.cpp
@@ -64,7 +64,7 @@
         return GatewayMetrics::upstreamBroke(name(BreakCause::PlannedEnd));
     }
     std::lock_guard lock(m_mutex);
-    if (m_broken.add(upstream.start(), std::move(attempt)))
+    if (m_broken.add(upstream.incarnation(), std::move(attempt)))
         Common::FiberRuntime::spawnHere([this, upstream] { findCause(upstream); });
 }
 
@@ -76,7 +76,7 @@
     std::vector<Routing::BrokenAttempt> attempts;
     {
         std::lock_guard lock(m_mutex);
-        attempts = m_broken.take(upstream.start());
+        attempts = m_broken.take(upstream.incarnation());
     }
     if (cause != BreakCause::Crash)
         return Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -61,7 +61,7 @@
           m_settings.id, m_settings.fleetKey)
 {
     m_crashes.setOnCrash([this](const auto& upstream, auto attempts) {
-        m_suspects.recordCrash(upstream.start(), attempts, Common::now());
+        m_suspects.recordCrash(upstream.incarnation(), attempts, Common::now());
     });
     if (m_usage && sources.dutyLog && sources.dutyCalls)
         startDuties(sources);
--- a/Source/RouteServing/Routing/BrokenAttempts.h
+++ b/Source/RouteServing/Routing/BrokenAttempts.h
@@ -25,11 +25,11 @@
 class BrokenAttempts {
 public:
     // True when it is the first one since the last call of `take`.
-    bool add(const UpstreamStart&, BrokenAttempt);
-    std::vector<BrokenAttempt> take(const UpstreamStart&);
+    bool add(const UpstreamIncarnation&, BrokenAttempt);
+    std::vector<BrokenAttempt> take(const UpstreamIncarnation&);
 
 private:
-    std::map<UpstreamStart, std::vector<BrokenAttempt>> m_attempts;
+    std::map<UpstreamIncarnation, std::vector<BrokenAttempt>> m_attempts;
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/Suspect.cpp
+++ b/Source/RouteServing/Routing/Suspect.cpp
@@ -110,7 +110,7 @@
     suspect.runs.erase(dispensable == suspect.runs.end() ? suspect.runs.begin() : dispensable);
 }
 
-static bool knowsRunAt(const SuspectRecord& suspect, const UpstreamStart& upstream)
+static bool knowsRunAt(const SuspectRecord& suspect, const UpstreamIncarnation& upstream)
 {
     return std::any_of(
         suspect.runs.begin(), suspect.runs.end(), [&](const auto& known) { return known.upstream == upstream; });
--- a/Source/RouteServing/Routing/Suspect.h
+++ b/Source/RouteServing/Routing/Suspect.h
@@ -20,7 +20,7 @@
 
 // One run that an upstream's crash ended.
 struct CrashedRun {
-    UpstreamStart upstream;
+    UpstreamIncarnation upstream;
     std::string requestId;
     Common::TimePoint sent;
     Common::TimePoint ended;
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -48,7 +48,8 @@
     return found == m_entries.end() ? Suspicion::None : Routing::suspicionOf(found->second.record, now);
 }
 
-void SuspectLedger::recordCrash(const UpstreamStart& upstream, std::span<const BrokenAttempt> attempts, TimePoint now)
+void SuspectLedger::recordCrash(
+    const UpstreamIncarnation& upstream, std::span<const BrokenAttempt> attempts, TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     for (const auto& attempt : attempts) {
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -30,7 +30,7 @@
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
     // An upstream crashed while these attempts of this router were under way there.
-    void recordCrash(const UpstreamStart&, std::span<const BrokenAttempt>, Common::TimePoint now);
+    void recordCrash(const UpstreamIncarnation&, std::span<const BrokenAttempt>, Common::TimePoint now);
     // A run of it has ended well. Says nothing of a request that is not suspected.
     void recordCompleted(const RequestIdentity&, Common::TimePoint now);
     // An operator vouches for the request of that text; false when it is not known.
--- a/Source/RouteServing/Routing/Upstream.h
+++ b/Source/RouteServing/Routing/Upstream.h
@@ -13,10 +13,10 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Which process of an upstream: another start has another id, or the same one and a later `born`.
-struct UpstreamStart {
+struct UpstreamIncarnation {
     std::string id;
     uint64_t born { 0 };
-    auto operator<=>(const UpstreamStart&) const = default;
+    auto operator<=>(const UpstreamIncarnation&) const = default;
 };
 
 // One start of an upstream, as the platform lists it. Another start has another id, or the same one and a later `born`;
@@ -32,7 +32,7 @@
     bool spot { false }; // May be taken away at short notice.
     bool operator==(const UpstreamRecord&) const = default;
 
-    UpstreamStart start() const { return { id, born }; }
+    UpstreamIncarnation incarnation() const { return { id, born }; }
 };
 
 // Requests at an upstream, as it reports them itself with a response.
