--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -3,7 +3,7 @@
 // product's own registry. Figures in docs/design/upstream-rest.md.
 #include "Common/Precompiled.h"
 
-#include "RouteServing/Routing/RestPolicy.h"
+#include "RouteServing/Routing/NoUpstreamPolicy.h"
 #include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <cstdio>
@@ -59,12 +59,13 @@
 };
 
 // The way that was not built: until when a router holds a request, which is half of its objective at most.
-std::optional<TimePoint> holdUntil(TimePoint arrived, Milliseconds objectiveTime, std::optional<TimePoint> firstReturn)
+std::optional<TimePoint> holdUntil(
+    TimePoint arrived, Milliseconds objectiveTime, std::optional<TimePoint> earliestCooldownEnd)
 {
     constexpr int holdableParts = 2;
-    if (!firstReturn || *firstReturn > arrived + objectiveTime / holdableParts)
+    if (!earliestCooldownEnd || *earliestCooldownEnd > arrived + objectiveTime / holdableParts)
         return std::nullopt;
-    return firstReturn;
+    return earliestCooldownEnd;
 }
 
 class Play {
@@ -168,11 +169,11 @@
     void withoutUpstream(const std::shared_ptr<Request>& request)
     {
         auto& registry = *m_registries[request->router];
-        auto firstReturn = registry.firstReturn(placementOf(*request), m_now);
-        auto until = holdUntil(request->arrived, objective * m_scenario.serviceTime, firstReturn);
+        auto earliestCooldownEnd = registry.earliestCooldownEnd(placementOf(*request), m_now);
+        auto until = holdUntil(request->arrived, objective * m_scenario.serviceTime, earliestCooldownEnd);
         if (m_scenario.whenAllRest == WhenAllRest::Hold && until)
             return at(std::min<TimePoint>(*until, m_now + 20ms) + 1ms, [this, request] { place(request); });
-        giveBack(request, refusalWithoutUpstream({ firstReturn, std::nullopt }, false, m_now).retryAfter);
+        giveBack(request, noUpstreamRefusal({ earliestCooldownEnd, std::nullopt }, false, m_now).retryAfter);
     }
 
     // The caller comes back once, at another router, and waits for a third of its time at most (PROTOCOL, "Answers").
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -8,8 +8,8 @@
 #include "RouteServing/Gateway/GatewayMetrics.h"
 #include "RouteServing/Gateway/HeaderRules.h"
 #include "RouteServing/Routing/ConnectionPolicy.h"
+#include "RouteServing/Routing/NoUpstreamPolicy.h"
 #include "RouteServing/Routing/ReplicaPolicy.h"
-#include "RouteServing/Routing/RestPolicy.h"
 
 namespace Brassladder::RouteServing::Gateway {
 
@@ -114,7 +114,7 @@
         if (!placement && awaitQuota())
             continue;
         if (!placement)
-            return refuse(refusalWithoutUpstream());
+            return refuse(noUpstreamRefusal());
         m_isHeld = false;
         if (runAttempt(*placement) == Next::Done)
             return;
@@ -124,7 +124,7 @@
 bool RequestHandler::awaitQuota()
 {
     auto now = Common::now();
-    bool mayWait = !isAbandoned() && now < m_report.arrived + Routing::longestQuotaHold(*m_route);
+    bool mayWait = !isAbandoned() && now < m_report.arrived + Routing::maxQuotaHold(*m_route);
     if (!mayWait || !m_services.registry.quotaWait(placementRequest(), now))
         return false;
     m_isHeld = true;
@@ -132,15 +132,15 @@
     return true;
 }
 
-Refusal RequestHandler::refusalWithoutUpstream() const
+Refusal RequestHandler::noUpstreamRefusal() const
 {
     auto now = Common::now();
     auto ofAnyUpstream = placementRequest();
     ofAnyUpstream.attempted = {};
     const auto& registry = m_services.registry;
-    return Routing::refusalWithoutUpstream(
-        { registry.firstReturn(ofAnyUpstream, now), registry.quotaWait(ofAnyUpstream, now) }, m_history.mayHaveRun,
-        now);
+    return Routing::noUpstreamRefusal(
+        { registry.earliestCooldownEnd(ofAnyUpstream, now), registry.quotaWait(ofAnyUpstream, now) },
+        m_history.mayHaveRun, now);
 }
 
 // Checked again before each attempt: time has passed since the last one.
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -61,7 +61,7 @@
     std::optional<Placement> choosePlacement(Common::TimePoint now);
     // Whether to look for an upstream once more, after a moment in which a quota may have come.
     bool awaitQuota();
-    Routing::Refusal refusalWithoutUpstream() const;
+    Routing::Refusal noUpstreamRefusal() const;
     Routing::Refusal refusalAfter(const UpstreamAttempt&) const;
     void chooseReplica(Common::TimePoint now);
     Next runAttempt(const Placement&);
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -95,9 +95,9 @@
         GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Leaving);
         Common::log(LogLevel::Info, "gateway", "upstream.says_leaving", fields);
     }
-    if (statement.rest) {
+    if (statement.cooldown) {
         GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Rest);
-        fields["seconds"] = Common::toSeconds(*statement.rest);
+        fields["seconds"] = Common::toSeconds(*statement.cooldown);
         Common::log(LogLevel::Info, "gateway", "upstream.asked_rest", std::move(fields));
     }
 }
--- a/Source/RouteServing/Routing/RestPolicy.cpp
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Routing/RestPolicy.h"
+#include "RouteServing/Routing/NoUpstreamPolicy.h"
 
 #include <algorithm>
 
@@ -9,23 +9,23 @@
 using namespace std::chrono_literals;
 
 // After this a quota is not due soon, however long the route's objective.
-static constexpr Common::Milliseconds quotaHoldBound = 300ms;
+static constexpr Common::Milliseconds quotaHoldCap = 300ms;
 
-Common::Milliseconds longestQuotaHold(const Route& route) { return std::min(route.objective / 2, quotaHoldBound); }
+Common::Milliseconds maxQuotaHold(const Route& route) { return std::min(route.objective / 2, quotaHoldCap); }
 
-Refusal refusalWithoutUpstream(const NextChance& chance, bool mayHaveRun, Common::TimePoint now)
+Refusal noUpstreamRefusal(const NextAvailability& chance, bool mayHaveRun, Common::TimePoint now)
 {
     if (mayHaveRun)
         return { ErrorKind::UpstreamBroken, "no upstream is left" };
-    std::optional<Common::Milliseconds> rest;
+    std::optional<Common::Milliseconds> cooldown;
     // Rounded up, so that nobody comes back a moment too early.
-    if (chance.firstReturn)
-        rest = std::max(1ms, Common::toMilliseconds(*chance.firstReturn - now) + 1ms);
-    if (chance.quotaWait && (!rest || *chance.quotaWait < *rest))
+    if (chance.earliestCooldownEnd)
+        cooldown = std::max(1ms, Common::toMilliseconds(*chance.earliestCooldownEnd - now) + 1ms);
+    if (chance.quotaWait && (!cooldown || *chance.quotaWait < *cooldown))
         return { ErrorKind::UpstreamsLimited, "the limits of all upstreams are used up", *chance.quotaWait };
-    if (!rest)
+    if (!cooldown)
         return { ErrorKind::NoUpstream, "no upstream is left" };
-    return { ErrorKind::UpstreamsResting, "every upstream has asked for rest", *rest };
+    return { ErrorKind::UpstreamsResting, "every upstream has asked for rest", *cooldown };
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RestPolicy.h
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.h
@@ -16,16 +16,16 @@
 namespace Brassladder::RouteServing::Routing {
 
 // When an upstream of the service may be expected to take the request.
-struct NextChance {
-    std::optional<Common::TimePoint> firstReturn; // Of those that rest; none when none does.
+struct NextAvailability {
+    std::optional<Common::TimePoint> earliestCooldownEnd; // Of those that rest; none when none does.
     std::optional<Common::Milliseconds> quotaWait; // Of those with a limit; none when none has one.
 };
 
 // For how long after its arrival a request may wait for a quota.
-Common::Milliseconds longestQuotaHold(const Route&);
+Common::Milliseconds maxQuotaHold(const Route&);
 
 // The refusal of a request for which no upstream is left. `mayHaveRun`: an attempt before may have run, so that the
 // refusal promises nothing and names no time.
-Refusal refusalWithoutUpstream(const NextChance&, bool mayHaveRun, Common::TimePoint now);
+Refusal noUpstreamRefusal(const NextAvailability&, bool mayHaveRun, Common::TimePoint now);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RefusalBackoff.cpp
+++ b/Source/RouteServing/Routing/RefusalBackoff.cpp
@@ -28,7 +28,7 @@
     m_until = now + m_backoff;
 }
 
-void RefusalBackoff::recordRest()
+void RefusalBackoff::recordCooldown()
 {
     m_isOnTrial = true;
     // Requests from before the rest are no trial.
--- a/Source/RouteServing/Routing/RefusalBackoff.h
+++ b/Source/RouteServing/Routing/RefusalBackoff.h
@@ -21,7 +21,7 @@
     // It refused a request, without asking for rest.
     void recordRefusal(Common::TimePoint now);
     // It asked for rest, whose end is kept elsewhere (UpstreamStatements).
-    void recordRest();
+    void recordCooldown();
     // A request goes there.
     void recordStart(Common::TimePoint now) { m_lastStart = now; }
     // It did not refuse a request: the response has begun.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -149,7 +149,7 @@
     return backedOff.empty() ? ejected : backedOff;
 }
 
-std::optional<Common::TimePoint> UpstreamRegistry::firstReturn(
+std::optional<Common::TimePoint> UpstreamRegistry::earliestCooldownEnd(
     const PlacementRequest& request, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
@@ -157,7 +157,7 @@
     for (const auto& [id, entry] : m_entries) {
         if (!suits(entry, request) || m_statements.isLeaving(entry.record))
             continue;
-        auto back = m_statements.restEnd(entry.record, now);
+        auto back = m_statements.cooldownEnd(entry.record, now);
         if (back && (!first || *back < *first))
             first = back;
     }
@@ -202,8 +202,8 @@
     const UpstreamRecord& upstream, const UpstreamStatement& statement, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    if (auto* entry = find(upstream); entry && statement.rest)
-        entry->refusals.recordRest();
+    if (auto* entry = find(upstream); entry && statement.cooldown)
+        entry->refusals.recordCooldown();
     return m_statements.record(upstream, statement, now);
 }
 
@@ -214,10 +214,10 @@
         entry->refusals.recordResponse();
 }
 
-size_t UpstreamRegistry::restingCount(Common::TimePoint now) const
+size_t UpstreamRegistry::cooldownCount(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_statements.restingCount(now);
+    return m_statements.cooldownCount(now);
 }
 
 // A request that could go to a limited upstream is asked for, whether or not it goes there in the end.
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -74,7 +74,7 @@
     std::optional<Placement> choose(const PlacementRequest&, Common::TimePoint now);
     // When no upstream may take the request: when the first of those that have asked for rest may; none when none
     // rests.
-    std::optional<Common::TimePoint> firstReturn(const PlacementRequest&, Common::TimePoint now) const;
+    std::optional<Common::TimePoint> earliestCooldownEnd(const PlacementRequest&, Common::TimePoint now) const;
     // The same for those that have named a limit: how long it takes until this router may send them what it could not.
     std::optional<Common::Milliseconds> quotaWait(const PlacementRequest&, Common::TimePoint now) const;
     // Whether an upstream may take the request that neither rests nor was refusing or failing lately.
@@ -94,7 +94,7 @@
     SendQuotas& quotas() { return m_quotas; }
     const SendQuotas& quotas() const { return m_quotas; }
     // Upstreams that rest now.
-    size_t restingCount(Common::TimePoint now) const;
+    size_t cooldownCount(Common::TimePoint now) const;
 
     // The request is about to be sent to the chosen upstream.
     void recordStart(const Placement&);
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -27,10 +27,10 @@
         return false;
     if (upstream.born > known.born)
         known = { upstream.born };
-    bool isNews = (statement.isLeaving && !known.isLeaving) || (statement.rest && known.restEnd <= now);
+    bool isNews = (statement.isLeaving && !known.isLeaving) || (statement.cooldown && known.cooldownEnd <= now);
     known.isLeaving |= statement.isLeaving;
-    if (statement.rest)
-        known.restEnd = std::max(known.restEnd, now + *statement.rest);
+    if (statement.cooldown)
+        known.cooldownEnd = std::max(known.cooldownEnd, now + *statement.cooldown);
     known.recorded = now;
     if (isNew && m_known.size() > maxKnown)
         makeRoom(now);
@@ -39,7 +39,7 @@
 
 void UpstreamStatements::makeRoom(Common::TimePoint now)
 {
-    auto isIdle = [&](const auto& each) { return each.second.restEnd <= now; };
+    auto isIdle = [&](const auto& each) { return each.second.cooldownEnd <= now; };
     std::erase_if(m_known, [&](const auto& each) { return isIdle(each) && !each.second.isLeaving; });
     while (m_known.size() > maxKnown) {
         auto oldest = std::min_element(m_known.begin(), m_known.end(), [&](const auto& left, const auto& right) {
@@ -55,7 +55,7 @@
 bool UpstreamStatements::allowRequest(const UpstreamRecord& upstream, Common::TimePoint now) const
 {
     const auto* known = m_known.empty() ? nullptr : find(upstream);
-    return !known || (!known->isLeaving && known->restEnd <= now);
+    return !known || (!known->isLeaving && known->cooldownEnd <= now);
 }
 
 bool UpstreamStatements::isLeaving(const UpstreamRecord& upstream) const
@@ -64,19 +64,19 @@
     return known && known->isLeaving;
 }
 
-std::optional<Common::TimePoint> UpstreamStatements::restEnd(
+std::optional<Common::TimePoint> UpstreamStatements::cooldownEnd(
     const UpstreamRecord& upstream, Common::TimePoint now) const
 {
     const auto* known = find(upstream);
-    if (!known || known->restEnd <= now)
+    if (!known || known->cooldownEnd <= now)
         return std::nullopt;
-    return known->restEnd;
+    return known->cooldownEnd;
 }
 
-size_t UpstreamStatements::restingCount(Common::TimePoint now) const
+size_t UpstreamStatements::cooldownCount(Common::TimePoint now) const
 {
     return static_cast<size_t>(
-        std::count_if(m_known.begin(), m_known.end(), [&](const auto& each) { return each.second.restEnd > now; }));
+        std::count_if(m_known.begin(), m_known.end(), [&](const auto& each) { return each.second.cooldownEnd > now; }));
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -14,9 +14,9 @@
 // What one response states about the upstream that sent it.
 struct UpstreamStatement {
     bool isLeaving { false }; // It will end, and wants nothing new.
-    std::optional<Common::Milliseconds> rest; // It wants no request from this router for this long.
+    std::optional<Common::Milliseconds> cooldown; // It wants no request from this router for this long.
 
-    bool isEmpty() const { return !isLeaving && !rest; }
+    bool isEmpty() const { return !isLeaving && !cooldown; }
 };
 
 // What upstreams have stated about themselves in responses to this router: until when they want no request from it, and
@@ -39,15 +39,15 @@
     bool isLeaving(const UpstreamRecord&) const;
     // The end of its rest; none when it does not rest. The latest end of all that it has asked for: a shorter rest that
     // it asks for later, on another request, takes nothing back.
-    std::optional<Common::TimePoint> restEnd(const UpstreamRecord&, Common::TimePoint now) const;
+    std::optional<Common::TimePoint> cooldownEnd(const UpstreamRecord&, Common::TimePoint now) const;
     // How many upstreams rest now.
-    size_t restingCount(Common::TimePoint now) const;
+    size_t cooldownCount(Common::TimePoint now) const;
 
 private:
     struct Known {
         uint64_t born { 0 };
         bool isLeaving { false };
-        Common::TimePoint restEnd {};
+        Common::TimePoint cooldownEnd {};
         Common::TimePoint recorded {};
     };
 
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -30,7 +30,7 @@
     return placementRequest;
 }
 
-constexpr UpstreamStatement restOfThreeSeconds { false, 3s };
+constexpr UpstreamStatement cooldownOfThreeSeconds { false, 3s };
 constexpr UpstreamStatement leaving { true, std::nullopt };
 
 } // namespace
@@ -39,13 +39,13 @@
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
-    registry.recordStatement(upstream("u1"), restOfThreeSeconds, s_now);
+    registry.recordStatement(upstream("u1"), cooldownOfThreeSeconds, s_now);
     for (int draw = 0; draw < 50; ++draw)
         EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, "u2");
     registry.recordStatement(upstream("u2"), { false, 1s }, s_now);
     EXPECT_FALSE(registry.choose(request(), s_now + 999ms));
-    EXPECT_EQ(registry.firstReturn(request(), s_now), s_now + 1s);
-    EXPECT_EQ(registry.restingCount(s_now), 2U);
+    EXPECT_EQ(registry.earliestCooldownEnd(request(), s_now), s_now + 1s);
+    EXPECT_EQ(registry.cooldownCount(s_now), 2U);
     EXPECT_EQ(registry.choose(request(), s_now + 1s)->upstream.id, "u2");
 }
 
@@ -60,14 +60,14 @@
     auto ejected = placement.upstream.id;
     auto other = upstream(ejected == "u1" ? "u2" : "u1");
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, other.id);
-    registry.recordStatement(other, restOfThreeSeconds, s_now);
+    registry.recordStatement(other, cooldownOfThreeSeconds, s_now);
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, ejected);
 }
 
 // Its entry lapses and comes back, or comes again as ready: the same process has the same rest.
 TEST(RegistryStatementsTest, NoListTakesBackWhatAnUpstreamStated)
 {
-    for (const auto& statement : { restOfThreeSeconds, leaving }) {
+    for (const auto& statement : { cooldownOfThreeSeconds, leaving }) {
         UpstreamRegistry registry("north");
         registry.setUpstreams({ upstream("u1", 1000) });
         registry.recordStatement(upstream("u1", 1000), statement, s_now);
@@ -89,7 +89,7 @@
     registry.setUpstreams({ upstream("u1") });
     auto placement = *registry.choose(request(), s_now);
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now));
-    registry.recordStatement(upstream("u1"), restOfThreeSeconds, s_now);
+    registry.recordStatement(upstream("u1"), cooldownOfThreeSeconds, s_now);
     EXPECT_FALSE(registry.permitSend(placement.upstream, s_now + 2999ms));
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now + 3s));
 }
@@ -110,7 +110,7 @@
 {
     bool holds = rc::check("statements hold", [] {
         UpstreamRegistry registry("north");
-        std::map<std::string, Common::TimePoint> restEnds;
+        std::map<std::string, Common::TimePoint> cooldownEnds;
         std::map<std::string, bool> leaves;
         std::vector<std::string> ids { "u1", "u2", "u3" };
         auto listAll = [&] { registry.setUpstreams({ upstream("u1"), upstream("u2"), upstream("u3") }); };
@@ -123,7 +123,7 @@
             case 0: {
                 auto time = Common::Milliseconds(*rc::gen::inRange(0, 2000));
                 registry.recordStatement(upstream(id), { false, time }, now);
-                restEnds[id] = std::max(restEnds[id], now + time);
+                cooldownEnds[id] = std::max(cooldownEnds[id], now + time);
                 break;
             }
             case 1:
@@ -140,7 +140,7 @@
                 break;
             default:
                 if (auto placement = registry.choose(request(), now)) {
-                    RC_ASSERT(now >= restEnds[placement->upstream.id]);
+                    RC_ASSERT(now >= cooldownEnds[placement->upstream.id]);
                     RC_ASSERT(!leaves[placement->upstream.id]);
                     registry.recordStart(*placement);
                     auto outcome = *rc::gen::element(AttemptOutcome::Answered, AttemptOutcome::NotExecuted,
@@ -149,8 +149,8 @@
                 }
             }
             for (const auto& each : ids)
-                RC_ASSERT(
-                    registry.permitSend(upstream(each), now).has_value() == (now >= restEnds[each] && !leaves[each]));
+                RC_ASSERT(registry.permitSend(upstream(each), now).has_value()
+                    == (now >= cooldownEnds[each] && !leaves[each]));
         }
     });
     EXPECT_TRUE(holds);
--- a/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
@@ -21,7 +21,7 @@
     return record;
 }
 
-UpstreamStatement rest(Common::Milliseconds time) { return { false, time }; }
+UpstreamStatement cooldown(Common::Milliseconds time) { return { false, time }; }
 constexpr UpstreamStatement leaving { true, std::nullopt };
 
 } // namespace
@@ -30,26 +30,27 @@
 {
     UpstreamStatements statements;
     auto u1 = upstream("u1");
-    EXPECT_TRUE(statements.record(u1, rest(3s), s_now));
-    EXPECT_FALSE(statements.record(u1, rest(500ms), s_now + 1s)) << "known to rest";
+    EXPECT_TRUE(statements.record(u1, cooldown(3s), s_now));
+    EXPECT_FALSE(statements.record(u1, cooldown(500ms), s_now + 1s)) << "known to rest";
     EXPECT_FALSE(statements.allowRequest(u1, s_now + 2999ms)) << "a shorter rest takes nothing back";
     EXPECT_TRUE(statements.allowRequest(u1, s_now + 3s));
-    statements.record(u1, rest(3s), s_now + 2s);
-    EXPECT_EQ(statements.restEnd(u1, s_now + 4s), s_now + 5s);
-    EXPECT_EQ(statements.restEnd(u1, s_now + 5s), std::nullopt);
-    EXPECT_TRUE(statements.record(u1, rest(1s), s_now + 6s)) << "news again";
+    statements.record(u1, cooldown(3s), s_now + 2s);
+    EXPECT_EQ(statements.cooldownEnd(u1, s_now + 4s), s_now + 5s);
+    EXPECT_EQ(statements.cooldownEnd(u1, s_now + 5s), std::nullopt);
+    EXPECT_TRUE(statements.record(u1, cooldown(1s), s_now + 6s)) << "news again";
     EXPECT_TRUE(statements.allowRequest(upstream("u2"), s_now)) << "it asked for itself";
-    EXPECT_EQ(statements.restingCount(s_now + 6s), 1U);
+    EXPECT_EQ(statements.cooldownCount(s_now + 6s), 1U);
 }
 
 TEST(UpstreamStatementsTest, NothingIsKnownOfAnotherStart)
 {
     UpstreamStatements statements;
-    statements.record(upstream("u1", 1000), rest(10s), s_now);
+    statements.record(upstream("u1", 1000), cooldown(10s), s_now);
     statements.record(upstream("u1", 1000), leaving, s_now);
     EXPECT_TRUE(statements.allowRequest(upstream("u1", 2000), s_now));
-    statements.record(upstream("u1", 2000), rest(1s), s_now);
-    EXPECT_FALSE(statements.record(upstream("u1", 1000), rest(60s), s_now)) << "a late response of the start before";
+    statements.record(upstream("u1", 2000), cooldown(1s), s_now);
+    EXPECT_FALSE(statements.record(upstream("u1", 1000), cooldown(60s), s_now))
+        << "a late response of the start before";
     EXPECT_FALSE(statements.isLeaving(upstream("u1", 2000)));
     EXPECT_TRUE(statements.allowRequest(upstream("u1", 2000), s_now + 1s));
 }
@@ -70,7 +71,7 @@
 {
     UpstreamStatements statements;
     auto resting = upstream("resting");
-    statements.record(resting, rest(600s), s_now);
+    statements.record(resting, cooldown(600s), s_now);
     for (int index = 0; index < 20'000; ++index)
         statements.record(upstream("u" + std::to_string(index)), leaving, s_now + Common::Milliseconds(index));
     EXPECT_FALSE(statements.allowRequest(resting, s_now + 599s));
