--- a/Source/Benchmarks/SuspectSpread.cpp
+++ b/Source/Benchmarks/SuspectSpread.cpp
@@ -113,7 +113,7 @@
         auto ended = m_now;
         auto born = m_outcome.engines;
         at(m_now + detection, [this, router, sent, ended, born] {
-            std::vector<Routing::BrokenAttempt> attempts { { "a1b2c3d4e5f60718", m_request, "workspace-12",
+            std::vector<Routing::InterruptedAttempt> attempts { { "a1b2c3d4e5f60718", m_request, "workspace-12",
                 "/summaries/2f", sent, ended } };
             m_ledgers[router].recordCrash({ "i-0123456789", born }, attempts, m_now);
             spread(router);
--- a/Source/RouteServing/Duties/UsageStart.h
+++ b/Source/RouteServing/Duties/UsageStart.h
@@ -32,7 +32,7 @@
         return true;
     case Routing::AttemptOutcome::Answered:
         return !attempt.isGeneration;
-    case Routing::AttemptOutcome::BrokenOff:
+    case Routing::AttemptOutcome::Interrupted:
         return !attempt.isGeneration || (attempt.expectedFirstEvent && attempt.elapsed >= *attempt.expectedFirstEvent);
     case Routing::AttemptOutcome::ConnectFailed:
     case Routing::AttemptOutcome::CancelledBeforeSending:
--- a/Source/RouteServing/Gateway/CrashWatch.cpp
+++ b/Source/RouteServing/Gateway/CrashWatch.cpp
@@ -36,7 +36,7 @@
     return "unknown";
 }
 
-static void logCrash(const Routing::UpstreamRecord& upstream, std::span<const Routing::BrokenAttempt> attempts)
+static void logCrash(const Routing::UpstreamRecord& upstream, std::span<const Routing::InterruptedAttempt> attempts)
 {
     auto requests = Common::Json::array();
     for (const auto& attempt : attempts.first(std::min(attempts.size(), maxLoggedRequests)))
@@ -56,7 +56,7 @@
     return connection.end() == ConnectionEnd::Refused ? BreakCause::Crash : BreakCause::Unknown;
 }
 
-void CrashWatch::record(const Routing::UpstreamRecord& upstream, Routing::BrokenAttempt attempt)
+void CrashWatch::record(const Routing::UpstreamRecord& upstream, Routing::InterruptedAttempt attempt)
 {
     if (!m_registry.isServing(upstream.id)) {
         Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
@@ -73,7 +73,7 @@
     Common::sleepFor(settleTime);
     auto cause = probe(upstream.endpoint);
     GatewayMetrics::upstreamBroke(name(cause));
-    std::vector<Routing::BrokenAttempt> attempts;
+    std::vector<Routing::InterruptedAttempt> attempts;
     {
         std::lock_guard lock(m_mutex);
         attempts = m_broken.take(upstream.incarnation());
--- a/Source/RouteServing/Gateway/CrashWatch.h
+++ b/Source/RouteServing/Gateway/CrashWatch.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "RouteServing/Routing/BrokenAttempts.h"
+#include "RouteServing/Routing/InterruptedAttempts.h"
 #include "RouteServing/Routing/UpstreamRegistry.h"
 
 #include <functional>
@@ -25,7 +25,7 @@
 public:
     // The attempts of this router that were under way at the upstream when it crashed.
     using OnCrash
-        = std::function<void(const Routing::UpstreamRecord&, std::span<const Routing::BrokenAttempt> attempts)>;
+        = std::function<void(const Routing::UpstreamRecord&, std::span<const Routing::InterruptedAttempt> attempts)>;
 
     // By then it is known whether the upstream has crashed.
     static constexpr Common::Milliseconds longestSearch { 300 };
@@ -38,7 +38,7 @@
     void setOnCrash(OnCrash hook) { m_onCrash = std::move(hook); }
 
     // An attempt ended because the upstream closed or reset the connection. Returns at once.
-    void record(const Routing::UpstreamRecord&, Routing::BrokenAttempt);
+    void record(const Routing::UpstreamRecord&, Routing::InterruptedAttempt);
 
 private:
     void findCause(const Routing::UpstreamRecord&);
@@ -47,7 +47,7 @@
     const Routing::UpstreamRegistry& m_registry;
     OnCrash m_onCrash { [](const auto&, auto) {} };
     std::mutex m_mutex;
-    Routing::BrokenAttempts m_broken; // Guarded by the mutex.
+    Routing::InterruptedAttempts m_broken; // Guarded by the mutex.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectTurn.cpp
@@ -74,7 +74,7 @@
 void SuspectTurn::recordFailure(const std::string& requestId, const UpstreamAttempt& attempt, Common::TimePoint sent)
 {
     bool wasEndedThere = attempt.end() == ConnectionEnd::Closed || attempt.end() == ConnectionEnd::Reset;
-    m_hasBrokenOff = attempt.outcome() == AttemptOutcome::BrokenOff && wasEndedThere;
+    m_hasBrokenOff = attempt.outcome() == AttemptOutcome::Interrupted && wasEndedThere;
     if (m_hasBrokenOff)
         m_parts.crashes.record(attempt.upstream(),
             { requestId, identity(), m_workspace, std::string(m_exchange.target()), sent, Common::now() });
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -123,7 +123,7 @@
 {
     m_problem = std::move(problem);
     m_end = m_connection->end() == Common::ConnectionEnd::None ? Common::ConnectionEnd::Unusable : m_connection->end();
-    m_outcome = m_isCancelled ? AttemptOutcome::CancelledAfterSending : AttemptOutcome::BrokenOff;
+    m_outcome = m_isCancelled ? AttemptOutcome::CancelledAfterSending : AttemptOutcome::Interrupted;
     m_connection->close();
     return m_outcome;
 }
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -39,7 +39,7 @@
     Common::ConnectionEnd end() const { return m_end; }
     const Routing::UpstreamRecord& upstream() const { return m_placement.upstream; }
 
-    // The next piece of the body; empty at its end. An error, and the outcome BrokenOff, when it ended early.
+    // The next piece of the body; empty at its end. An error, and the outcome Interrupted, when it ended early.
     Common::Result<std::string_view> readPiece();
     // The whole body, up to `limit` bytes; errors as above.
     Common::Result<std::string> readBody(size_t limit);
--- a/Source/RouteServing/Routing/AttemptOutcome.cpp
+++ b/Source/RouteServing/Routing/AttemptOutcome.cpp
@@ -13,7 +13,7 @@
     case AttemptOutcome::Withheld:
     case AttemptOutcome::NotExecuted:
         return Ran::No;
-    case AttemptOutcome::BrokenOff:
+    case AttemptOutcome::Interrupted:
     case AttemptOutcome::CancelledAfterSending:
         return Ran::Maybe;
     case AttemptOutcome::ServerError:
--- a/Source/RouteServing/Routing/AttemptOutcome.h
+++ b/Source/RouteServing/Routing/AttemptOutcome.h
@@ -14,7 +14,7 @@
     CancelledBeforeSending, // The caller left before the request was sent.
     Withheld, // Not sent: since it was chosen, the upstream had asked for rest or said that it leaves.
     NotExecuted, // The upstream itself stated that it did not run the request.
-    BrokenOff, // Sent, then reset, garbled, cut short or timed out.
+    Interrupted, // Sent, then reset, garbled, cut short or timed out.
     CancelledAfterSending, // The caller left while the upstream worked.
     ServerError, // The upstream ran the request and returned a 5xx status.
     Answered,
--- /dev/null
+++ b/Source/RouteServing/Routing/InterruptedAttempts.cpp
@@ -0,0 +1,19 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "RouteServing/Routing/InterruptedAttempts.h"
+
+namespace Brassladder::RouteServing::Routing {
+
+bool InterruptedAttempts::add(const UpstreamIncarnation& start, InterruptedAttempt attempt)
+{
+    auto& attempts = m_attempts[start];
+    attempts.push_back(std::move(attempt));
+    return attempts.size() == 1;
+}
+
+std::vector<InterruptedAttempt> InterruptedAttempts::take(const UpstreamIncarnation& start)
+{
+    auto found = m_attempts.extract(start);
+    return found ? std::move(found.mapped()) : std::vector<InterruptedAttempt> {};
+}
+
+} // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/BrokenAttempts.h
+++ b/Source/RouteServing/Routing/InterruptedAttempts.h
@@ -12,7 +12,7 @@
 namespace Brassladder::RouteServing::Routing {
 
 // An attempt that was under way at an upstream when its connection ended.
-struct BrokenAttempt {
+struct InterruptedAttempt {
     std::string requestId;
     RequestIdentity request;
     std::string workspace;
@@ -22,14 +22,14 @@
 };
 
 // Attempts that ended at one start of an upstream, until it is found out why. Not safe for several threads.
-class BrokenAttempts {
+class InterruptedAttempts {
 public:
     // True when it is the first one since the last call of `take`.
-    bool add(const UpstreamIncarnation&, BrokenAttempt);
-    std::vector<BrokenAttempt> take(const UpstreamIncarnation&);
+    bool add(const UpstreamIncarnation&, InterruptedAttempt);
+    std::vector<InterruptedAttempt> take(const UpstreamIncarnation&);
 
 private:
-    std::map<UpstreamIncarnation, std::vector<BrokenAttempt>> m_attempts;
+    std::map<UpstreamIncarnation, std::vector<InterruptedAttempt>> m_attempts;
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -49,7 +49,7 @@
 }
 
 void SuspectLedger::recordCrash(
-    const UpstreamIncarnation& upstream, std::span<const BrokenAttempt> attempts, TimePoint now)
+    const UpstreamIncarnation& upstream, std::span<const InterruptedAttempt> attempts, TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     for (const auto& attempt : attempts) {
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-#include "RouteServing/Routing/BrokenAttempts.h"
+#include "RouteServing/Routing/InterruptedAttempts.h"
 #include "RouteServing/Routing/Suspect.h"
 
 #include <atomic>
@@ -30,7 +30,7 @@
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
     // An upstream crashed while these attempts of this router were under way there.
-    void recordCrash(const UpstreamIncarnation&, std::span<const BrokenAttempt>, Common::TimePoint now);
+    void recordCrash(const UpstreamIncarnation&, std::span<const InterruptedAttempt>, Common::TimePoint now);
     // A run of it has ended well. Says nothing of a request that is not suspected.
     void recordCompleted(const RequestIdentity&, Common::TimePoint now);
     // An operator vouches for the request of that text; false when it is not known.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -354,7 +354,7 @@
     const Placement& placement, bool hadPrefillDone, AttemptOutcome outcome, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    if (hadPrefillDone && outcome == AttemptOutcome::BrokenOff)
+    if (hadPrefillDone && outcome == AttemptOutcome::Interrupted)
         m_midStreamFailures.record(now);
     // The entry may be new since the start, when the list was replaced meanwhile: nothing goes below zero.
     auto* entry = find(placement.upstream);
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -183,10 +183,10 @@
     EXPECT_TRUE(hadBegun({ Outcome::Answered, false, 10ms, std::nullopt }));
     EXPECT_FALSE(hadBegun({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
     EXPECT_TRUE(hadBegun({ Outcome::ServerError, true, 10ms, 100ms }));
-    EXPECT_TRUE(hadBegun({ Outcome::BrokenOff, true, 100ms, 100ms }));
-    EXPECT_FALSE(hadBegun({ Outcome::BrokenOff, true, 99ms, 100ms })) << "it waited for its turn";
-    EXPECT_FALSE(hadBegun({ Outcome::BrokenOff, true, 10s, std::nullopt }));
-    EXPECT_TRUE(hadBegun({ Outcome::BrokenOff, false, 1ms, std::nullopt }));
+    EXPECT_TRUE(hadBegun({ Outcome::Interrupted, true, 100ms, 100ms }));
+    EXPECT_FALSE(hadBegun({ Outcome::Interrupted, true, 99ms, 100ms })) << "it waited for its turn";
+    EXPECT_FALSE(hadBegun({ Outcome::Interrupted, true, 10s, std::nullopt }));
+    EXPECT_TRUE(hadBegun({ Outcome::Interrupted, false, 1ms, std::nullopt }));
     for (auto outcome : { Outcome::NotExecuted, Outcome::ConnectFailed, Outcome::CancelledBeforeSending,
              Outcome::CancelledAfterSending })
         EXPECT_FALSE(hadBegun({ outcome, false, 10s, 1ms }));
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 using Permission = SuspectGuard::Permission;
-using Routing::BrokenAttempt;
+using Routing::InterruptedAttempt;
 using Routing::RequestIdentity;
 using Routing::SuspectLedger;
 using Routing::Suspicion;
@@ -81,7 +81,7 @@
 {
     for (int number = 0; number < times; ++number) {
         auto sent = Common::now() - ago + number * 300ms;
-        std::vector<BrokenAttempt> attempts { { "r", request, "w", "/x", sent, sent + 200ms } };
+        std::vector<InterruptedAttempt> attempts { { "r", request, "w", "/x", sent, sent + 200ms } };
         ledger.recordCrash({ "u", static_cast<uint64_t>(number) }, attempts, Common::now());
     }
 }
@@ -226,7 +226,7 @@
     ASSERT_EQ(reader.acquire(), Permission::Alone);
     testRuntime().spawn([&] { reader.guard.keepStored([] { return true; }); });
     // News of the same request, which is stored.
-    std::vector<BrokenAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
+    std::vector<InterruptedAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
         Common::now() - 9800ms } };
     reader.ledger.recordCrash({ "another", 1 }, attempts, Common::now());
     EXPECT_TRUE(eventually([&] {
--- a/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
@@ -73,17 +73,17 @@
 {
     UpstreamHealth health;
     Common::TimePoint now(1h);
-    health.record(AttemptOutcome::BrokenOff, now);
+    health.record(AttemptOutcome::Interrupted, now);
     EXPECT_FALSE(health.isEjected(now)) << "one failure is a single request's misfortune";
-    health.record(AttemptOutcome::BrokenOff, now);
+    health.record(AttemptOutcome::Interrupted, now);
     EXPECT_TRUE(health.isEjected(now + 499ms));
     EXPECT_FALSE(health.isEjected(now + 500ms));
     now += 600ms;
-    health.record(AttemptOutcome::BrokenOff, now);
+    health.record(AttemptOutcome::Interrupted, now);
     EXPECT_TRUE(health.isEjected(now + 999ms));
     now += 1100ms;
     health.record(AttemptOutcome::Answered, now);
-    health.record(AttemptOutcome::BrokenOff, now);
+    health.record(AttemptOutcome::Interrupted, now);
     EXPECT_FALSE(health.isEjected(now)) << "an answer ends the row";
 }
 
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -144,7 +144,7 @@
                     RC_ASSERT(!leaves[placement->upstream.id]);
                     registry.recordStart(*placement);
                     auto outcome = *rc::gen::element(AttemptOutcome::Answered, AttemptOutcome::NotExecuted,
-                        AttemptOutcome::BrokenOff, AttemptOutcome::ConnectFailed, AttemptOutcome::Withheld);
+                        AttemptOutcome::Interrupted, AttemptOutcome::ConnectFailed, AttemptOutcome::Withheld);
                     registry.recordEnd(*placement, false, outcome, now);
                 }
             }
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::array s_allOutcomes { AttemptOutcome::ConnectFailed, AttemptOutcome::CancelledBeforeSending,
-    AttemptOutcome::NotExecuted, AttemptOutcome::BrokenOff, AttemptOutcome::CancelledAfterSending,
+    AttemptOutcome::NotExecuted, AttemptOutcome::Interrupted, AttemptOutcome::CancelledAfterSending,
     AttemptOutcome::ServerError, AttemptOutcome::Answered, AttemptOutcome::Withheld };
 
 Route routeOf(RouteKind kind, bool resumable = false)
@@ -80,7 +80,7 @@
 TEST(RetryPolicyTest, ARepeatableRequestIsRetriedAfterAnyFailure)
 {
     for (const auto& route : { routeOf(RouteKind::Repeatable), routeOf(RouteKind::Stream, true) }) {
-        EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }), RetryDecision::RetryWithinBudget);
+        EXPECT_EQ(decideAfter(route, { AttemptOutcome::Interrupted }), RetryDecision::RetryWithinBudget);
         EXPECT_EQ(decideAfter(route, { AttemptOutcome::ServerError }), RetryDecision::RetryWithinBudget);
     }
 }
@@ -102,10 +102,10 @@
 TEST(RetryPolicyTest, ARunFailsOverOnlyAfterItsFirstEvent)
 {
     auto route = routeOf(RouteKind::Stream);
-    EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }, false), RetryDecision::GiveUp);
-    EXPECT_EQ(decideAfter(route, { AttemptOutcome::BrokenOff }, true), RetryDecision::FailOver);
+    EXPECT_EQ(decideAfter(route, { AttemptOutcome::Interrupted }, false), RetryDecision::GiveUp);
+    EXPECT_EQ(decideAfter(route, { AttemptOutcome::Interrupted }, true), RetryDecision::FailOver);
     EXPECT_EQ(
-        decideAfter(route, { AttemptOutcome::BrokenOff, AttemptOutcome::ConnectFailed }, true), RetryDecision::GiveUp)
+        decideAfter(route, { AttemptOutcome::Interrupted, AttemptOutcome::ConnectFailed }, true), RetryDecision::GiveUp)
         << "the engine with the replica cannot be reached";
 }
 
@@ -124,9 +124,9 @@
     EXPECT_EQ(refusalAfterFailure(notRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamRefused);
     EXPECT_EQ(refusalAfterFailure(notRun, AttemptOutcome::ConnectFailed, true, "p").kind, ErrorKind::NoUpstream);
     AttemptHistory mayHaveRun;
-    mayHaveRun.record(AttemptOutcome::BrokenOff);
+    mayHaveRun.record(AttemptOutcome::Interrupted);
     EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamBroken);
-    EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::BrokenOff, true, "p").kind, ErrorKind::UpstreamTimeout);
+    EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::Interrupted, true, "p").kind, ErrorKind::UpstreamTimeout);
     for (const auto& row : Common::errorTable()) {
         EXPECT_EQ(honestKind(row.kind, false), row.kind);
         EXPECT_NE(Common::traits(honestKind(row.kind, true)).ran, Ran::No) << row.name;
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -33,7 +33,7 @@
 
 RequestIdentity identityOf(uint64_t number) { return { number, 10, { number, number } }; }
 
-BrokenAttempt attemptOf(uint64_t number, TimePoint sent, TimePoint ended, const std::string& workspace = "w")
+InterruptedAttempt attemptOf(uint64_t number, TimePoint sent, TimePoint ended, const std::string& workspace = "w")
 {
     return { "r" + std::to_string(number), identityOf(number), workspace, "/x", sent, ended };
 }
@@ -184,7 +184,7 @@
                 ledger.recordCompleted(identityOf(number), now);
             return;
         }
-        std::vector<BrokenAttempt> attempts;
+        std::vector<InterruptedAttempt> attempts;
         attempts.reserve(numbers.size());
         for (auto number : numbers)
             attempts.push_back(attemptOf(number, sent, now));
@@ -248,7 +248,7 @@
     EXPECT_TRUE(ledger.isEmpty());
     ledger.recordCompleted(identityOf(1), s_start);
     EXPECT_TRUE(ledger.isEmpty()) << "a good end of a request that nobody suspects is no entry";
-    std::vector<BrokenAttempt> attempts { attemptOf(1, s_start, s_start + 1s) };
+    std::vector<InterruptedAttempt> attempts { attemptOf(1, s_start, s_start + 1s) };
     ledger.recordCrash({ "a", 1 }, attempts, s_start + 1s);
     EXPECT_TRUE(ledger.mayKnow(1, 10));
     EXPECT_FALSE(ledger.mayKnow(1, 11));
@@ -263,11 +263,11 @@
 {
     using Scope = SuspectLedger::Scope;
     SuspectLedger ledger;
-    std::vector<BrokenAttempt> first { attemptOf(1, s_start, s_start + 1s), attemptOf(2, s_start, s_start + 1s) };
+    std::vector<InterruptedAttempt> first { attemptOf(1, s_start, s_start + 1s), attemptOf(2, s_start, s_start + 1s) };
     ledger.recordCrash({ "a", 1 }, first, s_start + 1s);
     EXPECT_EQ(ledger.changesAfter(0, Scope::All).records.size(), 2U);
     EXPECT_TRUE(ledger.changesAfter(0, Scope::Repeated).records.empty());
-    std::vector<BrokenAttempt> second { attemptOf(1, s_start + 2s, s_start + 3s) };
+    std::vector<InterruptedAttempt> second { attemptOf(1, s_start + 2s, s_start + 3s) };
     ledger.recordCrash({ "b", 1 }, second, s_start + 3s);
     auto known = ledger.revision();
     EXPECT_EQ(ledger.changesAfter(0, Scope::Repeated).records.size(), 1U);
@@ -285,13 +285,13 @@
     SuspectLedger ledger;
     for (int crash = 0; crash < 3; ++crash) {
         auto sent = s_start + crash * 1s;
-        std::vector<BrokenAttempt> attempts { attemptOf(1, sent, sent + 500ms, "noisy"),
+        std::vector<InterruptedAttempt> attempts { attemptOf(1, sent, sent + 500ms, "noisy"),
             attemptOf(2, sent, sent + 500ms, "other") };
         ledger.recordCrash({ "a", static_cast<uint64_t>(crash) }, attempts, sent + 500ms);
     }
     auto now = s_start + 5s;
     for (uint64_t number = 10; number < 5000; ++number) {
-        std::vector<BrokenAttempt> attempts { attemptOf(number, now - 1s, now, "noisy") };
+        std::vector<InterruptedAttempt> attempts { attemptOf(number, now - 1s, now, "noisy") };
         ledger.recordCrash({ "b", number }, attempts, now);
     }
     EXPECT_LE(ledger.list(now).size(), 128U + 1U);
@@ -309,7 +309,7 @@
             auto attempt = attemptOf(number, sent, sent + 500ms, "workspace-" + std::to_string(number % 40));
             attempt.target = "/summaries/of/a/charging/session?number=" + std::to_string(number);
             attempt.requestId = "0123456789abcdef";
-            std::vector<BrokenAttempt> attempts { attempt };
+            std::vector<InterruptedAttempt> attempts { attempt };
             ledger.recordCrash({ "i-0123456789", crash }, attempts, sent + 500ms);
         }
     }
@@ -325,13 +325,13 @@
     SuspectLedger ledger;
     for (int crash = 0; crash < 3; ++crash) {
         auto sent = s_start + crash * 1s;
-        std::vector<BrokenAttempt> attempts { attemptOf(1, sent, sent + 500ms) };
+        std::vector<InterruptedAttempt> attempts { attemptOf(1, sent, sent + 500ms) };
         if (!crash)
             attempts.push_back(attemptOf(2, sent, sent + 500ms));
         ledger.recordCrash({ "a", static_cast<uint64_t>(crash) }, attempts, sent + 500ms);
     }
     auto touch = [&](uint64_t number, TimePoint now) {
-        std::vector<BrokenAttempt> attempts { attemptOf(number, now, now) };
+        std::vector<InterruptedAttempt> attempts { attemptOf(number, now, now) };
         ledger.recordCrash({ "b", number }, attempts, now);
     };
     touch(3, s_start + 11min);
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -88,7 +88,7 @@
     EXPECT_TRUE(registry.ownLoads().empty()) << "it runs nothing of ours";
     EXPECT_NE(registry.digest(), before) << "peers must be told";
     registry.recordStart(*registry.choose(plainRequest(), s_now));
-    registry.recordEnd(*sentToFirst, false, AttemptOutcome::BrokenOff, s_now);
+    registry.recordEnd(*sentToFirst, false, AttemptOutcome::Interrupted, s_now);
     EXPECT_EQ(registry.ownLoads().begin()->second.requests, 1U) << "what was sent to the first one is over";
     // A write of the first start that comes late.
     registry.setUpstreams({ leaving });
@@ -167,9 +167,9 @@
         registry.recordEnd(*choice, wasRead, outcome, s_now);
     };
     endOne(true, AttemptOutcome::Answered);
-    endOne(false, AttemptOutcome::BrokenOff);
+    endOne(false, AttemptOutcome::Interrupted);
     EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now)) << "none broke off in the middle of an answer";
-    endOne(true, AttemptOutcome::BrokenOff);
+    endOne(true, AttemptOutcome::Interrupted);
     EXPECT_TRUE(registry.midStreamFailuresAreLikely(s_now + 59s));
     EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now + 60s));
 }
