--- a/Source/Benchmarks/LimitCallers.cpp
+++ b/Source/Benchmarks/LimitCallers.cpp
@@ -190,7 +190,7 @@
         wanted.service = "shop";
         wanted.attempted = request->attempted;
         wanted.rank = request->rank;
-        wanted.isHeld = request->isHeld;
+        wanted.isWaitingForQuota = request->isHeld;
         auto placement = registry.choose(wanted, m_now);
         if (!placement) {
             wanted.attempted = {};
--- a/Source/RouteServing/Gateway/KvReplica.cpp
+++ b/Source/RouteServing/Gateway/KvReplica.cpp
@@ -8,7 +8,7 @@
 void KvReplica::choose(UpstreamRegistry& registry, UpstreamRegistry::PlacementRequest request, Common::TimePoint now)
 {
     // The copy would load an engine that wants less, and the run may not go on there without a quota.
-    request.withoutLimit = true;
+    request.excludesLimited = true;
     m_replica = registry.choose(request, now);
     if (!m_replica)
         return;
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -161,7 +161,7 @@
     request.attempted = m_report.attemptedUpstreams;
     request.isolated = m_suspect.runsAlone();
     request.rank = rank();
-    request.isHeld = m_isHeld;
+    request.isWaitingForQuota = m_isHeld;
     if (m_engine) {
         request.prompt = &m_prompt;
         request.engine = { m_engine->batch, m_engine->fetchesKvCache };
@@ -303,7 +303,7 @@
     auto refusal = Routing::refusalAfterFailure(m_history, attempt.outcome(), isPastDeadline(), attempt.problem());
     if (refusal.kind == ErrorKind::UpstreamRefused)
         refusal.retryAfter
-            = Routing::retryAfterRefusal(m_services.registry.hasFreeUpstream(placementRequest(), Common::now()));
+            = Routing::retryAfterRefusal(m_services.registry.hasHealthyUpstream(placementRequest(), Common::now()));
     return refusal;
 }
 
--- a/Source/RouteServing/Routing/DepartedUpstreams.cpp
+++ b/Source/RouteServing/Routing/DepartedUpstreams.cpp
@@ -5,20 +5,20 @@
 
 // A late write comes within seconds; 810 instances are replaced on a day of the target (CONTRIBUTING.md). Chosen, not
 // measured: about 60 KB.
-static constexpr size_t maxRemembered = 512;
+static constexpr size_t maxDepartedUpstreams = 512;
 
 void DepartedUpstreams::record(const UpstreamRecord& upstream)
 {
     auto [start, isNew] = m_starts.insert_or_assign(upstream.id, Start { upstream.born, upstream.leaving });
     if (isNew)
         m_order.push_back(start->first);
-    if (m_order.size() <= maxRemembered)
+    if (m_order.size() <= maxDepartedUpstreams)
         return;
     m_starts.erase(m_order.front());
     m_order.pop_front();
 }
 
-bool DepartedUpstreams::isOver(const UpstreamRecord& upstream) const
+bool DepartedUpstreams::isObsolete(const UpstreamRecord& upstream) const
 {
     auto found = m_starts.find(upstream.id);
     if (found == m_starts.end())
--- a/Source/RouteServing/Routing/DepartedUpstreams.h
+++ b/Source/RouteServing/Routing/DepartedUpstreams.h
@@ -16,7 +16,7 @@
     // It is not listed any more.
     void record(const UpstreamRecord&);
     // Whether this start, listed again, must not be used: it was leaving, or a later one was known.
-    bool isOver(const UpstreamRecord&) const;
+    bool isObsolete(const UpstreamRecord&) const;
 
 private:
     struct Start {
--- a/Source/RouteServing/Routing/RetryPolicy.cpp
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -66,9 +66,9 @@
     return { kind, std::string(problem) };
 }
 
-Common::Milliseconds retryAfterRefusal(bool hasFreeUpstream)
+Common::Milliseconds retryAfterRefusal(bool hasHealthyUpstream)
 {
-    return hasFreeUpstream ? returnToOthers : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
+    return hasHealthyUpstream ? returnToOthers : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
 }
 
 ErrorKind honestKind(ErrorKind kind, bool mayHaveRun)
--- a/Source/RouteServing/Routing/RetryPolicy.h
+++ b/Source/RouteServing/Routing/RetryPolicy.h
@@ -33,8 +33,8 @@
 // The final response when there is no further attempt. `problem`: what went wrong at the last upstream.
 Refusal refusalAfterFailure(const AttemptHistory&, AttemptOutcome last, bool isPastDeadline, std::string_view problem);
 
-// When the caller of a request that upstreams refused may come back. `hasFreeUpstream`: others have room.
-Common::Milliseconds retryAfterRefusal(bool hasFreeUpstream);
+// When the caller of a request that upstreams refused may come back. `hasHealthyUpstream`: others have room.
+Common::Milliseconds retryAfterRefusal(bool hasHealthyUpstream);
 
 // The kind of error that may be said: kinds that promise "did not run" become UpstreamBroken once the request may have
 // run.
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -22,9 +22,9 @@
 void UpstreamHealth::record(AttemptOutcome outcome, Common::TimePoint now)
 {
     // Refusals are RefusalBackoff's.
-    bool saysNothing = outcome == AttemptOutcome::CancelledBeforeSending || outcome == AttemptOutcome::Withheld
+    bool isInconclusive = outcome == AttemptOutcome::CancelledBeforeSending || outcome == AttemptOutcome::Withheld
         || outcome == AttemptOutcome::CancelledAfterSending || outcome == AttemptOutcome::NotExecuted;
-    if (saysNothing)
+    if (isInconclusive)
         return;
     bool hasFailed = outcome != AttemptOutcome::Answered;
     m_errorRate = errorRate(now) * (1 - newestAttemptWeight) + (hasFailed ? newestAttemptWeight : 0);
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -16,7 +16,7 @@
 static constexpr Common::Milliseconds reportMaxAge = 1000ms;
 
 // The entry of a record whose id is known already.
-UpstreamRegistry::Entry UpstreamRegistry::successor(const Entry& known, UpstreamRecord record)
+UpstreamRegistry::Entry UpstreamRegistry::updatedEntry(const Entry& known, UpstreamRecord record)
 {
     // A late write of the start before this one, which is over.
     if (record.born < known.record.born)
@@ -41,13 +41,13 @@
         auto known = m_entries.find(id);
         Entry entry;
         if (known == m_entries.end()) {
-            if (m_departed.isOver(record))
+            if (m_departed.isObsolete(record))
                 continue;
             entry.hash = shortHash(id);
             entry.record = std::move(record);
             entry.limitKey = limitKey(entry.record);
         } else {
-            entry = successor(known->second, std::move(record));
+            entry = updatedEntry(known->second, std::move(record));
         }
         next.emplace(std::move(id), std::move(entry));
     }
@@ -93,7 +93,7 @@
     return sent;
 }
 
-bool UpstreamRegistry::suits(const Entry& entry, const PlacementRequest& request)
+bool UpstreamRegistry::isEligible(const Entry& entry, const PlacementRequest& request)
 {
     if (entry.record.service != request.service || entry.record.leaving)
         return false;
@@ -109,14 +109,14 @@
 bool UpstreamRegistry::mayTake(
     const Entry& entry, const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
-    if (!suits(entry, request) || !m_statements.allowRequest(entry.record, now))
+    if (!isEligible(entry, request) || !m_statements.allowRequest(entry.record, now))
         return false;
     if (!contains(limited, entry.limitKey))
         return true;
-    return !request.withoutLimit && m_quotas.allowsRequest(entry.limitKey, request.rank, now);
+    return !request.excludesLimited && m_quotas.allowsRequest(entry.limitKey, request.rank, now);
 }
 
-bool UpstreamRegistry::hasFreeUpstream(const PlacementRequest& request, Common::TimePoint now) const
+bool UpstreamRegistry::hasHealthyUpstream(const PlacementRequest& request, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
     auto limited = m_quotas.inForce();
@@ -155,7 +155,7 @@
     std::lock_guard lock(m_mutex);
     std::optional<Common::TimePoint> first;
     for (const auto& [id, entry] : m_entries) {
-        if (!suits(entry, request) || m_statements.isLeaving(entry.record))
+        if (!isEligible(entry, request) || m_statements.isLeaving(entry.record))
             continue;
         auto back = m_statements.cooldownEnd(entry.record, now);
         if (back && (!first || *back < *first))
@@ -172,7 +172,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<uint32_t> keys;
     for (const auto& [id, entry] : m_entries) {
-        if (suits(entry, request) && m_statements.allowRequest(entry.record, now))
+        if (isEligible(entry, request) && m_statements.allowRequest(entry.record, now))
             keys.push_back(entry.limitKey);
     }
     return m_quotas.expectedWait(keys, now);
@@ -224,12 +224,12 @@
 void UpstreamRegistry::recordDemand(
     const PlacementRequest& request, std::span<const uint32_t> limited, bool hasFound, Common::TimePoint now)
 {
-    if (request.withoutLimit)
+    if (request.excludesLimited)
         return;
     for (const auto& [id, entry] : m_entries) {
-        if (!contains(limited, entry.limitKey) || !suits(entry, request))
+        if (!contains(limited, entry.limitKey) || !isEligible(entry, request))
             continue;
-        if (!request.isHeld)
+        if (!request.isWaitingForQuota)
             m_quotas.recordDemand(entry.limitKey, now);
         if (!hasFound)
             m_quotas.recordMiss(entry.limitKey, request.rank, now);
@@ -330,7 +330,7 @@
     entry->refusals.recordStart(placement.placed);
     ++entry->own.requests;
     entry->own.decodeHeavy += placement.isDecodeHeavy;
-    entry->own.prefillTokens += placement.awaitedPrefillTokens();
+    entry->own.prefillTokens += placement.blockingPrefillTokens();
 }
 
 void UpstreamRegistry::recordPrefillDone(const Placement& placement, Common::TimePoint now)
@@ -347,7 +347,7 @@
         entry->firstEvents.record(awaited, elapsed, now);
         m_firstEvents[entry->record.service].record(awaited, elapsed, now);
     }
-    entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.awaitedPrefillTokens());
+    entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.blockingPrefillTokens());
 }
 
 void UpstreamRegistry::recordEnd(
@@ -363,7 +363,7 @@
     entry->own.requests -= std::min(1U, entry->own.requests);
     entry->own.decodeHeavy -= std::min<unsigned>(placement.isDecodeHeavy, entry->own.decodeHeavy);
     if (!hadPrefillDone)
-        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.awaitedPrefillTokens());
+        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.blockingPrefillTokens());
     entry->health.record(outcome, now);
     if (outcome == AttemptOutcome::NotExecuted && m_statements.allowRequest(placement.upstream, now))
         entry->refusals.recordRefusal(now);
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -39,9 +39,9 @@
         std::span<const std::string> attempted; // Ids of upstreams that had this request before.
         bool isolated { false }; // It may crash its upstream: only those with the fewest requests may take it.
         // Nothing is sent now, so no quota helps: upstreams with a limit are left out.
-        bool withoutLimit { false };
+        bool excludesLimited { false };
         size_t rank { 0 }; // How urgent it is, 0 the most: who gets what little a limited upstream takes.
-        bool isHeld { false }; // It has looked for an upstream before, and waits for a quota.
+        bool isWaitingForQuota { false }; // It has looked for an upstream before, and waits for a quota.
     };
     struct Placement {
         UpstreamRecord upstream;
@@ -55,7 +55,7 @@
         size_t rank { 0 }; // Of the request.
 
         // What those behind it wait for. A late generation lets them go first.
-        uint64_t awaitedPrefillTokens() const { return punctuality == Punctuality::Late ? 0 : prefillTokens; }
+        uint64_t blockingPrefillTokens() const { return punctuality == Punctuality::Late ? 0 : prefillTokens; }
     };
 
     explicit UpstreamRegistry(std::string failureDomain)
@@ -78,7 +78,7 @@
     // The same for those that have named a limit: how long it takes until this router may send them what it could not.
     std::optional<Common::Milliseconds> quotaWait(const PlacementRequest&, Common::TimePoint now) const;
     // Whether an upstream may take the request that neither rests nor was refusing or failing lately.
-    bool hasFreeUpstream(const PlacementRequest&, Common::TimePoint now) const;
+    bool hasHealthyUpstream(const PlacementRequest&, Common::TimePoint now) const;
     // Leave to send a request to the chosen upstream; none when it has asked for rest, or said that it leaves, since it
     // was chosen, or when it has a limit and this router's quota is used up. Asked right before the first byte: one
     // request of a quota is taken by it.
@@ -138,10 +138,10 @@
 
     Entry* find(std::string_view id);
     Entry* find(const UpstreamRecord&);
-    static Entry successor(const Entry& known, UpstreamRecord);
+    static Entry updatedEntry(const Entry& known, UpstreamRecord);
     double outstanding(const Entry&, Common::TimePoint now) const;
     // Whether the upstream serves what is asked for, and the request has not been there.
-    static bool suits(const Entry&, const PlacementRequest&);
+    static bool isEligible(const Entry&, const PlacementRequest&);
     // Whether nothing that the upstream has stated forbids to send it the request now. `limited`: m_quotas.inForce().
     bool mayTake(const Entry&, const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
     Candidates candidates(const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -7,9 +7,9 @@
 
 // More upstreams than this are forgotten once their rest is over, the oldest statements first. The target has 2,200
 // upstreams, of which 810 are replaced a day (CONTRIBUTING.md): about 0.4 MB. Chosen, not measured.
-static constexpr size_t maxKnown = 4096;
+static constexpr size_t maxStatementEntries = 4096;
 
-const UpstreamStatements::Known* UpstreamStatements::find(const UpstreamRecord& upstream) const
+const UpstreamStatements::StatementEntry* UpstreamStatements::find(const UpstreamRecord& upstream) const
 {
     auto found = m_known.find(upstream.id);
     return found != m_known.end() && found->second.born == upstream.born ? &found->second : nullptr;
@@ -20,7 +20,7 @@
 {
     if (statement.isEmpty())
         return false;
-    auto [entry, isNew] = m_known.try_emplace(upstream.id, Known { upstream.born });
+    auto [entry, isNew] = m_known.try_emplace(upstream.id, StatementEntry { upstream.born });
     auto& known = entry->second;
     // A late response of the start before.
     if (upstream.born < known.born)
@@ -32,16 +32,16 @@
     if (statement.cooldown)
         known.cooldownEnd = std::max(known.cooldownEnd, now + *statement.cooldown);
     known.recorded = now;
-    if (isNew && m_known.size() > maxKnown)
-        makeRoom(now);
+    if (isNew && m_known.size() > maxStatementEntries)
+        evictOldest(now);
     return isNews;
 }
 
-void UpstreamStatements::makeRoom(Common::TimePoint now)
+void UpstreamStatements::evictOldest(Common::TimePoint now)
 {
     auto isIdle = [&](const auto& each) { return each.second.cooldownEnd <= now; };
     std::erase_if(m_known, [&](const auto& each) { return isIdle(each) && !each.second.isLeaving; });
-    while (m_known.size() > maxKnown) {
+    while (m_known.size() > maxStatementEntries) {
         auto oldest = std::min_element(m_known.begin(), m_known.end(), [&](const auto& left, const auto& right) {
             return std::pair(!isIdle(left), left.second.recorded) < std::pair(!isIdle(right), right.second.recorded);
         });
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -44,17 +44,17 @@
     size_t cooldownCount(Common::TimePoint now) const;
 
 private:
-    struct Known {
+    struct StatementEntry {
         uint64_t born { 0 };
         bool isLeaving { false };
         Common::TimePoint cooldownEnd {};
         Common::TimePoint recorded {};
     };
 
-    const Known* find(const UpstreamRecord&) const;
-    void makeRoom(Common::TimePoint now);
+    const StatementEntry* find(const UpstreamRecord&) const;
+    void evictOldest(Common::TimePoint now);
 
-    std::map<std::string, Known, std::less<>> m_known; // By id; the newest start that stated something.
+    std::map<std::string, StatementEntry, std::less<>> m_known; // By id; the newest start that stated something.
 };
 
 } // namespace Brassladder::RouteServing::Routing
