--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -51,12 +51,12 @@
 
 void QuotaExchange::stepAsHub(std::span<const std::string> hubs, double heardShare, Common::TimePoint now)
 {
-    m_quotas.forgetOld(now);
+    m_quotas.evictExpired(now);
     std::lock_guard lock(m_mutex);
     updateHubs(hubs, now);
     if (!hasRows())
         return m_atHub.clear();
-    auto known = m_quotas.known(now);
+    auto known = m_quotas.knownLimits(now);
     std::erase_if(m_atHub, [&](const auto& each) {
         return std::none_of(known.begin(), known.end(), [&](const auto& one) { return one.key == each.first; });
     });
@@ -66,7 +66,7 @@
     }
 }
 
-void QuotaExchange::stepAsHub(const SendQuotas::Known& known, double heardShare, Common::TimePoint now)
+void QuotaExchange::stepAsHub(const SendQuotas::KnownLimit& known, double heardShare, Common::TimePoint now)
 {
     auto& atHub = m_atHub[known.key];
     atHub.owner = ownerOf(known.key);
@@ -109,7 +109,7 @@
 
 void QuotaExchange::stepAsSubscriber(Common::TimePoint now)
 {
-    m_quotas.forgetOld(now);
+    m_quotas.evictExpired(now);
     std::lock_guard lock(m_mutex);
     m_atHub.clear();
     m_lastStep.reset();
@@ -130,7 +130,7 @@
     return age ? now - Common::Milliseconds(age - 1) : Common::TimePoint::min();
 }
 
-void QuotaExchange::addLimit(const SendQuotas::Known& known, QuotaTable& table, Common::TimePoint now)
+void QuotaExchange::addLimit(const SendQuotas::KnownLimit& known, QuotaTable& table, Common::TimePoint now)
 {
     table.add_upstreams(known.key);
     table.add_limits(static_cast<uint32_t>(std::llround(known.limit.requestsPerSecond * limitUnits)));
@@ -195,7 +195,7 @@
         return;
     std::lock_guard lock(m_mutex);
     auto table = tableFor(hub);
-    for (const auto& each : m_quotas.known(now)) {
+    for (const auto& each : m_quotas.knownLimits(now)) {
         addLimit(each, table, now);
         table.add_wanted(each.wanted);
         table.add_received(received(hub, each.key));
@@ -210,7 +210,7 @@
     std::lock_guard lock(m_mutex);
     QuotaTable table;
     table.set_granted_to(subscriber.incarnation);
-    for (const auto& each : m_quotas.known(now)) {
+    for (const auto& each : m_quotas.knownLimits(now)) {
         addLimit(each, table, now);
         table.add_granted(m_atHub[each.key].routers.granted(subscriber.id, subscriber.incarnation));
     }
@@ -225,7 +225,7 @@
     auto table = tableFor(hub);
     auto incarnation = m_hubsHeard[hub].incarnation;
     table.set_granted_to(incarnation);
-    for (const auto& each : m_quotas.known(now)) {
+    for (const auto& each : m_quotas.knownLimits(now)) {
         auto& atHub = m_atHub[each.key];
         auto wanted = atHub.routers.wanted(now);
         auto inPool = atHub.pool.size(now);
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -68,14 +68,14 @@
     bool hasRows() const { return m_quotas.isActive(); }
     void updateHubs(std::span<const std::string> hubs, Common::TimePoint now);
     std::string_view ownerOf(Key) const;
-    void stepAsHub(const Routing::SendQuotas::Known&, double heardShare, Common::TimePoint now);
+    void stepAsHub(const Routing::SendQuotas::KnownLimit&, double heardShare, Common::TimePoint now);
     void assignOwn(AtHub&, const Routing::UpstreamLimit&, double heardShare, Common::TimePoint now);
     void passOn(Key, AtHub&, Common::TimePoint now);
     // Whether this router was not at work lately: what was given to it meanwhile may be too old.
     bool wasPaused(Common::TimePoint now) const;
 
     Inner::Wire::QuotaTable tableFor(const std::string& receiver) const;
-    static void addLimit(const Routing::SendQuotas::Known&, Inner::Wire::QuotaTable&, Common::TimePoint now);
+    static void addLimit(const Routing::SendQuotas::KnownLimit&, Inner::Wire::QuotaTable&, Common::TimePoint now);
     // Merges the limits of a table whose ages counted up to `sent`, at the latest.
     bool mergeLimits(const Inner::Wire::QuotaTable&, Common::TimePoint sent);
     uint64_t received(const std::string& from, Key) const;
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -45,7 +45,7 @@
     double limit = 0;
     if (!absl::SimpleAtod(text, &limit) || std::isnan(limit) || limit < 0)
         return std::nullopt;
-    return std::min(limit, Routing::highestLimit);
+    return std::min(limit, Routing::maxRequestsPerSecond);
 }
 
 std::optional<Routing::LimitStatement> limitOf(
@@ -72,14 +72,14 @@
 }
 
 void reportLimit(const Routing::UpstreamRecord& upstream, const Routing::LimitStatement& statement,
-    Routing::SendQuotas::News news, std::string_view requestId)
+    Routing::SendQuotas::LimitChange news, std::string_view requestId)
 {
-    using News = Routing::SendQuotas::News;
-    if (news == News::None)
+    using LimitChange = Routing::SendQuotas::LimitChange;
+    if (news == LimitChange::None)
         return;
     Common::Json fields { { "upstream", upstream.id }, { "born", upstream.born }, { "service", upstream.service },
         { "request", std::string(requestId) } };
-    if (news == News::Ended)
+    if (news == LimitChange::Ended)
         return Common::log(LogLevel::Info, "gateway", "upstream.limit_ended", std::move(fields));
     GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Limit);
     fields["per_second"] = statement.requestsPerSecond.value_or(0);
--- a/Source/RouteServing/Gateway/ResponseStatement.h
+++ b/Source/RouteServing/Gateway/ResponseStatement.h
@@ -21,7 +21,7 @@
 std::optional<Routing::LimitStatement> limitOf(const UpstreamHeaders&, const Common::HttpClientResponse&);
 
 // Logs and counts what is news of a limit.
-void reportLimit(const Routing::UpstreamRecord&, const Routing::LimitStatement&, Routing::SendQuotas::News,
+void reportLimit(const Routing::UpstreamRecord&, const Routing::LimitStatement&, Routing::SendQuotas::LimitChange,
     std::string_view requestId);
 
 // Logs and counts a statement that is news. `requestId`: the request that the upstream responded to.
--- a/Source/RouteServing/Routing/SendQuotas.cpp
+++ b/Source/RouteServing/Routing/SendQuotas.cpp
@@ -9,16 +9,16 @@
 using namespace std::chrono_literals;
 
 // A limit of which nobody has heard for so long is forgotten, as a rest ends after an hour at the latest.
-static constexpr Common::Milliseconds forgottenAfter = 1h;
+static constexpr Common::Milliseconds limitRetention = 1h;
 // A quota is asked for the requests of this time: two to three messages pass until it arrives.
-static constexpr double demandSpan = 0.25; // s
+static constexpr double demandSpanSeconds = 0.25; // s
 // The bounds of what callers are told to wait for a quota.
-static constexpr Common::Milliseconds shortestWait = 200ms;
-static constexpr Common::Milliseconds longestWait = 4000ms;
+static constexpr Common::Milliseconds minQuotaWait = 200ms;
+static constexpr Common::Milliseconds maxQuotaWait = 4000ms;
 
 static constexpr Common::Milliseconds countSlice = 500ms;
 // After so many requests of other ranks a less urgent one may go before more urgent ones.
-static constexpr unsigned mostBeforeLessUrgent = 5;
+static constexpr unsigned maxSendsBeforeLessUrgent = 5;
 
 static int64_t sliceOf(Common::TimePoint now) { return now.time_since_epoch() / countSlice; }
 
@@ -41,13 +41,13 @@
     return age == 1 ? m_current : 0;
 }
 
-SendQuotas::News SendQuotas::update(uint32_t key, const UpstreamLimit& learned)
+SendQuotas::LimitChange SendQuotas::update(uint32_t key, const UpstreamLimit& learned)
 {
     auto found = m_entries.find(key);
     if (found == m_entries.end()) {
         // Most responses name no limit, and that is news only where one was named before.
         if (learned.namedAt == Common::TimePoint::min())
-            return News::None;
+            return LimitChange::None;
         found = m_entries.try_emplace(key).first;
     }
     auto& entry = found->second;
@@ -60,16 +60,16 @@
     if (!isInForce || isLower)
         entry.quota.clear();
     if (isInForce != before.isInForce())
-        return isInForce ? News::Named : News::Ended;
+        return isInForce ? LimitChange::Named : LimitChange::Ended;
     bool hasChanged = isInForce && entry.limit.requestsPerSecond != before.requestsPerSecond;
-    return hasChanged ? News::Changed : News::None;
+    return hasChanged ? LimitChange::Changed : LimitChange::None;
 }
 
-SendQuotas::News SendQuotas::recordStatement(const UpstreamRecord& upstream, const LimitStatement& statement,
+SendQuotas::LimitChange SendQuotas::recordStatement(const UpstreamRecord& upstream, const LimitStatement& statement,
     Common::TimePoint requestSent, Common::TimePoint now)
 {
     if (!statement.requestsPerSecond && !isActive())
-        return News::None;
+        return LimitChange::None;
     UpstreamLimit learned;
     if (statement.requestsPerSecond) {
         learned.requestsPerSecond = roundedLimit(*statement.requestsPerSecond);
@@ -87,12 +87,12 @@
     update(key, limit);
 }
 
-void SendQuotas::forgetOld(Common::TimePoint now)
+void SendQuotas::evictExpired(Common::TimePoint now)
 {
     if (!isActive())
         return;
     std::lock_guard lock(m_mutex);
-    std::erase_if(m_entries, [&](const auto& each) { return each.second.limit.learned() + forgottenAfter < now; });
+    std::erase_if(m_entries, [&](const auto& each) { return each.second.limit.learned() + limitRetention < now; });
     m_isActive = !m_entries.empty();
 }
 
@@ -103,7 +103,7 @@
     return found != m_entries.end() && found->second.limit.isInForce();
 }
 
-unsigned SendQuotas::valid(const Entry& entry, Common::TimePoint now)
+unsigned SendQuotas::validRequests(const Entry& entry, Common::TimePoint now)
 {
     return static_cast<unsigned>(
         std::count_if(entry.quota.begin(), entry.quota.end(), [&](auto expires) { return expires > now; }));
@@ -124,14 +124,14 @@
 
 // While more urgent requests find no upstream, what little may be sent is for them. Of the others one in a few goes all
 // the same, so that none of them waits for ever.
-bool SendQuotas::isKeptForMoreUrgent(const Entry& entry, size_t rank, Common::TimePoint now)
+bool SendQuotas::isReservedForMoreUrgent(const Entry& entry, size_t rank, Common::TimePoint now)
 {
-    bool isMissing = std::any_of(entry.misses.begin(), entry.misses.lower_bound(rank),
+    bool isMoreUrgentWaiting = std::any_of(entry.unplaced.begin(), entry.unplaced.lower_bound(rank),
         [&](const auto& each) { return each.second.value(now) > 0; });
-    if (!isMissing)
+    if (!isMoreUrgentWaiting)
         return false;
-    auto since = entry.sentSince.find(rank);
-    return since == entry.sentSince.end() || since->second < mostBeforeLessUrgent;
+    auto since = entry.sentSinceLastOfRank.find(rank);
+    return since == entry.sentSinceLastOfRank.end() || since->second < maxSendsBeforeLessUrgent;
 }
 
 bool SendQuotas::allowsRequest(uint32_t key, size_t rank, Common::TimePoint now) const
@@ -140,7 +140,7 @@
     auto found = m_entries.find(key);
     if (found == m_entries.end() || !found->second.limit.isInForce())
         return true;
-    return valid(found->second, now) > 0 && !isKeptForMoreUrgent(found->second, rank, now);
+    return validRequests(found->second, now) > 0 && !isReservedForMoreUrgent(found->second, rank, now);
 }
 
 bool SendQuotas::take(uint32_t key, size_t rank, Common::TimePoint now)
@@ -155,9 +155,9 @@
         return false;
     entry.quota.pop_front();
     entry.sent.add(now);
-    for (auto& [other, count] : entry.sentSince)
+    for (auto& [other, count] : entry.sentSinceLastOfRank)
         ++count;
-    entry.sentSince[rank] = 0;
+    entry.sentSinceLastOfRank[rank] = 0;
     ++m_used;
     return true;
 }
@@ -170,14 +170,14 @@
         found->second.demand.add(now);
 }
 
-void SendQuotas::recordMiss(uint32_t key, size_t rank, Common::TimePoint now)
+void SendQuotas::recordUnplaced(uint32_t key, size_t rank, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     auto found = m_entries.find(key);
     if (found == m_entries.end())
         return;
-    found->second.misses[rank].add(now);
-    found->second.sentSince.try_emplace(rank, 0);
+    found->second.unplaced[rank].add(now);
+    found->second.sentSinceLastOfRank.try_emplace(rank, 0);
 }
 
 std::optional<Common::Milliseconds> SendQuotas::expectedWait(
@@ -199,25 +199,25 @@
     if (!isAnyLimited)
         return std::nullopt;
     if (!sent)
-        return longestWait / 4;
+        return maxQuotaWait / 4;
     auto seconds = std::max(0.0, demanded - sent) / sent;
     auto wait = Common::Milliseconds(std::llround(seconds * 1000));
-    return std::clamp(wait, shortestWait, longestWait);
+    return std::clamp(wait, minQuotaWait, maxQuotaWait);
 }
 
-std::vector<SendQuotas::Known> SendQuotas::known(Common::TimePoint now) const
+std::vector<SendQuotas::KnownLimit> SendQuotas::knownLimits(Common::TimePoint now) const
 {
-    std::vector<Known> known;
+    std::vector<KnownLimit> known;
     if (!isActive())
         return known;
     std::lock_guard lock(m_mutex);
     for (const auto& [key, entry] : m_entries) {
-        Known each { key, entry.limit, 0 };
+        KnownLimit each { key, entry.limit, 0 };
         if (entry.limit.isInForce()) {
-            auto soon = static_cast<unsigned>(std::ceil(entry.demand.value(now) * demandSpan));
-            auto most = 1 + static_cast<unsigned>(entry.limit.requestsPerSecond * demandSpan);
+            auto soon = static_cast<unsigned>(std::ceil(entry.demand.value(now) * demandSpanSeconds));
+            auto most = 1 + static_cast<unsigned>(entry.limit.requestsPerSecond * demandSpanSeconds);
             auto target = std::min(soon, most);
-            each.wanted = target - std::min(target, valid(entry, now));
+            each.wanted = target - std::min(target, validRequests(entry, now));
         }
         known.push_back(each);
     }
--- a/Source/RouteServing/Routing/SendQuotas.h
+++ b/Source/RouteServing/Routing/SendQuotas.h
@@ -24,10 +24,10 @@
 // heard of the limit, knows no other router yet, or is cut off. Safe to use from several threads.
 class SendQuotas {
 public:
-    enum class News : uint8_t { None, Named, Changed, Ended };
+    enum class LimitChange : uint8_t { None, Named, Changed, Ended };
 
     // What a response stated. `requestSent`: when the request was sent that it belongs to.
-    News recordStatement(
+    LimitChange recordStatement(
         const UpstreamRecord&, const LimitStatement&, Common::TimePoint requestSent, Common::TimePoint now);
     // What another router knows.
     void merge(uint32_t key, const UpstreamLimit&);
@@ -45,21 +45,21 @@
     // A request came that could go there.
     void recordDemand(uint32_t key, Common::TimePoint now);
     // A request could have gone there, and found no upstream at all.
-    void recordMiss(uint32_t key, size_t rank, Common::TimePoint now);
+    void recordUnplaced(uint32_t key, size_t rank, Common::TimePoint now);
 
     // How long it takes until as many requests as could not be sent within the last second may be sent to any of these
     // upstreams; none when none of them is limited.
     std::optional<Common::Milliseconds> expectedWait(std::span<const uint32_t> keys, Common::TimePoint now) const;
 
-    struct Known {
+    struct KnownLimit {
         uint32_t key { 0 };
         UpstreamLimit limit;
         unsigned wanted { 0 }; // Requests that this router could send there soon, beyond its quota.
     };
     // All limits that are known, also those that are over, since others may not know that yet.
-    std::vector<Known> known(Common::TimePoint now) const;
+    std::vector<KnownLimit> knownLimits(Common::TimePoint now) const;
     // Forgets limits of which nobody has heard for long.
-    void forgetOld(Common::TimePoint now);
+    void evictExpired(Common::TimePoint now);
     void add(uint32_t key, unsigned requests, Common::TimePoint expires);
 
     struct Summary {
@@ -86,13 +86,13 @@
         std::deque<Common::TimePoint> quota; // When each request of it expires, the first one first.
         RecentCount demand;
         RecentCount sent;
-        std::map<size_t, RecentCount> misses; // By rank.
-        std::map<size_t, unsigned> sentSince; // By rank: requests of others since the last one of it.
+        std::map<size_t, RecentCount> unplaced; // By rank.
+        std::map<size_t, unsigned> sentSinceLastOfRank; // By rank: requests of others since the last one of it.
     };
 
-    static unsigned valid(const Entry&, Common::TimePoint now);
-    static bool isKeptForMoreUrgent(const Entry&, size_t rank, Common::TimePoint now);
-    News update(uint32_t key, const UpstreamLimit&);
+    static unsigned validRequests(const Entry&, Common::TimePoint now);
+    static bool isReservedForMoreUrgent(const Entry&, size_t rank, Common::TimePoint now);
+    LimitChange update(uint32_t key, const UpstreamLimit&);
 
     std::atomic<bool> m_isActive { false };
     mutable std::mutex m_mutex;
--- a/Source/RouteServing/Routing/UpstreamLimit.cpp
+++ b/Source/RouteServing/Routing/UpstreamLimit.cpp
@@ -9,19 +9,19 @@
 using namespace std::chrono_literals;
 
 // More than a naming may look too old after three messages between routers (Gateway/QuotaExchange).
-static constexpr Common::Milliseconds orderMargin = 1000ms;
+static constexpr Common::Milliseconds reorderTolerance = 1000ms;
 
 double roundedLimit(double requestsPerSecond)
 {
     constexpr double unitsPerRequest = 1000;
-    return std::floor(std::min(requestsPerSecond, highestLimit) * unitsPerRequest) / unitsPerRequest;
+    return std::floor(std::min(requestsPerSecond, maxRequestsPerSecond) * unitsPerRequest) / unitsPerRequest;
 }
 
 bool UpstreamLimit::isInForce() const
 {
     if (namedAt == Common::TimePoint::min())
         return false;
-    return unnamedSince < namedAt + orderMargin;
+    return unnamedSince < namedAt + reorderTolerance;
 }
 
 void UpstreamLimit::merge(const UpstreamLimit& other)
--- a/Source/RouteServing/Routing/UpstreamLimit.h
+++ b/Source/RouteServing/Routing/UpstreamLimit.h
@@ -17,7 +17,7 @@
 };
 
 // Above this, a limit limits nothing; in requests a second.
-inline constexpr double highestLimit = 1e6;
+inline constexpr double maxRequestsPerSecond = 1e6;
 
 // As routers keep and tell it: in whole thousandths, rounded down, so that it is the same for all of them.
 double roundedLimit(double requestsPerSecond);
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -232,7 +232,7 @@
         if (!request.isWaitingForQuota)
             m_quotas.recordDemand(entry.limitKey, now);
         if (!hasFound)
-            m_quotas.recordMiss(entry.limitKey, request.rank, now);
+            m_quotas.recordUnplaced(entry.limitKey, request.rank, now);
     }
 }
 
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -13,7 +13,7 @@
 
 constexpr Common::TimePoint s_now(1h);
 constexpr LimitStatement none {};
-using News = SendQuotas::News;
+using LimitChange = SendQuotas::LimitChange;
 
 UpstreamRecord upstream(uint64_t born = 0)
 {
@@ -31,7 +31,7 @@
 {
     SendQuotas quotas;
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), News::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Named);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_FALSE(quotas.take(s_key, 0, s_now));
     quotas.add(s_key, 2, s_now + 700ms);
@@ -56,12 +56,12 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 2 }, s_now, s_now);
-    EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now - 10ms, s_now + 5s), News::None);
+    EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now - 10ms, s_now + 5s), LimitChange::None);
     EXPECT_TRUE(quotas.isLimited(s_key));
-    EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now + 2s, s_now + 5s), News::Ended);
+    EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now + 2s, s_now + 5s), LimitChange::Ended);
     EXPECT_FALSE(quotas.isLimited(s_key));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 5s));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), News::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Named);
 }
 
 TEST(SendQuotasTest, ANewValueHoldsAtOnceAndALowerOneVoidsTheQuota)
@@ -69,10 +69,10 @@
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 4 }, s_now, s_now);
     quotas.add(s_key, 3, s_now + 700ms);
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 4 }, s_now, s_now + 1ms), News::None);
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 8 }, s_now, s_now + 2ms), News::Changed);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 4 }, s_now, s_now + 1ms), LimitChange::None);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 8 }, s_now, s_now + 2ms), LimitChange::Changed);
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now + 2ms));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now, s_now + 3ms), News::Changed);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now, s_now + 3ms), LimitChange::Changed);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now + 3ms));
 }
 
@@ -105,13 +105,13 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 8 }, s_now, s_now);
-    EXPECT_EQ(quotas.known(s_now).front().wanted, 0U);
+    EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 0U);
     for (int request = 0; request < 8; ++request)
         quotas.recordDemand(s_key, s_now);
-    EXPECT_EQ(quotas.known(s_now).front().wanted, 2U);
+    EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 2U);
     quotas.add(s_key, 1, s_now + 700ms);
-    EXPECT_EQ(quotas.known(s_now).front().wanted, 1U);
-    EXPECT_EQ(quotas.known(s_now + 3s).front().wanted, 0U) << "nobody asks any more";
+    EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 1U);
+    EXPECT_EQ(quotas.knownLimits(s_now + 3s).front().wanted, 0U) << "nobody asks any more";
 }
 
 TEST(SendQuotasTest, TheWaitIsUntilWhatWasNotSentMayBeSent)
@@ -136,7 +136,7 @@
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
     quotas.add(s_key, 100, s_now + 1h);
     EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now)) << "none is missing";
-    quotas.recordMiss(s_key, 1, s_now);
+    quotas.recordUnplaced(s_key, 1, s_now);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 2, s_now));
     EXPECT_TRUE(quotas.allowsRequest(s_key, 1, s_now));
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now));
@@ -151,8 +151,8 @@
     quotas.add(s_key, 100, s_now + 1h);
     size_t lessUrgent = 0;
     for (int request = 0; request < 90; ++request) {
-        quotas.recordMiss(s_key, 0, s_now);
-        quotas.recordMiss(s_key, 3, s_now);
+        quotas.recordUnplaced(s_key, 0, s_now);
+        quotas.recordUnplaced(s_key, 3, s_now);
         bool mayGo = quotas.allowsRequest(s_key, 3, s_now);
         lessUrgent += mayGo;
         EXPECT_TRUE(quotas.take(s_key, mayGo ? 3 : 0, s_now));
