--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -53,7 +53,7 @@
     struct AtHub {
         Routing::QuotaOwnership ownership;
         std::string owner; // The hub that assigns the limit, as far as this one knows.
-        Routing::QuotaSource source;
+        Routing::QuotaBucket source;
         Routing::QuotaAssigner hubs; // To whom the owner gives.
         Routing::QuotaPool pool; // Given to this hub.
         Routing::QuotaAssigner routers; // To whom this hub gives: its subscribers and itself.
@@ -91,7 +91,7 @@
     std::map<std::string, Received> m_received; // By the peer that gave.
     std::map<std::string, Hub> m_hubsHeard;
     std::vector<std::string> m_hubs; // That this hub hears, itself included.
-    Routing::QuotaOwnership::Since m_since;
+    Routing::QuotaOwnership::StableSince m_since;
     std::optional<Common::TimePoint> m_lastStep;
 };
 
--- a/Source/RouteServing/Routing/QuotaAssigner.cpp
+++ b/Source/RouteServing/Routing/QuotaAssigner.cpp
@@ -10,21 +10,21 @@
 // An upstream with a lower limit gets a request this often all the same: only a response tells that the limit is over.
 static constexpr double probesPerSecond = 0.2;
 // The bucket holds the requests of this time, two steps of the exchange, and one more.
-static constexpr double bucketSpan = 0.2; // s
+static constexpr double bucketSpanSeconds = 0.2; // s
 // Longer than two steps of the exchange take, also on a busy instance.
-static constexpr Common::Milliseconds longestStep = 500ms;
+static constexpr Common::Milliseconds maxRefillInterval = 500ms;
 static constexpr Common::Milliseconds poolValidity = 400ms;
 static constexpr Common::Milliseconds demandValidity = 500ms;
 // After this a requester is taken to have ended; before that, its counts must not start again.
 static constexpr Common::Milliseconds requesterTimeout = 10min;
 
-void QuotaSource::refill(double requestsPerSecond, double share, Common::TimePoint now)
+void QuotaBucket::refill(double requestsPerSecond, double share, Common::TimePoint now)
 {
     double rate = std::max(probesPerSecond, requestsPerSecond * share);
     if (m_last)
-        m_saved += rate * Common::toSeconds(std::min<Common::Duration>(now - *m_last, longestStep));
+        m_tokens += rate * Common::toSeconds(std::min<Common::Duration>(now - *m_last, maxRefillInterval));
     m_last = now;
-    m_saved = std::min(m_saved, 1 + rate * bucketSpan);
+    m_tokens = std::min(m_tokens, 1 + rate * bucketSpanSeconds);
 }
 
 void QuotaPool::add(unsigned requests, Common::TimePoint now)
@@ -52,23 +52,23 @@
     // One that counts what an earlier process here gave it starts anew.
     known.granted = std::max(known.granted, demand.received);
     known.demand = demand;
-    known.asked = now;
+    known.lastDemandAt = now;
 }
 
-unsigned QuotaAssigner::lacking(const Requester& requester, Common::TimePoint now)
+unsigned QuotaAssigner::unmetDemand(const Requester& requester, Common::TimePoint now)
 {
-    if (requester.asked + demandValidity < now)
+    if (requester.lastDemandAt + demandValidity < now)
         return 0;
-    auto underWay = requester.granted - requester.demand.received;
+    auto inFlight = requester.granted - requester.demand.received;
     auto wanted = requester.demand.wanted;
-    return wanted - static_cast<unsigned>(std::min<uint64_t>(wanted, underWay));
+    return wanted - static_cast<unsigned>(std::min<uint64_t>(wanted, inFlight));
 }
 
 unsigned QuotaAssigner::wanted(Common::TimePoint now) const
 {
     unsigned sum = 0;
     for (const auto& [id, requester] : m_requesters)
-        sum += lacking(requester, now);
+        sum += unmetDemand(requester, now);
     return sum;
 }
 
@@ -76,10 +76,10 @@
 {
     for (unsigned given = 0; given < requests; ++given) {
         auto next = std::max_element(m_requesters.begin(), m_requesters.end(), [&](const auto& a, const auto& b) {
-            return std::pair(lacking(a.second, now), b.second.lastTurn)
-                < std::pair(lacking(b.second, now), a.second.lastTurn);
+            return std::pair(unmetDemand(a.second, now), b.second.lastTurn)
+                < std::pair(unmetDemand(b.second, now), a.second.lastTurn);
         });
-        if (next == m_requesters.end() || !lacking(next->second, now))
+        if (next == m_requesters.end() || !unmetDemand(next->second, now))
             return given;
         ++next->second.granted;
         next->second.lastTurn = ++m_turn;
@@ -94,12 +94,13 @@
     return isSame ? found->second.granted : 0;
 }
 
-void QuotaAssigner::forgetOld(Common::TimePoint now)
+void QuotaAssigner::evictExpired(Common::TimePoint now)
 {
-    std::erase_if(m_requesters, [&](const auto& each) { return each.second.asked + requesterTimeout < now; });
+    std::erase_if(m_requesters, [&](const auto& each) { return each.second.lastDemandAt + requesterTimeout < now; });
 }
 
-bool QuotaOwnership::update(std::string_view owner, std::string_view self, const Since& since, Common::TimePoint now)
+bool QuotaOwnership::update(
+    std::string_view owner, std::string_view self, const StableSince& since, Common::TimePoint now)
 {
     if (m_owner != owner) {
         // Before the limit was known here, nobody gave out anything unless the hubs were others then.
--- a/Source/RouteServing/Routing/QuotaAssigner.h
+++ b/Source/RouteServing/Routing/QuotaAssigner.h
@@ -19,16 +19,16 @@
 namespace Brassladder::RouteServing::Routing {
 
 // What may be given out of one limit: a token bucket. Time in which the assigner did not run saves up nothing.
-class QuotaSource {
+class QuotaBucket {
 public:
     // `share`: of the limit, in [0, 1].
     void refill(double requestsPerSecond, double share, Common::TimePoint now);
-    unsigned available() const { return static_cast<unsigned>(m_saved); }
-    void spend(unsigned requests) { m_saved -= requests; }
+    unsigned available() const { return static_cast<unsigned>(m_tokens); }
+    void spend(unsigned requests) { m_tokens -= requests; }
 
 private:
     std::optional<Common::TimePoint> m_last;
-    double m_saved { 0 };
+    double m_tokens { 0 };
 };
 
 // Requests to one upstream that wait for somebody who may send them, for a short time.
@@ -59,17 +59,17 @@
     unsigned assign(unsigned requests, Common::TimePoint now);
     // All that the process was ever given.
     uint64_t granted(std::string_view requester, uint64_t incarnation) const;
-    void forgetOld(Common::TimePoint now);
+    void evictExpired(Common::TimePoint now);
     bool isEmpty() const { return m_requesters.empty(); }
 
 private:
     struct Requester {
         Demand demand;
         uint64_t granted { 0 };
-        Common::TimePoint asked {};
+        Common::TimePoint lastDemandAt {};
         uint64_t lastTurn { 0 };
     };
-    static unsigned lacking(const Requester&, Common::TimePoint now);
+    static unsigned unmetDemand(const Requester&, Common::TimePoint now);
 
     std::map<std::string, Requester, std::less<>> m_requesters;
     uint64_t m_turn { 0 };
@@ -80,12 +80,12 @@
 class QuotaOwnership {
 public:
     // Since when what decides on the owner stands.
-    struct Since {
+    struct StableSince {
         Common::TimePoint hubs {}; // The set of hubs that this router hears.
         Common::TimePoint running {}; // This router runs as a hub without a pause.
     };
     // `owner`: who assigns the limit as far as this router knows. Whether this router may give out requests.
-    bool update(std::string_view owner, std::string_view self, const Since&, Common::TimePoint now);
+    bool update(std::string_view owner, std::string_view self, const StableSince&, Common::TimePoint now);
 
 private:
     std::string m_owner;
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -11,9 +11,9 @@
 
 constexpr static Common::TimePoint s_now(1h);
 
-TEST(QuotaSourceTest, ItGivesOutTheLimitAndSavesUpLittle)
+TEST(QuotaBucketTest, ItGivesOutTheLimitAndSavesUpLittle)
 {
-    QuotaSource source;
+    QuotaBucket source;
     unsigned given = 0;
     for (int step = 0; step <= 100; ++step) {
         source.refill(4, 1, s_now + step * 100ms);
@@ -26,17 +26,17 @@
     EXPECT_EQ(source.available(), 1U);
 }
 
-TEST(QuotaSourceTest, APauseSavesUpNothing)
+TEST(QuotaBucketTest, APauseSavesUpNothing)
 {
-    QuotaSource source;
+    QuotaBucket source;
     source.refill(100, 1, s_now);
     source.refill(100, 1, s_now + 10s);
     EXPECT_LE(source.available(), 21U);
 }
 
-TEST(QuotaSourceTest, ALimitOfNothingGetsARequestNowAndThen)
+TEST(QuotaBucketTest, ALimitOfNothingGetsARequestNowAndThen)
 {
-    QuotaSource source;
+    QuotaBucket source;
     unsigned given = 0;
     for (int step = 0; step <= 200; ++step) {
         source.refill(0, 1, s_now + step * 100ms);
@@ -107,7 +107,7 @@
 TEST(QuotaOwnershipTest, OneThatTakesOverWaitsForWhatWasGivenOut)
 {
     QuotaOwnership ownership;
-    QuotaOwnership::Since since { s_now - 1h, s_now - 1h };
+    QuotaOwnership::StableSince since { s_now - 1h, s_now - 1h };
     EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the hubs have stood for long";
     EXPECT_FALSE(ownership.update("other", "self", since, s_now + 1s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s));
