--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -78,7 +78,7 @@
     std::vector<SuspectRecord> records;
     for (const auto& entry : table.suspects()) {
         auto record = decodeSuspect(entry, now);
-        if (Routing::lastEvent(record) != TimePoint::min())
+        if (Routing::lastEventAt(record) != TimePoint::min())
             records.push_back(std::move(record));
     }
     return records;
@@ -109,7 +109,7 @@
     auto elapsed = std::max(now.timeOfDay - Milliseconds(message.written_ms()), Milliseconds(0));
     auto written = now.steady - std::min(elapsed, longestAge);
     auto record = decodeSuspect(message.suspect(), written);
-    if (Routing::lastEvent(record) == TimePoint::min())
+    if (Routing::lastEventAt(record) == TimePoint::min())
         return std::nullopt;
     return StoredSuspect { std::move(record), message.claimed_by(), Milliseconds(message.claimed_until_ms()) };
 }
--- a/Source/RouteServing/Gateway/SuspectEndpoint.cpp
+++ b/Source/RouteServing/Gateway/SuspectEndpoint.cpp
@@ -26,7 +26,7 @@
             { "ago_ms", Common::toMilliseconds(now - run.ended).count() } });
     Json entry { { "identity", suspect.request.text() }, { "state", Routing::name(Routing::suspicionOf(suspect, now)) },
         { "workspace", suspect.workspace }, { "target", suspect.target }, { "body_bytes", suspect.request.bodyBytes },
-        { "crashes", count.all }, { "in_turn", count.inTurn }, { "trials", suspect.trials },
+        { "crashes", count.all }, { "in_turn", count.sequential }, { "trials", suspect.trials },
         { "runs", std::move(runs) } };
     if (auto trial = Routing::nextTrial(suspect))
         entry["next_trial_in_ms"] = std::max<int64_t>(0, Common::toMilliseconds(*trial - now).count());
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -199,7 +199,7 @@
 {
     auto end = contents.end;
     for (const auto& stored : contents.suspects) {
-        if (!Routing::SuspectLedger::isForgotten(stored.record, Common::now()))
+        if (!Routing::SuspectLedger::isExpired(stored.record, Common::now()))
             continue;
         auto dropped = log.drop(stored.record.request, end);
         // Another reader does it, or the next start of one.
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectTurn.cpp
@@ -40,7 +40,7 @@
 bool SuspectTurn::mayBeSuspect() const
 {
     const auto& ledger = m_parts.guard.ledger();
-    return !ledger.isEmpty() && ledger.mayKnow(m_parts.hasher.target(traits()), m_exchange.request().body().size());
+    return !ledger.isEmpty() && ledger.mayContain(m_parts.hasher.target(traits()), m_exchange.request().body().size());
 }
 
 // A request that ends its upstreams comes again with a new id, at any router: what it has done is asked for before each
--- a/Source/RouteServing/Routing/Suspect.h
+++ b/Source/RouteServing/Routing/Suspect.h
@@ -53,7 +53,7 @@
 
 struct CrashCount {
     unsigned all { 0 }; // Upstreams that crashed while it was under way there.
-    unsigned inTurn { 0 }; // The longest chain of them in which each run was sent after the crash before.
+    unsigned sequential { 0 }; // The longest chain of them in which each run was sent after the crash before.
 };
 // Of the runs that nothing has cleared since.
 CrashCount countCrashes(const SuspectRecord&);
@@ -61,7 +61,7 @@
 // When the next trial is due; none when it is not held, or no more are made.
 std::optional<Common::TimePoint> nextTrial(const SuspectRecord&);
 // The newest thing that happened to it.
-Common::TimePoint lastEvent(const SuspectRecord&);
+Common::TimePoint lastEventAt(const SuspectRecord&);
 
 // Adds a run; false when that start of the upstream is known, or the run was cleared.
 bool addRun(SuspectRecord&, const CrashedRun&);
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -13,21 +13,21 @@
 static constexpr size_t maxEntries = 1024;
 static constexpr size_t maxEntriesOfWorkspace = 128;
 // Which part goes when there is no room: one at a time would look at all of them for each new one.
-static constexpr size_t evictedPart = 8;
+static constexpr size_t evictionDivisor = 8;
 // How long after the last event an entry is kept: a caller that comes again does so within minutes; one that is held
 // is remembered for a day, or its next send would cost three upstreams again. Chosen, not measured.
-static constexpr Common::Milliseconds keptFor = 10min;
-static constexpr Common::Milliseconds heldKeptFor = 24h;
+static constexpr Common::Milliseconds suspectRetention = 10min;
+static constexpr Common::Milliseconds heldSuspectRetention = 24h;
 // How often old entries are looked for.
 static constexpr Common::Milliseconds sweepInterval = 10s;
 
-bool SuspectLedger::isForgotten(const SuspectRecord& record, TimePoint now)
+bool SuspectLedger::isExpired(const SuspectRecord& record, TimePoint now)
 {
     bool isHeld = Routing::suspicionOf(record, now) >= Suspicion::Held;
-    return lastEvent(record) < now - (isHeld ? heldKeptFor : keptFor);
+    return lastEventAt(record) < now - (isHeld ? heldSuspectRetention : suspectRetention);
 }
 
-bool SuspectLedger::mayKnow(uint64_t target, uint64_t bodyBytes) const
+bool SuspectLedger::mayContain(uint64_t target, uint64_t bodyBytes) const
 {
     std::lock_guard lock(m_mutex);
     auto found = m_entries.lower_bound({ target, bodyBytes, {} });
@@ -53,7 +53,7 @@
 {
     std::lock_guard lock(m_mutex);
     for (const auto& attempt : attempts) {
-        auto& entry = entryOf({ attempt.request, attempt.workspace, attempt.target, {} }, now);
+        auto& entry = findOrCreate({ attempt.request, attempt.workspace, attempt.target, {} }, now);
         if (addRun(entry.record, { upstream, attempt.requestId, attempt.sent, attempt.ended }))
             recordChange(entry, now);
     }
@@ -84,23 +84,23 @@
 void SuspectLedger::merge(const SuspectRecord& other, TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    if (!m_entries.contains(other.request) && isForgotten(other, now))
+    if (!m_entries.contains(other.request) && isExpired(other, now))
         return;
-    auto& entry = entryOf(other, now);
+    auto& entry = findOrCreate(other, now);
     if (Routing::merge(entry.record, other))
         recordChange(entry, now);
 }
 
-SuspectLedger::Entry& SuspectLedger::entryOf(const SuspectRecord& named, TimePoint now)
+SuspectLedger::Entry& SuspectLedger::findOrCreate(const SuspectRecord& named, TimePoint now)
 {
-    forgetOld(now);
+    evictExpired(now);
     auto found = m_entries.find(named.request);
     if (found != m_entries.end())
         return found->second;
     if (m_countByWorkspace[named.workspace] >= maxEntriesOfWorkspace)
-        evictFrom([&](const auto& record) { return record.workspace == named.workspace; }, now);
+        evictLeastSuspicious([&](const auto& record) { return record.workspace == named.workspace; }, now);
     if (m_entries.size() >= maxEntries)
-        evictFrom([](const auto&) { return true; }, now);
+        evictLeastSuspicious([](const auto&) { return true; }, now);
     ++m_countByWorkspace[named.workspace];
     auto& entry = m_entries[named.request];
     entry.record.request = named.request;
@@ -125,19 +125,19 @@
     m_size = m_entries.size();
 }
 
-void SuspectLedger::forgetOld(TimePoint now)
+void SuspectLedger::evictExpired(TimePoint now)
 {
     if (now < m_lastSweep + sweepInterval)
         return;
     m_lastSweep = now;
     for (auto next = m_entries.begin(); next != m_entries.end();) {
         auto entry = next++;
-        if (isForgotten(entry->second.record, now))
+        if (isExpired(entry->second.record, now))
             erase(entry);
     }
 }
 
-void SuspectLedger::evictFrom(const std::function<bool(const SuspectRecord&)>& isCandidate, TimePoint now)
+void SuspectLedger::evictLeastSuspicious(const std::function<bool(const SuspectRecord&)>& isCandidate, TimePoint now)
 {
     struct Ranked {
         std::pair<Suspicion, TimePoint> rank;
@@ -147,15 +147,15 @@
     for (auto entry = m_entries.begin(); entry != m_entries.end(); ++entry) {
         const auto& record = entry->second.record;
         if (isCandidate(record))
-            candidates.push_back({ { Routing::suspicionOf(record, now), lastEvent(record) }, entry });
+            candidates.push_back({ { Routing::suspicionOf(record, now), lastEventAt(record) }, entry });
     }
-    auto evicted = static_cast<ptrdiff_t>(candidates.size() / evictedPart + 1);
+    auto evicted = static_cast<ptrdiff_t>(candidates.size() / evictionDivisor + 1);
     std::nth_element(candidates.begin(), candidates.begin() + evicted - 1, candidates.end(),
         [](const auto& a, const auto& b) { return a.rank < b.rank; });
     std::for_each_n(candidates.begin(), evicted, [this](const auto& each) { erase(each.entry); });
 }
 
-SuspectLedger::Changes SuspectLedger::changesAfter(uint64_t revision, Scope scope, size_t most) const
+SuspectLedger::Changes SuspectLedger::changesAfter(uint64_t revision, Scope scope, size_t maxRecords) const
 {
     std::lock_guard lock(m_mutex);
     Changes changes { {}, m_revision };
@@ -167,7 +167,7 @@
             changed.emplace(entry.revision, &entry.record);
     }
     for (const auto& [changedAt, record] : changed) {
-        if (changes.records.size() == most)
+        if (changes.records.size() == maxRecords)
             break;
         changes.records.push_back(*record);
         changes.upTo = changedAt;
@@ -200,8 +200,8 @@
     for (const auto& [request, entry] : m_entries)
         records.push_back(entry.record);
     std::stable_sort(records.begin(), records.end(), [now](const auto& a, const auto& b) {
-        return std::pair(Routing::suspicionOf(a, now), lastEvent(a))
-            > std::pair(Routing::suspicionOf(b, now), lastEvent(b));
+        return std::pair(Routing::suspicionOf(a, now), lastEventAt(a))
+            > std::pair(Routing::suspicionOf(b, now), lastEventAt(b));
     });
     return records;
 }
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -20,12 +20,12 @@
 class SuspectLedger {
 public:
     // Whether so little is to be expected of it that it is not kept, here and in the store.
-    static bool isForgotten(const SuspectRecord&, Common::TimePoint now);
+    static bool isExpired(const SuspectRecord&, Common::TimePoint now);
 
     // What a request's first check costs as long as nobody is suspected: one load of an atomic.
     bool isEmpty() const { return !m_size.load(std::memory_order_relaxed); }
     // Whether a suspect has this target and a body of this size. Without one, the body need not be hashed.
-    bool mayKnow(uint64_t target, uint64_t bodyBytes) const;
+    bool mayContain(uint64_t target, uint64_t bodyBytes) const;
     std::optional<SuspectRecord> find(const RequestIdentity&) const;
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
@@ -39,7 +39,7 @@
     void merge(const SuspectRecord&, Common::TimePoint now);
 
     // Entries in one message: about 12 KB, 10 ms on a link of 10 Mbit/s. Chosen, not measured.
-    static constexpr size_t maxChanges = 64;
+    static constexpr size_t maxRecordsPerMessage = 64;
     // What changed after a revision, the earliest changes first, and up to which revision.
     enum class Scope : uint8_t {
         All, // For hubs, which add up what routers saw.
@@ -49,7 +49,7 @@
         std::vector<SuspectRecord> records;
         uint64_t upTo { 0 };
     };
-    Changes changesAfter(uint64_t revision, Scope, size_t most = maxChanges) const;
+    Changes changesAfter(uint64_t revision, Scope, size_t maxRecords = maxRecordsPerMessage) const;
     uint64_t revision() const;
     std::map<Suspicion, size_t> countByState(Common::TimePoint now) const;
     // All, the most suspicious first.
@@ -64,11 +64,11 @@
     using Entries = std::map<RequestIdentity, Entry>;
 
     // The callers of the rest hold the lock.
-    Entry& entryOf(const SuspectRecord& named, Common::TimePoint now);
+    Entry& findOrCreate(const SuspectRecord& named, Common::TimePoint now);
     void recordChange(Entry&, Common::TimePoint now);
-    void forgetOld(Common::TimePoint now);
+    void evictExpired(Common::TimePoint now);
     // Makes room: the least suspicious go, and of equals those that have been quiet for the longest. There must be one.
-    void evictFrom(const std::function<bool(const SuspectRecord&)>& isCandidate, Common::TimePoint now);
+    void evictLeastSuspicious(const std::function<bool(const SuspectRecord&)>& isCandidate, Common::TimePoint now);
     void erase(Entries::iterator);
 
     mutable std::mutex m_mutex;
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -56,7 +56,7 @@
     SuspectRecord suspect;
     for (int engine = 0; engine < 10; ++engine)
         addRun(suspect, runAt("e" + std::to_string(engine), Common::Milliseconds(engine * 20), 500ms + engine * 1ms));
-    EXPECT_EQ(countCrashes(suspect).inTurn, 1U);
+    EXPECT_EQ(countCrashes(suspect).sequential, 1U);
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Repeated) << "it runs alone until a run ends well";
     clear(suspect, s_start + 2s);
     EXPECT_EQ(suspicionOf(suspect, s_start + 2s), Suspicion::None);
@@ -69,7 +69,7 @@
     auto again = runAt("a", 300ms, 500ms);
     again.upstream.born = 2;
     EXPECT_TRUE(addRun(suspect, again)) << "a later start under the same id is another process";
-    EXPECT_EQ(countCrashes(suspect).inTurn, 2U);
+    EXPECT_EQ(countCrashes(suspect).sequential, 2U);
 }
 
 TEST(SuspectTest, ARunThatEndsWellClearsWhatWasBefore)
@@ -250,9 +250,9 @@
     EXPECT_TRUE(ledger.isEmpty()) << "a good end of a request that nobody suspects is no entry";
     std::vector<InterruptedAttempt> attempts { attemptOf(1, s_start, s_start + 1s) };
     ledger.recordCrash({ "a", 1 }, attempts, s_start + 1s);
-    EXPECT_TRUE(ledger.mayKnow(1, 10));
-    EXPECT_FALSE(ledger.mayKnow(1, 11));
-    EXPECT_FALSE(ledger.mayKnow(2, 10));
+    EXPECT_TRUE(ledger.mayContain(1, 10));
+    EXPECT_FALSE(ledger.mayContain(1, 11));
+    EXPECT_FALSE(ledger.mayContain(2, 10));
     EXPECT_EQ(ledger.suspicionOf(identityOf(1), s_start + 1s), Suspicion::Once);
     EXPECT_TRUE(ledger.lift(identityOf(1).text(), s_start + 2s));
     EXPECT_EQ(ledger.suspicionOf(identityOf(1), s_start + 2s), Suspicion::None);
