--- a/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(FreshnessLeaseTest, RunsFromTheStartOfTheLastReadAndNeverBack)
+TEST(FreshnessLeaseTest, ItRunsFromTheStartOfTheLastReadAndNeverMovesBack)
 {
     FreshnessLease lease(5000ms);
     Common::TimePoint start(1h);
--- a/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST(NoUpstreamPolicyTest, TheRefusalIsTrueAndSaysWhenToComeBack)
+TEST(NoUpstreamPolicyTest, TheRefusalGivesItsCauseAndTheEarliestRetryTime)
 {
     auto resting = noUpstreamRefusal({ s_now + 2500ms, std::nullopt }, false, s_now);
     EXPECT_EQ(resting.kind, ErrorKind::UpstreamsResting);
@@ -31,7 +31,7 @@
     EXPECT_EQ(noUpstreamRefusal({ s_now + 100ms, 400ms }, false, s_now).kind, ErrorKind::UpstreamsResting);
 }
 
-TEST(NoUpstreamPolicyTest, ARequestWaitsAMomentForAQuotaAndMostOfItsObjectiveIsLeft)
+TEST(NoUpstreamPolicyTest, AQuotaHoldIsBoundedByHalfTheObjectiveAndByACap)
 {
     Route route;
     route.objective = 150ms;
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr static Common::TimePoint s_now(1h);
 
-TEST(QuotaBucketTest, ItGivesOutTheLimitAndSavesUpLittle)
+TEST(QuotaBucketTest, ItRefillsAtTheLimitAndCapsTheBurst)
 {
     QuotaBucket source;
     unsigned given = 0;
@@ -26,7 +26,7 @@
     EXPECT_EQ(source.available(), 1U);
 }
 
-TEST(QuotaBucketTest, APauseSavesUpNothing)
+TEST(QuotaBucketTest, APauseAccumulatesNoTokens)
 {
     QuotaBucket source;
     source.refill(100, 1, s_now);
@@ -34,7 +34,7 @@
     EXPECT_LE(source.available(), 21U);
 }
 
-TEST(QuotaBucketTest, ALimitOfNothingGetsARequestNowAndThen)
+TEST(QuotaBucketTest, ALimitOfZeroStillAllowsProbes)
 {
     QuotaBucket source;
     unsigned given = 0;
@@ -47,7 +47,7 @@
     EXPECT_LE(given, 4U);
 }
 
-TEST(QuotaPoolTest, WhatWaitsTooLongIsVoid)
+TEST(QuotaPoolTest, PooledRequestsExpire)
 {
     QuotaPool pool;
     pool.add(3, s_now);
@@ -57,7 +57,7 @@
     pool.take(5);
 }
 
-TEST(QuotaAssignerTest, TheOneThatLacksMostComesFirstThenTheOneThatWaitedLongest)
+TEST(QuotaAssignerTest, TheLargestUnmetDemandComesFirstThenTheLongestWait)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 1, 0 }, s_now);
@@ -71,7 +71,7 @@
 }
 
 // The message with the grant is still under way, or was lost: it is not given again.
-TEST(QuotaAssignerTest, WhatIsUnderWayIsNotGivenTwice)
+TEST(QuotaAssignerTest, AGrantInFlightIsNotGivenTwice)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 2, 0 }, s_now);
@@ -82,7 +82,7 @@
     EXPECT_EQ(assigner.wanted(s_now + 200ms), 2U);
 }
 
-TEST(QuotaAssignerTest, OneThatIsSilentOrStartsAnewGetsNothingOfBefore)
+TEST(QuotaAssignerTest, ExpiredDemandAndEarlierIncarnationsGetNothing)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 2, 0 }, s_now);
@@ -96,7 +96,7 @@
 }
 
 // A hub that has forgotten the router goes on from what the router has received.
-TEST(QuotaAssignerTest, CountsGoOnFromWhatWasReceived)
+TEST(QuotaAssignerTest, CountsContinueFromTheReceivedCount)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 1, 57 }, s_now);
@@ -104,7 +104,7 @@
     EXPECT_EQ(assigner.granted("a", 1), 58U);
 }
 
-TEST(QuotaOwnershipTest, OneThatTakesOverWaitsForWhatWasGivenOut)
+TEST(QuotaOwnershipTest, ANewOwnerWaitsUntilEarlierGrantsHaveExpired)
 {
     QuotaOwnership ownership;
     QuotaOwnership::StableSince since { s_now - 1h, s_now - 1h };
--- a/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
@@ -71,7 +71,7 @@
 // What users saw: two engines of twelve refused nearly all in a millisecond, so that they had the fewest requests
 // outstanding and got most of what came. Here one upstream of four refuses all and never asks for rest; the other three
 // are always busier. Without the back-off it is sent 997 of 1,000 requests, with it 9.
-TEST(RefusalBackoffTest, AnUpstreamThatRefusesAtOnceDoesNotDrawTheLoad)
+TEST(RefusalBackoffTest, AFastRefusingUpstreamDoesNotAttractLoad)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(upstreams(4));
@@ -99,7 +99,7 @@
     EXPECT_GE(refused, 7U) << "it is tried about every four seconds";
 }
 
-TEST(RefusalBackoffTest, WhereAllRefuseTheyAreUsedAllTheSame)
+TEST(RefusalBackoffTest, BackedOffUpstreamsAreUsedWhenNoOtherIsLeft)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(upstreams(2));
@@ -112,7 +112,7 @@
 }
 
 // Many requests wait for the end of a rest: the first goes there, the next ones to others until it is not refused.
-TEST(RefusalBackoffTest, AfterARestOneRequestGoesFirstWhereOthersHaveRoom)
+TEST(RefusalBackoffTest, AfterACooldownOneTrialRequestIsSentFirst)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(upstreams(2));
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST(RegistryStatementsTest, AnUpstreamThatRestsIsNotChosenAlsoWhenNoOtherIsLeft)
+TEST(RegistryStatementsTest, AnUpstreamInCooldownIsNeverChosen)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -50,7 +50,7 @@
 }
 
 // An ejection is this router's guess and gives way; what the other one has asked for does not.
-TEST(RegistryStatementsTest, AnEjectedUpstreamGoesBeforeOneThatRests)
+TEST(RegistryStatementsTest, AnEjectedUpstreamIsPreferredToOneInCooldown)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -65,7 +65,7 @@
 }
 
 // Its entry lapses and comes back, or comes again as ready: the same process has the same rest.
-TEST(RegistryStatementsTest, NoListTakesBackWhatAnUpstreamStated)
+TEST(RegistryStatementsTest, NoListOverridesAStatement)
 {
     for (const auto& statement : { cooldownOfThreeSeconds, leaving }) {
         UpstreamRegistry registry("north");
@@ -83,7 +83,7 @@
 }
 
 // It is chosen, and asks for rest before the request is sent: while the connection is made, or another attempt waits.
-TEST(RegistryStatementsTest, AChosenUpstreamMayAskForRestBeforeTheRequestIsSent)
+TEST(RegistryStatementsTest, ACooldownThatStartsAfterTheChoiceRevokesThePermit)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
@@ -95,7 +95,7 @@
 }
 
 // Peers compare lists by their digest: what an upstream stated to one router must not make it send its list on and on.
-TEST(RegistryStatementsTest, WhatAnUpstreamStatedChangesNoList)
+TEST(RegistryStatementsTest, AStatementDoesNotChangeTheDigest)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
--- a/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST(RequestIdentityTest, TheSameRequestFromTheSameCallerMeets)
+TEST(RequestIdentityTest, TheSameRequestFromTheSameCallerHasTheSameIdentity)
 {
     RequestHasher here("key");
     RequestHasher there("key");
@@ -42,13 +42,13 @@
 }
 
 // Where one part ends counts: a caller cannot move bytes from one to the next.
-TEST(RequestIdentityTest, PartsDoNotRunIntoEachOther)
+TEST(RequestIdentityTest, PartBoundariesChangeTheHash)
 {
     RequestHasher hasher("key");
     EXPECT_NE(hasher.target({ "ab", "c", "h", "/", "" }), hasher.target({ "a", "bc", "h", "/", "" }));
 }
 
-TEST(RequestIdentityTest, WithoutTheKeyNobodyKnowsTheHash)
+TEST(RequestIdentityTest, TheIdentityDependsOnTheFleetKey)
 {
     EXPECT_NE(RequestHasher("key").identity(someRequest()), RequestHasher("another").identity(someRequest()));
 }
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -64,7 +64,7 @@
     EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Named);
 }
 
-TEST(SendQuotasTest, ANewValueHoldsAtOnceAndALowerOneVoidsTheQuota)
+TEST(SendQuotasTest, ANewLimitAppliesAtOnceAndALowerOneVoidsTheQuota)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 4 }, s_now, s_now);
@@ -76,7 +76,7 @@
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now + 3ms));
 }
 
-TEST(SendQuotasTest, AnotherStartOfTheUpstreamHasNamedNone)
+TEST(SendQuotasTest, ALimitDoesNotApplyToAnotherIncarnation)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(1000), { 0 }, s_now, s_now);
@@ -85,7 +85,7 @@
 }
 
 // In whatever order they hear of it, and however often.
-TEST(SendQuotasTest, WhatOtherRoutersKnowIsMerged)
+TEST(SendQuotasTest, MergingLimitsDoesNotDependOnOrder)
 {
     UpstreamLimit named { 2, s_now, Common::TimePoint::min() };
     UpstreamLimit ended { 2, s_now, s_now + 3s };
@@ -101,7 +101,7 @@
     EXPECT_FALSE(second.isLimited(s_key));
 }
 
-TEST(SendQuotasTest, AQuotaIsAskedForWhatComes)
+TEST(SendQuotasTest, TheRequestedQuotaFollowsRecentDemand)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 8 }, s_now, s_now);
@@ -114,7 +114,7 @@
     EXPECT_EQ(quotas.knownLimits(s_now + 3s).front().wanted, 0U) << "nobody asks any more";
 }
 
-TEST(SendQuotasTest, TheWaitIsUntilWhatWasNotSentMayBeSent)
+TEST(SendQuotasTest, TheExpectedWaitCoversTheUnsentBacklog)
 {
     SendQuotas quotas;
     const uint32_t keys[] { s_key };
@@ -130,7 +130,7 @@
 }
 
 // While more urgent requests find no upstream at all, what little may be sent is for them.
-TEST(SendQuotasTest, LessUrgentRequestsLeaveTheQuotaToMoreUrgentOnes)
+TEST(SendQuotasTest, TheQuotaIsReservedForMoreUrgentRequests)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
@@ -144,7 +144,7 @@
 }
 
 // A long burst of urgent requests stops no others for good.
-TEST(SendQuotasTest, OneInAFewOfTheLessUrgentGoesAllTheSame)
+TEST(SendQuotasTest, LessUrgentRequestsAreNotStarved)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST(SuspectTest, ThreeCrashesInTurnHoldARequest)
+TEST(SuspectTest, ThreeSequentialCrashesHoldARequest)
 {
     auto suspect = suspectWith({ runAt("a", 0ms, 200ms) });
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Once);
@@ -51,7 +51,7 @@
 }
 
 // A rack of engines loses power while a popular prompt is under way at ten of them.
-TEST(SuspectTest, CrashesAtOnceAreNotInTurn)
+TEST(SuspectTest, SimultaneousCrashesAreNotSequential)
 {
     SuspectRecord suspect;
     for (int engine = 0; engine < 10; ++engine)
@@ -72,7 +72,7 @@
     EXPECT_EQ(countCrashes(suspect).sequential, 2U);
 }
 
-TEST(SuspectTest, ARunThatEndsWellClearsWhatWasBefore)
+TEST(SuspectTest, ACompletedRunClearsEarlierCrashes)
 {
     auto suspect = suspectWith({ runAt("a", 0ms, 200ms), runAt("b", 300ms, 500ms) });
     EXPECT_TRUE(clear(suspect, s_start + 600ms));
@@ -133,7 +133,7 @@
     }));
 }
 
-TEST(SuspectTest, RunsAreBoundedAndWhatWasDroppedIsNoNews)
+TEST(SuspectTest, RunsAreBoundedAndADroppedRunIsNotAddedAgain)
 {
     SuspectRecord suspect;
     for (int engine = 0; engine < 20; ++engine)
@@ -242,7 +242,7 @@
     }));
 }
 
-TEST(SuspectLedgerTest, ItIsAskedCheaplyAndKnowsOnlySuspects)
+TEST(SuspectLedgerTest, ItContainsOnlySuspects)
 {
     SuspectLedger ledger;
     EXPECT_TRUE(ledger.isEmpty());
@@ -259,7 +259,7 @@
     EXPECT_FALSE(ledger.lift("nothing", s_start + 2s));
 }
 
-TEST(SuspectLedgerTest, OnlyRepeatedOnesAreForEveryRouterAndSoIsWhatBecomesOfThem)
+TEST(SuspectLedgerTest, TheRepeatedScopeHoldsRepeatedSuspectsAndTheirLaterChanges)
 {
     using Scope = SuspectLedger::Scope;
     SuspectLedger ledger;
@@ -280,7 +280,7 @@
 }
 
 // A caller that changes a byte each time is not caught; it fills its own workspace's share and drops nobody else's.
-TEST(SuspectLedgerTest, AWorkspaceFillsItsOwnShareOnlyAndHeldRequestsStay)
+TEST(SuspectLedgerTest, AWorkspaceEvictsOnlyItsOwnEntriesAndHeldRequestsStay)
 {
     SuspectLedger ledger;
     for (int crash = 0; crash < 3; ++crash) {
@@ -320,7 +320,7 @@
     EXPECT_LT(bytes, size_t(3) << 20);
 }
 
-TEST(SuspectLedgerTest, WhatIsOldIsForgotten)
+TEST(SuspectLedgerTest, ExpiredEntriesAreRemoved)
 {
     SuspectLedger ledger;
     for (int crash = 0; crash < 3; ++crash) {
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -49,7 +49,7 @@
 }
 
 // What may crash its upstream goes where it takes least with it.
-TEST(UpstreamRegistryTest, AnIsolatedRequestGoesWhereTheFewestRequestsAre)
+TEST(UpstreamRegistryTest, AnIsolatedRequestGoesToTheLeastLoadedUpstream)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
@@ -69,7 +69,7 @@
         EXPECT_FALSE(loads.contains(shortHash(id))) << id;
 }
 
-TEST(UpstreamRegistryTest, ALaterStartUnderTheSameIdIsAnotherUpstream)
+TEST(UpstreamRegistryTest, ALaterIncarnationOfAnIdIsAnotherUpstream)
 {
     UpstreamRegistry registry("north");
     auto first = upstream("u1");
@@ -96,7 +96,7 @@
     EXPECT_EQ(registry.upstreams().at(0).born, 2000U);
 }
 
-TEST(UpstreamRegistryTest, AStartThatIsGoneIsNotBroughtBackByALateWrite)
+TEST(UpstreamRegistryTest, ALateWriteDoesNotRestoreADepartedIncarnation)
 {
     UpstreamRegistry registry("north");
     auto leaving = upstream("u1");
@@ -116,7 +116,7 @@
     EXPECT_TRUE(registry.isServing("u1"));
 }
 
-TEST(UpstreamRegistryTest, AnEntryThatLapsedIsUsedAgainWhenItIsBack)
+TEST(UpstreamRegistryTest, ALapsedEntryIsUsedAgainWhenItIsListedAgain)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
@@ -127,7 +127,7 @@
 
 // Whatever lists arrive in whatever order: what is usable is named in the list in force, is no start that was ever
 // leaving, and none before one that was known.
-TEST(UpstreamRegistryTest, NoListBringsBackAStartThatIsOver)
+TEST(UpstreamRegistryTest, NoListRestoresAnObsoleteIncarnation)
 {
     EXPECT_TRUE(rc::check([] {
         UpstreamRegistry registry("north");
@@ -200,7 +200,7 @@
     EXPECT_EQ(std::count(chosen.begin(), chosen.end(), "far"), 2);
 }
 
-TEST(UpstreamRegistryTest, ALoadReportCountsUntilItIsOld)
+TEST(UpstreamRegistryTest, ALoadReportCountsUntilItExpires)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -259,7 +259,7 @@
 }
 
 // An engine is taken to prefill ten tokens in a millisecond, as it did before.
-TEST(UpstreamRegistryTest, AGenerationThatCannotBeInTimeIsLateAndLetsOthersGoFirst)
+TEST(UpstreamRegistryTest, AGenerationThatMissesItsDeadlineIsLateAndYieldsToOthers)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("e1") });
--- a/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST(UpstreamStatementsTest, ARestLastsUntilTheLatestEndThatWasAskedFor)
+TEST(UpstreamStatementsTest, ACooldownLastsUntilTheLatestRequestedEnd)
 {
     UpstreamStatements statements;
     auto u1 = upstream("u1");
@@ -42,7 +42,7 @@
     EXPECT_EQ(statements.cooldownCount(s_now + 6s), 1U);
 }
 
-TEST(UpstreamStatementsTest, NothingIsKnownOfAnotherStart)
+TEST(UpstreamStatementsTest, StatementsDoNotApplyToAnotherIncarnation)
 {
     UpstreamStatements statements;
     statements.record(upstream("u1", 1000), cooldown(10s), s_now);
@@ -67,7 +67,7 @@
 }
 
 // What is kept is bounded, and no rest that goes on is given up for it.
-TEST(UpstreamStatementsTest, ManyUpstreamsAreForgottenButNoneThatRests)
+TEST(UpstreamStatementsTest, OldEntriesAreEvictedButActiveCooldownsAreKept)
 {
     UpstreamStatements statements;
     auto resting = upstream("resting");
