--- a/Source/RouteServing/Gateway/CrashWatch.cpp
+++ b/Source/RouteServing/Gateway/CrashWatch.cpp
@@ -36,7 +36,7 @@
     return "unknown";
 }
 
-static void logCrash(const Routing::UpstreamRecord& upstream, std::span<const Routing::BrokenAttempt> attempts)
+static void logCrash(const Routing::UpstreamRecord& upstream, std::span<const Routing::InterruptedAttempt> attempts)
 {
     auto requests = Common::Json::array();
     for (const auto& attempt : attempts.first(std::min(attempts.size(), maxLoggedRequests)))
@@ -56,7 +56,7 @@
     return connection.end() == ConnectionEnd::Refused ? BreakCause::Crash : BreakCause::Unknown;
 }
 
-void CrashWatch::record(const Routing::UpstreamRecord& upstream, Routing::BrokenAttempt attempt)
+void CrashWatch::record(const Routing::UpstreamRecord& upstream, Routing::InterruptedAttempt attempt)
 {
     if (!m_registry.isServing(upstream.id)) {
         Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
@@ -64,7 +64,7 @@
         return GatewayMetrics::upstreamBroke(name(BreakCause::PlannedEnd));
     }
     std::lock_guard lock(m_mutex);
-    if (m_broken.add(upstream.start(), std::move(attempt)))
+    if (m_broken.add(upstream.incarnation(), std::move(attempt)))
         Common::FiberRuntime::spawnHere([this, upstream] { findCause(upstream); });
 }
 
@@ -73,10 +73,10 @@
     Common::sleepFor(settleTime);
     auto cause = probe(upstream.endpoint);
     GatewayMetrics::upstreamBroke(name(cause));
-    std::vector<Routing::BrokenAttempt> attempts;
+    std::vector<Routing::InterruptedAttempt> attempts;
     {
         std::lock_guard lock(m_mutex);
-        attempts = m_broken.take(upstream.start());
+        attempts = m_broken.take(upstream.incarnation());
     }
     if (cause != BreakCause::Crash)
         return Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -53,7 +53,7 @@
     struct AtHub {
         Routing::QuotaOwnership ownership;
         std::string owner; // The hub that assigns the limit, as far as this one knows.
-        Routing::QuotaSource source;
+        Routing::QuotaBucket source;
         Routing::QuotaAssigner hubs; // To whom the owner gives.
         Routing::QuotaPool pool; // Given to this hub.
         Routing::QuotaAssigner routers; // To whom this hub gives: its subscribers and itself.
@@ -68,14 +68,14 @@
     bool hasRows() const { return m_quotas.isActive(); }
     void updateHubs(std::span<const std::string> hubs, Common::TimePoint now);
     std::string_view ownerOf(Key) const;
-    void stepAsHub(const Routing::SendQuotas::Known&, double heardShare, Common::TimePoint now);
+    void stepAsHub(const Routing::SendQuotas::KnownLimit&, double heardShare, Common::TimePoint now);
     void assignOwn(AtHub&, const Routing::UpstreamLimit&, double heardShare, Common::TimePoint now);
     void passOn(Key, AtHub&, Common::TimePoint now);
     // Whether this router was not at work lately: what was given to it meanwhile may be too old.
     bool wasPaused(Common::TimePoint now) const;
 
     Inner::Wire::QuotaTable tableFor(const std::string& receiver) const;
-    static void addLimit(const Routing::SendQuotas::Known&, Inner::Wire::QuotaTable&, Common::TimePoint now);
+    static void addLimit(const Routing::SendQuotas::KnownLimit&, Inner::Wire::QuotaTable&, Common::TimePoint now);
     // Merges the limits of a table whose ages counted up to `sent`, at the latest.
     bool mergeLimits(const Inner::Wire::QuotaTable&, Common::TimePoint sent);
     uint64_t received(const std::string& from, Key) const;
@@ -91,7 +91,7 @@
     std::map<std::string, Received> m_received; // By the peer that gave.
     std::map<std::string, Hub> m_hubsHeard;
     std::vector<std::string> m_hubs; // That this hub hears, itself included.
-    Routing::QuotaOwnership::Since m_since;
+    Routing::QuotaOwnership::StableSince m_since;
     std::optional<Common::TimePoint> m_lastStep;
 };
 
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectTurn.cpp
@@ -40,7 +40,7 @@
 bool SuspectTurn::mayBeSuspect() const
 {
     const auto& ledger = m_parts.guard.ledger();
-    return !ledger.isEmpty() && ledger.mayKnow(m_parts.hasher.target(traits()), m_exchange.request().body().size());
+    return !ledger.isEmpty() && ledger.mayContain(m_parts.hasher.target(traits()), m_exchange.request().body().size());
 }
 
 // A request that ends its upstreams comes again with a new id, at any router: what it has done is asked for before each
@@ -74,7 +74,7 @@
 void SuspectTurn::recordFailure(const std::string& requestId, const UpstreamAttempt& attempt, Common::TimePoint sent)
 {
     bool wasEndedThere = attempt.end() == ConnectionEnd::Closed || attempt.end() == ConnectionEnd::Reset;
-    m_hasBrokenOff = attempt.outcome() == AttemptOutcome::BrokenOff && wasEndedThere;
+    m_hasBrokenOff = attempt.outcome() == AttemptOutcome::Interrupted && wasEndedThere;
     if (m_hasBrokenOff)
         m_parts.crashes.record(attempt.upstream(),
             { requestId, identity(), m_workspace, std::string(m_exchange.target()), sent, Common::now() });
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -16,7 +16,7 @@
 static constexpr Common::Milliseconds reportMaxAge = 1000ms;
 
 // The entry of a record whose id is known already.
-UpstreamRegistry::Entry UpstreamRegistry::successor(const Entry& known, UpstreamRecord record)
+UpstreamRegistry::Entry UpstreamRegistry::updatedEntry(const Entry& known, UpstreamRecord record)
 {
     // A late write of the start before this one, which is over.
     if (record.born < known.record.born)
@@ -41,13 +41,13 @@
         auto known = m_entries.find(id);
         Entry entry;
         if (known == m_entries.end()) {
-            if (m_departed.isOver(record))
+            if (m_departed.isObsolete(record))
                 continue;
             entry.hash = shortHash(id);
             entry.record = std::move(record);
             entry.limitKey = limitKey(entry.record);
         } else {
-            entry = successor(known->second, std::move(record));
+            entry = updatedEntry(known->second, std::move(record));
         }
         next.emplace(std::move(id), std::move(entry));
     }
@@ -93,7 +93,7 @@
     return sent;
 }
 
-bool UpstreamRegistry::suits(const Entry& entry, const PlacementRequest& request)
+bool UpstreamRegistry::isEligible(const Entry& entry, const PlacementRequest& request)
 {
     if (entry.record.service != request.service || entry.record.leaving)
         return false;
@@ -109,14 +109,14 @@
 bool UpstreamRegistry::mayTake(
     const Entry& entry, const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
-    if (!suits(entry, request) || !m_statements.allowRequest(entry.record, now))
+    if (!isEligible(entry, request) || !m_statements.allowRequest(entry.record, now))
         return false;
     if (!contains(limited, entry.limitKey))
         return true;
-    return !request.withoutLimit && m_quotas.allowsRequest(entry.limitKey, request.rank, now);
+    return !request.excludesLimited && m_quotas.allowsRequest(entry.limitKey, request.rank, now);
 }
 
-bool UpstreamRegistry::hasFreeUpstream(const PlacementRequest& request, Common::TimePoint now) const
+bool UpstreamRegistry::hasHealthyUpstream(const PlacementRequest& request, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
     auto limited = m_quotas.inForce();
@@ -149,15 +149,15 @@
     return backedOff.empty() ? ejected : backedOff;
 }
 
-std::optional<Common::TimePoint> UpstreamRegistry::firstReturn(
+std::optional<Common::TimePoint> UpstreamRegistry::earliestCooldownEnd(
     const PlacementRequest& request, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
     std::optional<Common::TimePoint> first;
     for (const auto& [id, entry] : m_entries) {
-        if (!suits(entry, request) || m_statements.isLeaving(entry.record))
+        if (!isEligible(entry, request) || m_statements.isLeaving(entry.record))
             continue;
-        auto back = m_statements.restEnd(entry.record, now);
+        auto back = m_statements.cooldownEnd(entry.record, now);
         if (back && (!first || *back < *first))
             first = back;
     }
@@ -172,7 +172,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<uint32_t> keys;
     for (const auto& [id, entry] : m_entries) {
-        if (suits(entry, request) && m_statements.allowRequest(entry.record, now))
+        if (isEligible(entry, request) && m_statements.allowRequest(entry.record, now))
             keys.push_back(entry.limitKey);
     }
     return m_quotas.expectedWait(keys, now);
@@ -202,8 +202,8 @@
     const UpstreamRecord& upstream, const UpstreamStatement& statement, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    if (auto* entry = find(upstream); entry && statement.rest)
-        entry->refusals.recordRest();
+    if (auto* entry = find(upstream); entry && statement.cooldown)
+        entry->refusals.recordCooldown();
     return m_statements.record(upstream, statement, now);
 }
 
@@ -214,25 +214,25 @@
         entry->refusals.recordResponse();
 }
 
-size_t UpstreamRegistry::restingCount(Common::TimePoint now) const
+size_t UpstreamRegistry::cooldownCount(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_statements.restingCount(now);
+    return m_statements.cooldownCount(now);
 }
 
 // A request that could go to a limited upstream is asked for, whether or not it goes there in the end.
 void UpstreamRegistry::recordDemand(
     const PlacementRequest& request, std::span<const uint32_t> limited, bool hasFound, Common::TimePoint now)
 {
-    if (request.withoutLimit)
+    if (request.excludesLimited)
         return;
     for (const auto& [id, entry] : m_entries) {
-        if (!contains(limited, entry.limitKey) || !suits(entry, request))
+        if (!contains(limited, entry.limitKey) || !isEligible(entry, request))
             continue;
-        if (!request.isHeld)
+        if (!request.isWaitingForQuota)
             m_quotas.recordDemand(entry.limitKey, now);
         if (!hasFound)
-            m_quotas.recordMiss(entry.limitKey, request.rank, now);
+            m_quotas.recordUnplaced(entry.limitKey, request.rank, now);
     }
 }
 
@@ -330,7 +330,7 @@
     entry->refusals.recordStart(placement.placed);
     ++entry->own.requests;
     entry->own.decodeHeavy += placement.isDecodeHeavy;
-    entry->own.prefillTokens += placement.awaitedPrefillTokens();
+    entry->own.prefillTokens += placement.blockingPrefillTokens();
 }
 
 void UpstreamRegistry::recordPrefillDone(const Placement& placement, Common::TimePoint now)
@@ -347,14 +347,14 @@
         entry->firstEvents.record(awaited, elapsed, now);
         m_firstEvents[entry->record.service].record(awaited, elapsed, now);
     }
-    entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.awaitedPrefillTokens());
+    entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.blockingPrefillTokens());
 }
 
 void UpstreamRegistry::recordEnd(
     const Placement& placement, bool hadPrefillDone, AttemptOutcome outcome, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    if (hadPrefillDone && outcome == AttemptOutcome::BrokenOff)
+    if (hadPrefillDone && outcome == AttemptOutcome::Interrupted)
         m_midStreamFailures.record(now);
     // The entry may be new since the start, when the list was replaced meanwhile: nothing goes below zero.
     auto* entry = find(placement.upstream);
@@ -363,7 +363,7 @@
     entry->own.requests -= std::min(1U, entry->own.requests);
     entry->own.decodeHeavy -= std::min<unsigned>(placement.isDecodeHeavy, entry->own.decodeHeavy);
     if (!hadPrefillDone)
-        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.awaitedPrefillTokens());
+        entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.blockingPrefillTokens());
     entry->health.record(outcome, now);
     if (outcome == AttemptOutcome::NotExecuted && m_statements.allowRequest(placement.upstream, now))
         entry->refusals.recordRefusal(now);
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -11,9 +11,9 @@
 
 constexpr static Common::TimePoint s_now(1h);
 
-TEST(QuotaSourceTest, ItGivesOutTheLimitAndSavesUpLittle)
+TEST(QuotaBucketTest, ItRefillsAtTheLimitAndCapsTheBurst)
 {
-    QuotaSource source;
+    QuotaBucket source;
     unsigned given = 0;
     for (int step = 0; step <= 100; ++step) {
         source.refill(4, 1, s_now + step * 100ms);
@@ -26,17 +26,17 @@
     EXPECT_EQ(source.available(), 1U);
 }
 
-TEST(QuotaSourceTest, APauseSavesUpNothing)
+TEST(QuotaBucketTest, APauseAccumulatesNoTokens)
 {
-    QuotaSource source;
+    QuotaBucket source;
     source.refill(100, 1, s_now);
     source.refill(100, 1, s_now + 10s);
     EXPECT_LE(source.available(), 21U);
 }
 
-TEST(QuotaSourceTest, ALimitOfNothingGetsARequestNowAndThen)
+TEST(QuotaBucketTest, ALimitOfZeroStillAllowsProbes)
 {
-    QuotaSource source;
+    QuotaBucket source;
     unsigned given = 0;
     for (int step = 0; step <= 200; ++step) {
         source.refill(0, 1, s_now + step * 100ms);
@@ -47,7 +47,7 @@
     EXPECT_LE(given, 4U);
 }
 
-TEST(QuotaPoolTest, WhatWaitsTooLongIsVoid)
+TEST(QuotaPoolTest, PooledRequestsExpire)
 {
     QuotaPool pool;
     pool.add(3, s_now);
@@ -57,7 +57,7 @@
     pool.take(5);
 }
 
-TEST(QuotaAssignerTest, TheOneThatLacksMostComesFirstThenTheOneThatWaitedLongest)
+TEST(QuotaAssignerTest, TheLargestUnmetDemandComesFirstThenTheLongestWait)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 1, 0 }, s_now);
@@ -71,7 +71,7 @@
 }
 
 // The message with the grant is still under way, or was lost: it is not given again.
-TEST(QuotaAssignerTest, WhatIsUnderWayIsNotGivenTwice)
+TEST(QuotaAssignerTest, AGrantInFlightIsNotGivenTwice)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 2, 0 }, s_now);
@@ -82,7 +82,7 @@
     EXPECT_EQ(assigner.wanted(s_now + 200ms), 2U);
 }
 
-TEST(QuotaAssignerTest, OneThatIsSilentOrStartsAnewGetsNothingOfBefore)
+TEST(QuotaAssignerTest, ExpiredDemandAndEarlierIncarnationsGetNothing)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 2, 0 }, s_now);
@@ -96,7 +96,7 @@
 }
 
 // A hub that has forgotten the router goes on from what the router has received.
-TEST(QuotaAssignerTest, CountsGoOnFromWhatWasReceived)
+TEST(QuotaAssignerTest, CountsContinueFromTheReceivedCount)
 {
     QuotaAssigner assigner;
     assigner.record("a", { 1, 1, 57 }, s_now);
@@ -104,10 +104,10 @@
     EXPECT_EQ(assigner.granted("a", 1), 58U);
 }
 
-TEST(QuotaOwnershipTest, OneThatTakesOverWaitsForWhatWasGivenOut)
+TEST(QuotaOwnershipTest, ANewOwnerWaitsUntilEarlierGrantsHaveExpired)
 {
     QuotaOwnership ownership;
-    QuotaOwnership::Since since { s_now - 1h, s_now - 1h };
+    QuotaOwnership::StableSince since { s_now - 1h, s_now - 1h };
     EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the hubs have stood for long";
     EXPECT_FALSE(ownership.update("other", "self", since, s_now + 1s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s));
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -30,27 +30,27 @@
     return placementRequest;
 }
 
-constexpr UpstreamStatement restOfThreeSeconds { false, 3s };
+constexpr UpstreamStatement cooldownOfThreeSeconds { false, 3s };
 constexpr UpstreamStatement leaving { true, std::nullopt };
 
 } // namespace
 
-TEST(RegistryStatementsTest, AnUpstreamThatRestsIsNotChosenAlsoWhenNoOtherIsLeft)
+TEST(RegistryStatementsTest, AnUpstreamInCooldownIsNeverChosen)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
-    registry.recordStatement(upstream("u1"), restOfThreeSeconds, s_now);
+    registry.recordStatement(upstream("u1"), cooldownOfThreeSeconds, s_now);
     for (int draw = 0; draw < 50; ++draw)
         EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, "u2");
     registry.recordStatement(upstream("u2"), { false, 1s }, s_now);
     EXPECT_FALSE(registry.choose(request(), s_now + 999ms));
-    EXPECT_EQ(registry.firstReturn(request(), s_now), s_now + 1s);
-    EXPECT_EQ(registry.restingCount(s_now), 2U);
+    EXPECT_EQ(registry.earliestCooldownEnd(request(), s_now), s_now + 1s);
+    EXPECT_EQ(registry.cooldownCount(s_now), 2U);
     EXPECT_EQ(registry.choose(request(), s_now + 1s)->upstream.id, "u2");
 }
 
 // An ejection is this router's guess and gives way; what the other one has asked for does not.
-TEST(RegistryStatementsTest, AnEjectedUpstreamGoesBeforeOneThatRests)
+TEST(RegistryStatementsTest, AnEjectedUpstreamIsPreferredToOneInCooldown)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1"), upstream("u2") });
@@ -60,14 +60,14 @@
     auto ejected = placement.upstream.id;
     auto other = upstream(ejected == "u1" ? "u2" : "u1");
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, other.id);
-    registry.recordStatement(other, restOfThreeSeconds, s_now);
+    registry.recordStatement(other, cooldownOfThreeSeconds, s_now);
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, ejected);
 }
 
 // Its entry lapses and comes back, or comes again as ready: the same process has the same rest.
-TEST(RegistryStatementsTest, NoListTakesBackWhatAnUpstreamStated)
+TEST(RegistryStatementsTest, NoListOverridesAStatement)
 {
-    for (const auto& statement : { restOfThreeSeconds, leaving }) {
+    for (const auto& statement : { cooldownOfThreeSeconds, leaving }) {
         UpstreamRegistry registry("north");
         registry.setUpstreams({ upstream("u1", 1000) });
         registry.recordStatement(upstream("u1", 1000), statement, s_now);
@@ -83,19 +83,19 @@
 }
 
 // It is chosen, and asks for rest before the request is sent: while the connection is made, or another attempt waits.
-TEST(RegistryStatementsTest, AChosenUpstreamMayAskForRestBeforeTheRequestIsSent)
+TEST(RegistryStatementsTest, ACooldownThatStartsAfterTheChoiceRevokesThePermit)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
     auto placement = *registry.choose(request(), s_now);
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now));
-    registry.recordStatement(upstream("u1"), restOfThreeSeconds, s_now);
+    registry.recordStatement(upstream("u1"), cooldownOfThreeSeconds, s_now);
     EXPECT_FALSE(registry.permitSend(placement.upstream, s_now + 2999ms));
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now + 3s));
 }
 
 // Peers compare lists by their digest: what an upstream stated to one router must not make it send its list on and on.
-TEST(RegistryStatementsTest, WhatAnUpstreamStatedChangesNoList)
+TEST(RegistryStatementsTest, AStatementDoesNotChangeTheDigest)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
@@ -110,7 +110,7 @@
 {
     bool holds = rc::check("statements hold", [] {
         UpstreamRegistry registry("north");
-        std::map<std::string, Common::TimePoint> restEnds;
+        std::map<std::string, Common::TimePoint> cooldownEnds;
         std::map<std::string, bool> leaves;
         std::vector<std::string> ids { "u1", "u2", "u3" };
         auto listAll = [&] { registry.setUpstreams({ upstream("u1"), upstream("u2"), upstream("u3") }); };
@@ -123,7 +123,7 @@
             case 0: {
                 auto time = Common::Milliseconds(*rc::gen::inRange(0, 2000));
                 registry.recordStatement(upstream(id), { false, time }, now);
-                restEnds[id] = std::max(restEnds[id], now + time);
+                cooldownEnds[id] = std::max(cooldownEnds[id], now + time);
                 break;
             }
             case 1:
@@ -140,17 +140,17 @@
                 break;
             default:
                 if (auto placement = registry.choose(request(), now)) {
-                    RC_ASSERT(now >= restEnds[placement->upstream.id]);
+                    RC_ASSERT(now >= cooldownEnds[placement->upstream.id]);
                     RC_ASSERT(!leaves[placement->upstream.id]);
                     registry.recordStart(*placement);
                     auto outcome = *rc::gen::element(AttemptOutcome::Answered, AttemptOutcome::NotExecuted,
-                        AttemptOutcome::BrokenOff, AttemptOutcome::ConnectFailed, AttemptOutcome::Withheld);
+                        AttemptOutcome::Interrupted, AttemptOutcome::ConnectFailed, AttemptOutcome::Withheld);
                     registry.recordEnd(*placement, false, outcome, now);
                 }
             }
             for (const auto& each : ids)
-                RC_ASSERT(
-                    registry.permitSend(upstream(each), now).has_value() == (now >= restEnds[each] && !leaves[each]));
+                RC_ASSERT(registry.permitSend(upstream(each), now).has_value()
+                    == (now >= cooldownEnds[each] && !leaves[each]));
         }
     });
     EXPECT_TRUE(holds);
