--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -149,9 +149,9 @@
     if (isPastDeadline())
         return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired, "out of time" };
     // The lease is read first: a table that is read after it is at least as new as what the lease stands for.
-    bool keysAreConfirmed = areKeysConfirmed();
+    bool isKeyLeaseValid = areKeysConfirmed();
     auto inForce = m_services.watcher.configuration();
-    return Routing::refusalOfKey(inForce->table, m_workspace, key(), keysAreConfirmed);
+    return Routing::revalidateKey(inForce->table, m_workspace, key(), isKeyLeaseValid);
 }
 
 Routing::UpstreamRegistry::PlacementRequest RequestHandler::placementRequest() const
--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -9,7 +9,7 @@
 
 static std::string_view withoutPort(std::string_view host) { return host.substr(0, host.find(':')); }
 
-static Refusal unconfirmedKeys() { return { ErrorKind::PlatformUnavailable, "keys were not confirmed recently" }; }
+static Refusal staleKeysRefusal() { return { ErrorKind::PlatformUnavailable, "keys were not confirmed recently" }; }
 
 Admission admit(const RouterState& state, const RequestTarget& target)
 {
@@ -18,7 +18,7 @@
         admission.refusal = Refusal { ErrorKind::Draining, "this instance is stopping" };
         return admission;
     }
-    if (!state.table || !state.knowsUpstreams) {
+    if (!state.table || !state.hasUpstreamList) {
         admission.refusal = Refusal { ErrorKind::NotReady, "no configuration yet" };
         return admission;
     }
@@ -29,8 +29,8 @@
     }
     if (admission.route->anonymous || !state.table->requiresKeys())
         return admission;
-    if (!state.keysAreConfirmed) {
-        admission.refusal = unconfirmedKeys();
+    if (!state.isKeyLeaseValid) {
+        admission.refusal = staleKeysRefusal();
         return admission;
     }
     admission.workspace = state.table->workspaceOfKey(target.key);
@@ -39,15 +39,15 @@
     return admission;
 }
 
-std::optional<Refusal> refusalOfKey(
-    const RouteTable& inForce, const Workspace* admittedFor, std::string_view key, bool keysAreConfirmed)
+std::optional<Refusal> revalidateKey(
+    const RouteTable& inForce, const Workspace* admittedWorkspace, std::string_view key, bool isKeyLeaseValid)
 {
-    if (!admittedFor)
+    if (!admittedWorkspace)
         return std::nullopt;
-    if (!keysAreConfirmed)
-        return unconfirmedKeys();
+    if (!isKeyLeaseValid)
+        return staleKeysRefusal();
     const auto* holder = inForce.workspaceOfKey(key);
-    if (holder && holder->name == admittedFor->name)
+    if (holder && holder->name == admittedWorkspace->name)
         return std::nullopt;
     // The caller would be admitted if it came now, so it may come again.
     if (holder || !inForce.requiresKeys())
--- a/Source/RouteServing/Routing/Admission.h
+++ b/Source/RouteServing/Routing/Admission.h
@@ -23,8 +23,8 @@
 struct RouterState {
     bool isStopping { false }; // Late in a planned stop: nothing new is begun.
     const RouteTable* table { nullptr }; // Null until a configuration is known.
-    bool knowsUpstreams { false };
-    bool keysAreConfirmed { false }; // The lease of FreshnessLease.h holds.
+    bool hasUpstreamList { false };
+    bool isKeyLeaseValid { false }; // The lease of FreshnessLease.h holds.
 };
 
 struct RequestTarget {
@@ -44,12 +44,12 @@
 
 // Why the key that a request was admitted with may not be used for an attempt now; none when it may. A key may be
 // withdrawn at any time, also while an attempt runs, so it is judged by the table in force, and only while the lease
-// holds. `admittedFor`: the workspace at admission; null when no key was needed, which stays so.
+// holds. `admittedWorkspace`: the workspace at admission; null when no key was needed, which stays so.
 //
 // Only the key is judged again. The route is that of the admission: a request that was admitted is served to its end
 // also when its route is dropped or changed meanwhile.
-std::optional<Refusal> refusalOfKey(
-    const RouteTable& inForce, const Workspace* admittedFor, std::string_view key, bool keysAreConfirmed);
+std::optional<Refusal> revalidateKey(
+    const RouteTable& inForce, const Workspace* admittedWorkspace, std::string_view key, bool isKeyLeaseValid);
 
 // How long a request may be held: the route's timeout, or less when its caller waits for less.
 Common::Milliseconds requestTimeout(const Route&, std::optional<Common::Milliseconds> callerTimeout);
--- a/Source/RouteServing/Routing/DrainSchedule.h
+++ b/Source/RouteServing/Routing/DrainSchedule.h
@@ -10,7 +10,7 @@
 
 // The balancer asks for readiness once a second and removes an instance after two misses (PROTOCOL, "Ingress"); half a
 // second is left for the answer. Until then new connections still arrive, so requests are still served.
-inline constexpr Common::Milliseconds balancerNotice { 2500 };
+inline constexpr Common::Milliseconds balancerRemovalDelay { 2500 };
 // What is still in flight this long before the platform kills the process is given up, to leave time for the last log
 // lines. Chosen, not measured.
 inline constexpr Common::Milliseconds killMargin { 250 };
@@ -23,7 +23,8 @@
     // for the balancer, at most a quarter is the margin.
     static DrainSchedule within(Common::TimePoint started, Common::Milliseconds grace)
     {
-        return { started + std::min(balancerNotice, grace / 2), started + grace - std::min(killMargin, grace / 4) };
+        return { started + std::min(balancerRemovalDelay, grace / 2),
+            started + grace - std::min(killMargin, grace / 4) };
     }
 };
 
--- a/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
@@ -67,14 +67,14 @@
 {
     auto table = tableWithKeys();
     const auto* workspace = table.workspaceOfKey("key");
-    auto refusal = refusalOfKey(table, workspace, "key", false);
+    auto refusal = revalidateKey(table, workspace, "key", false);
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->kind, ErrorKind::PlatformUnavailable);
-    EXPECT_FALSE(refusalOfKey(table, workspace, "key", true));
-    EXPECT_FALSE(refusalOfKey(table, admit({ false, &table, true, false }, { "h", "/o/", "" }).workspace, "", false))
+    EXPECT_FALSE(revalidateKey(table, workspace, "key", true));
+    EXPECT_FALSE(revalidateKey(table, admit({ false, &table, true, false }, { "h", "/o/", "" }).workspace, "", false))
         << "anonymous route";
     auto withoutWorkspaces = RouteTable::Builder().build();
-    EXPECT_FALSE(refusalOfKey(withoutWorkspaces, nullptr, "", false));
+    EXPECT_FALSE(revalidateKey(withoutWorkspaces, nullptr, "", false));
 }
 
 // The request was admitted for workspace "w" by its key "key"; then another table came into force.
@@ -96,9 +96,9 @@
              { table("v", "key"), ErrorKind::PlatformUnavailable },
              { RouteTable::Builder().build(), ErrorKind::PlatformUnavailable },
          }) {
-        auto refusal = refusalOfKey(inForce, workspace, "key", true);
+        auto refusal = revalidateKey(inForce, workspace, "key", true);
         EXPECT_EQ(refusal ? std::optional(refusal->kind) : std::nullopt, expected);
-        EXPECT_FALSE(refusalOfKey(inForce, nullptr, "", true)) << "admitted without a key";
+        EXPECT_FALSE(revalidateKey(inForce, nullptr, "", true)) << "admitted without a key";
     }
 }
 
