--- a/Source/RouteServing/Routing/DecodeReservation.cpp
+++ b/Source/RouteServing/Routing/DecodeReservation.cpp
@@ -12,33 +12,33 @@
 static constexpr double decodeShareOfBatch = 0.5;
 // The share that they use while prompts do not, or where all of them would need more than half of the engines. Half at
 // all times left 1,250 long responses late in a burst on 90 engines (docs/DESIGN.md, trials).
-static constexpr double fullDecodeShareOfBatch = 0.9;
+static constexpr double maxDecodeShareOfBatch = 0.9;
 // Engines are reserved for this many times the known decode-heavy generations, because new ones begin before reports of
 // them arrive. Chosen, not measured.
 static constexpr double decodeHeadroom = 1.25;
 // For how long the largest need counts, and a late prompt. Chosen, not measured: a few times the 0.1 s of load reports,
 // and about as long as a long response takes.
-static constexpr Common::Milliseconds memory = 3000ms;
+static constexpr Common::Milliseconds peakHoldTime = 3000ms;
 
-size_t RecentlyNeeded::update(size_t needed, Common::TimePoint now)
+size_t PeakHold::update(size_t needed, Common::TimePoint now)
 {
-    if (needed >= m_needed || now - m_at >= memory) {
-        m_needed = needed;
+    if (needed >= m_peak || now - m_at >= peakHoldTime) {
+        m_peak = needed;
         m_at = now;
     }
-    return m_needed;
+    return m_peak;
 }
 
-static size_t enginesAt(double share, double generations, unsigned batch)
+static size_t enginesForBatchShare(double share, double generations, unsigned batch)
 {
     if (generations <= 0)
         return 0;
     return 1 + static_cast<size_t>(generations * decodeHeadroom / std::max(1.0, batch * share));
 }
 
-bool DecodeReservation::isPressed(Common::TimePoint now) const
+bool DecodeReservation::hadLatePrefill(Common::TimePoint now) const
 {
-    return m_latePrefillAt && now - *m_latePrefillAt < memory;
+    return m_lastLatePrefill && now - *m_lastLatePrefill < peakHoldTime;
 }
 
 size_t DecodeReservation::enginesNeeded(std::span<const EngineState> engines, unsigned batch, Common::TimePoint now)
@@ -46,9 +46,10 @@
     double generations = 0;
     for (const auto& engine : engines)
         generations += engine.decodeHeavy;
-    auto atHalf = m_atHalfBatch.update(enginesAt(decodeShareOfBatch, generations, batch), now);
-    auto atNearlyFull = m_atNearlyFullBatch.update(enginesAt(fullDecodeShareOfBatch, generations, batch), now);
-    if (isPressed(now))
+    auto atHalf = m_atHalfBatch.update(enginesForBatchShare(decodeShareOfBatch, generations, batch), now);
+    auto atNearlyFull
+        = m_atNearlyFullBatch.update(enginesForBatchShare(maxDecodeShareOfBatch, generations, batch), now);
+    if (hadLatePrefill(now))
         return std::min(atNearlyFull, engines.size());
     // Nearly full batches before any engine beyond half of them.
     auto withinHalf = std::min(atHalf, engines.size() / 2);
--- a/Source/RouteServing/Routing/DecodeReservation.h
+++ b/Source/RouteServing/Routing/DecodeReservation.h
@@ -11,12 +11,12 @@
 
 // A number of engines that was needed lately: the largest of the last seconds, so that engines are not given away in a
 // short lull.
-class RecentlyNeeded {
+class PeakHold {
 public:
     size_t update(size_t needed, Common::TimePoint now);
 
 private:
-    size_t m_needed { 0 };
+    size_t m_peak { 0 };
     Common::TimePoint m_at {};
 };
 
@@ -31,7 +31,7 @@
 class DecodeReservation {
 public:
     // A prefill-heavy generation cannot begin in time on the engines that are left to it.
-    void recordLatePrefill(Common::TimePoint now) { m_latePrefillAt = now; }
+    void recordLatePrefill(Common::TimePoint now) { m_lastLatePrefill = now; }
 
     // How many engines decode-heavy generations need now. `batch`: requests that one engine runs at once.
     size_t enginesNeeded(std::span<const EngineState>, unsigned batch, Common::TimePoint now);
@@ -39,11 +39,11 @@
     void recordDecodeHeavy(Common::TimePoint now);
 
 private:
-    bool isPressed(Common::TimePoint now) const;
+    bool hadLatePrefill(Common::TimePoint now) const;
 
-    RecentlyNeeded m_atHalfBatch;
-    RecentlyNeeded m_atNearlyFullBatch;
-    std::optional<Common::TimePoint> m_latePrefillAt;
+    PeakHold m_atHalfBatch;
+    PeakHold m_atNearlyFullBatch;
+    std::optional<Common::TimePoint> m_lastLatePrefill;
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -14,7 +14,7 @@
 static constexpr uint64_t prefillTokensPerDecodedToken = 10;
 // What one running request costs a new prompt, in prefill tokens: it lengthens each step of the batch a little. Chosen,
 // not measured.
-static constexpr double prefillTokensPerRunning = 30;
+static constexpr double prefillTokensPerRunningRequest = 30;
 // A shared prefix that is prefilled again costs this many times its tokens: it delays the prefills behind it and evicts
 // another cached prefix. Measured on the grown scale-1: worth 0.667 with 4, 0.789 with 10, 0.802 with 30
 // (docs/DESIGN.md, trials).
@@ -27,7 +27,7 @@
     return prompt.maxOutputTokens * prefillTokensPerDecodedToken >= prompt.tokens;
 }
 
-static std::vector<size_t> fixedOrder(std::span<const EngineState> engines)
+static std::vector<size_t> orderByIdHash(std::span<const EngineState> engines)
 {
     std::vector<size_t> order(engines.size());
     std::iota(order.begin(), order.end(), 0);
@@ -90,7 +90,7 @@
         double repeated = isCached ? 0 : shared;
         double prefill = prompt.tokens - shared + repeated;
         double cost = prefill + repeated * (repeatedPrefillFactor - 1) + engine.prefillTokens
-            + prefillTokensPerRunning * engine.running;
+            + prefillTokensPerRunningRequest * engine.running;
         if (engine.isOutlier)
             cost *= outlierCostFactor;
         if (cost < bestCost) {
@@ -120,15 +120,15 @@
 {
     if (engines.empty())
         return std::nullopt;
-    auto order = fixedOrder(engines);
+    auto order = orderByIdHash(engines);
     auto needed = m_reservation.enginesNeeded(engines, limits.batch, now);
     bool decodes = isDecodeHeavy(prompt);
     // Prefill-heavy generations always have at least half of the engines.
     auto result = decodes
         ? placeDecodeHeavy(prompt, engines, std::span(order).first(std::max<size_t>(1, needed)), now)
         : pickPrefillEngine(prompt, engines, std::span(order).subspan(std::min(needed, engines.size() / 2)), limits);
-    auto awaitedTokens = static_cast<double>(result.queuedPrefillTokens + result.prefillTokens);
-    result.expectedFirstEvent = engines[result.index].firstEvent.after(awaitedTokens);
+    auto tokensBeforeFirstEvent = static_cast<double>(result.queuedPrefillTokens + result.prefillTokens);
+    result.expectedFirstEvent = engines[result.index].firstEvent.delayFor(tokensBeforeFirstEvent);
     if (!decodes && now + result.expectedFirstEvent > due) {
         result.punctuality = Punctuality::Late;
         m_reservation.recordLatePrefill(now);
--- a/Source/RouteServing/Routing/FirstEventEstimate.cpp
+++ b/Source/RouteServing/Routing/FirstEventEstimate.cpp
@@ -11,12 +11,12 @@
 static constexpr double halfLifeSeconds = 5.0;
 // What all engines of the service showed counts as this many observations of the engine. 5 and 20 served as well
 // (worth 0.696 and 0.694, mean of 20 days).
-static constexpr double serviceWeight = 5.0;
+static constexpr double serviceWeightObservations = 5.0;
 // Below this share of the spread that its terms could have, the slope is noise: all observations had nearly the same
 // number of tokens. Chosen, not measured.
-static constexpr double leastSpread = 1e-6;
+static constexpr double minSpreadRatio = 1e-6;
 
-Common::Milliseconds FirstEventEstimate::after(double tokens) const
+Common::Milliseconds FirstEventEstimate::delayFor(double tokens) const
 {
     return Common::Milliseconds(std::llround(baseMilliseconds + millisecondsPerToken * tokens));
 }
@@ -49,14 +49,14 @@
 {
     auto sums = sumsAt(now);
     if (auto shared = service.sumsAt(now); shared.count > 0)
-        sums.add(shared, serviceWeight / shared.count);
+        sums.add(shared, serviceWeightObservations / shared.count);
     if (sums.count <= 0 || sums.tokens <= 0)
         return {};
     // Without a base all of the time would go to the tokens: the slope can't be steeper.
     double steepest = sums.milliseconds / sums.tokens;
     double spread = sums.count * sums.tokensSquared - sums.tokens * sums.tokens;
     double slope = steepest;
-    if (spread > leastSpread * sums.count * sums.tokensSquared)
+    if (spread > minSpreadRatio * sums.count * sums.tokensSquared)
         slope = (sums.count * sums.tokensTimesMilliseconds - sums.tokens * sums.milliseconds) / spread;
     slope = std::clamp(slope, 0.0, steepest);
     return { (sums.milliseconds - slope * sums.tokens) / sums.count, slope };
--- a/Source/RouteServing/Routing/FirstEventEstimate.h
+++ b/Source/RouteServing/Routing/FirstEventEstimate.h
@@ -13,7 +13,7 @@
     double millisecondsPerToken { 0 };
 
     // Zero while nothing is known.
-    Common::Milliseconds after(double tokens) const;
+    Common::Milliseconds delayFor(double tokens) const;
 };
 
 // The observations of one engine, or of all engines of a service. Old ones are forgotten by halves, because an engine's
--- a/Source/RouteServing/Routing/PlainPlacement.cpp
+++ b/Source/RouteServing/Routing/PlainPlacement.cpp
@@ -31,7 +31,7 @@
     double bestCost = std::numeric_limits<double>::max();
     for (size_t index = 0; index < candidates.size(); ++index) {
         double cost = baseCost(candidates[index]);
-        if (candidates[index].errorRate - lowestErrorRate > outlierExcess)
+        if (candidates[index].errorRate - lowestErrorRate > outlierErrorRateExcess)
             cost *= outlierCostFactor;
         cost *= 1 + jitterShare * random();
         if (cost < bestCost) {
--- a/Source/RouteServing/Routing/PlainPlacement.h
+++ b/Source/RouteServing/Routing/PlainPlacement.h
@@ -22,6 +22,6 @@
 
 // An upstream whose error rate exceeds the lowest of its service by more than this is an outlier. Smaller differences
 // may be chance: one failed attempt alone moves the rate by 0.15. Chosen, not measured.
-inline constexpr double outlierExcess = 0.25;
+inline constexpr double outlierErrorRateExcess = 0.25;
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -284,7 +284,7 @@
     engine.decodeHeavy = entry.own.decodeHeavy + peers.decodeHeavy;
     engine.prefillTokens = static_cast<double>(entry.own.prefillTokens + peers.prefillTokens);
     engine.firstEvent = firstEventEstimate(entry, now);
-    engine.isOutlier = entry.health.errorRate(now) - lowestErrorRate > outlierExcess;
+    engine.isOutlier = entry.health.errorRate(now) - lowestErrorRate > outlierErrorRateExcess;
     return engine;
 }
 
--- a/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
@@ -26,30 +26,30 @@
 
 TEST(FirstEventEstimateTest, WithoutObservationsNothingIsExpectedToWait)
 {
-    EXPECT_EQ(FirstEventObservations().estimate({}, s_now).after(50'000), 0ms);
+    EXPECT_EQ(FirstEventObservations().estimate({}, s_now).delayFor(50'000), 0ms);
 }
 
 TEST(FirstEventEstimateTest, BaseAndTimeForATokenAreToldApart)
 {
     auto estimate = engine(1, { 1000, 4000, 9000 }).estimate({}, s_now);
     EXPECT_NEAR(estimate.baseMilliseconds, 100, 1);
-    EXPECT_EQ(estimate.after(20'000), 2100ms);
+    EXPECT_EQ(estimate.delayFor(20'000), 2100ms);
 }
 
 // A line through one number of tokens has no slope; without a base it would promise less than what was seen.
 TEST(FirstEventEstimateTest, ObservationsOfOneNumberOfTokensAreTakenInProportion)
 {
     auto estimate = engine(1, { 5000, 5000, 5000 }).estimate({}, s_now);
-    EXPECT_EQ(estimate.after(5000), 600ms);
-    EXPECT_EQ(estimate.after(10'000), 1200ms);
+    EXPECT_EQ(estimate.delayFor(5000), 600ms);
+    EXPECT_EQ(estimate.delayFor(10'000), 1200ms);
 }
 
 TEST(FirstEventEstimateTest, AnEngineThatIsNotKnownIsJudgedByItsService)
 {
     auto service = engine(1, { 1000, 4000, 9000 });
-    EXPECT_EQ(FirstEventObservations().estimate(service, s_now).after(20'000), 2100ms);
+    EXPECT_EQ(FirstEventObservations().estimate(service, s_now).delayFor(20'000), 2100ms);
     auto slow = engine(5, { 1000, 4000, 9000, 1000, 4000, 9000, 1000, 4000, 9000, 1000, 4000, 9000 });
-    auto mixed = slow.estimate(service, s_now).after(20'000);
+    auto mixed = slow.estimate(service, s_now).delayFor(20'000);
     EXPECT_GT(mixed, 6000ms) << "its own observations outweigh the service's";
     EXPECT_LT(mixed, 10'100ms);
 }
@@ -59,7 +59,7 @@
     auto observations = engine(1, { 1000, 4000, 9000, 1000, 4000, 9000 });
     for (int each : { 1000, 4000, 9000 })
         observations.record(each, 100ms + Common::Milliseconds(each), s_now + 20s);
-    EXPECT_GT(observations.estimate({}, s_now + 20s).after(9000), 7000ms);
+    EXPECT_GT(observations.estimate({}, s_now + 20s).delayFor(9000), 7000ms);
 }
 
 TEST(FirstEventEstimateTest, TimeNeverFallsWithMoreTokens)
@@ -68,7 +68,7 @@
     observations.record(1000, 900ms, s_now);
     observations.record(9000, 100ms, s_now);
     auto estimate = observations.estimate({}, s_now);
-    EXPECT_GE(estimate.after(9000), estimate.after(1000));
+    EXPECT_GE(estimate.delayFor(9000), estimate.delayFor(1000));
 }
 
 } // namespace Brassladder::RouteServing::Routing
