--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -120,16 +120,16 @@
     return locked([](const auto& member) { return member.readsStore(); });
 }
 
-bool PeerExchange::isCutOff() const
+bool PeerExchange::isPartitioned() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.isCutOff(Common::now());
+    return m_contact.isPartitioned(Common::now());
 }
 
-double PeerExchange::unheardFactor() const
+double PeerExchange::unreachableLoadFactor() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.unheardFactor(Common::now());
+    return m_contact.unreachableLoadFactor(Common::now());
 }
 
 std::optional<size_t> PeerExchange::fleetSize() const
@@ -170,18 +170,18 @@
 {
     std::optional<Routing::FleetMember::Target> target;
     auto now = Common::now();
-    double heardShare = 1;
+    double reachableShare = 1;
     {
         std::lock_guard lock(m_mutex);
         target = updateTarget();
         m_contact.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
-        heardShare = m_contact.heardShare(now);
+        reachableShare = m_contact.reachableShare(now);
         m_parts.registry.setPeerLoads(m_loads.ofOthers(now));
     }
     if (target->seed)
         return requestRoster(target->seed->id);
     if (target->ranking.isHub())
-        m_quotas.stepAsHub(target->ranking.otherHubs(), heardShare, now);
+        m_quotas.stepAsHub(target->ranking.otherHubs(), reachableShare, now);
     else
         m_quotas.stepAsSubscriber(now);
     if (target->ranking.isHub())
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -8,7 +8,7 @@
 #include "RouteServing/Gateway/SnapshotBuilder.h"
 #include "RouteServing/Gateway/SuspectExchange.h"
 #include "RouteServing/Gateway/UsageExchange.h"
-#include "RouteServing/Routing/FleetContact.h"
+#include "RouteServing/Routing/FleetConnectivity.h"
 #include "RouteServing/Routing/FleetMember.h"
 #include "RouteServing/Routing/PeerLoads.h"
 #include "RouteServing/Routing/UpstreamRegistry.h"
@@ -55,9 +55,9 @@
     // Part of a planned stop: subscribers are told to request snapshots elsewhere.
     void leave() { m_snapshots.leave(); }
     // Whether this router hears of too few others to do duties for the fleet.
-    bool isCutOff() const;
-    // See Routing/FleetContact.h.
-    double unheardFactor() const;
+    bool isPartitioned() const;
+    // See Routing/FleetConnectivity.h.
+    double unreachableLoadFactor() const;
     // The router that holds the fleet's duties, empty when none is known; must be set before the exchange.
     void setDutyHolder(std::function<std::string()> holder) { m_dutyHolder = std::move(holder); }
 
@@ -109,7 +109,7 @@
     mutable std::mutex m_mutex; // Guards the next two.
     Routing::FleetMember m_member;
     Routing::PeerLoads m_loads;
-    Routing::FleetContact m_contact; // Guarded by m_mutex as well.
+    Routing::FleetConnectivity m_contact; // Guarded by m_mutex as well.
     std::optional<SuspectExchange> m_suspects;
     QuotaExchange m_quotas;
     std::function<std::string()> m_dutyHolder { [] { return std::string(); } };
--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -49,7 +49,7 @@
         [&](const auto& a, const auto& b) { return Common::stableHash(a, key) < Common::stableHash(b, key); });
 }
 
-void QuotaExchange::stepAsHub(std::span<const std::string> hubs, double heardShare, Common::TimePoint now)
+void QuotaExchange::stepAsHub(std::span<const std::string> hubs, double reachableShare, Common::TimePoint now)
 {
     m_quotas.forgetOld(now);
     std::lock_guard lock(m_mutex);
@@ -62,11 +62,11 @@
     });
     for (const auto& each : known) {
         if (each.limit.isInForce())
-            stepAsHub(each, heardShare, now);
+            stepAsHub(each, reachableShare, now);
     }
 }
 
-void QuotaExchange::stepAsHub(const SendQuotas::Known& known, double heardShare, Common::TimePoint now)
+void QuotaExchange::stepAsHub(const SendQuotas::Known& known, double reachableShare, Common::TimePoint now)
 {
     auto& atHub = m_atHub[known.key];
     atHub.owner = ownerOf(known.key);
@@ -75,19 +75,19 @@
     own.incarnation = m_incarnation;
     atHub.routers.record(m_self, { m_incarnation, known.wanted, own.counts[known.key] }, now);
     if (assigns)
-        assignOwn(atHub, known.limit, heardShare, now);
+        assignOwn(atHub, known.limit, reachableShare, now);
     passOn(known.key, atHub, now);
 }
 
 // Gives out what the limit allows to the hubs that ask; this hub asks itself.
 void QuotaExchange::assignOwn(
-    AtHub& atHub, const Routing::UpstreamLimit& limit, double heardShare, Common::TimePoint now)
+    AtHub& atHub, const Routing::UpstreamLimit& limit, double reachableShare, Common::TimePoint now)
 {
     auto wanted = atHub.routers.wanted(now);
     auto inPool = atHub.pool.size(now);
     auto before = atHub.hubs.granted(m_self, m_incarnation);
     atHub.hubs.record(m_self, { m_incarnation, wanted - std::min(wanted, inPool), before }, now);
-    atHub.source.refill(limit.requestsPerSecond, heardShare, now);
+    atHub.source.refill(limit.requestsPerSecond, reachableShare, now);
     atHub.source.spend(atHub.hubs.assign(atHub.source.available(), now));
     atHub.pool.add(static_cast<unsigned>(atHub.hubs.granted(m_self, m_incarnation) - before), now);
 }
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -28,9 +28,9 @@
     }
 
     // A hub assigns the limits that are its own, and divides what it was given among itself and its subscribers; called
-    // at each step of the exchange. `hubs`: the other hubs. `heardShare`: of the routers of this fleet, how many this
-    // one hears, in [0, 1]: parts of a fleet that is cut in two use no more of a limit than their share.
-    void stepAsHub(std::span<const std::string> hubs, double heardShare, Common::TimePoint now);
+    // at each step of the exchange. `hubs`: the other hubs. `reachableShare`: of the routers of this fleet, how many
+    // this one hears, in [0, 1]: parts of a fleet that is cut in two use no more of a limit than their share.
+    void stepAsHub(std::span<const std::string> hubs, double reachableShare, Common::TimePoint now);
     void stepAsSubscriber(Common::TimePoint now);
 
     // To a hub, what this router could use; to a subscriber, what it was allowed; between hubs, both.
@@ -68,8 +68,8 @@
     bool hasRows() const { return m_quotas.isActive(); }
     void updateHubs(std::span<const std::string> hubs, Common::TimePoint now);
     std::string_view ownerOf(Key) const;
-    void stepAsHub(const Routing::SendQuotas::Known&, double heardShare, Common::TimePoint now);
-    void assignOwn(AtHub&, const Routing::UpstreamLimit&, double heardShare, Common::TimePoint now);
+    void stepAsHub(const Routing::SendQuotas::Known&, double reachableShare, Common::TimePoint now);
+    void assignOwn(AtHub&, const Routing::UpstreamLimit&, double reachableShare, Common::TimePoint now);
     void passOn(Key, AtHub&, Common::TimePoint now);
     // Whether this router was not at work lately: what was given to it meanwhile may be too old.
     bool wasPaused(Common::TimePoint now) const;
--- a/Source/RouteServing/Routing/FleetContact.cpp
+++ b/Source/RouteServing/Routing/FleetConnectivity.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Routing/FleetContact.h"
+#include "RouteServing/Routing/FleetConnectivity.h"
 
 #include <algorithm>
 
@@ -9,36 +9,36 @@
 
 // What was heard counts for so long: longer than the users' sheets cut routers off (up to 12 s). After it, a fleet that
 // lost half of its routers goes on with the rest. Chosen, not measured.
-static constexpr Common::Milliseconds memory = 15'000ms;
+static constexpr Common::Milliseconds peakRetention = 15'000ms;
 
-void FleetContact::record(unsigned routers, Common::TimePoint now)
+void FleetConnectivity::record(unsigned routers, Common::TimePoint now)
 {
     m_routers = routers;
     while (!m_peaks.empty() && m_peaks.back().routers <= routers)
         m_peaks.pop_back();
     m_peaks.push_back({ now, routers });
-    while (now - m_peaks.front().at > memory)
+    while (now - m_peaks.front().at > peakRetention)
         m_peaks.pop_front();
 }
 
-bool FleetContact::isCutOff(Common::TimePoint now) const
+bool FleetConnectivity::isPartitioned(Common::TimePoint now) const
 {
-    if (m_peaks.empty() || now - m_peaks.front().at > memory)
+    if (m_peaks.empty() || now - m_peaks.front().at > peakRetention)
         return false;
     return 2 * m_routers < m_peaks.front().routers;
 }
 
-double FleetContact::heardShare(Common::TimePoint now) const
+double FleetConnectivity::reachableShare(Common::TimePoint now) const
 {
-    if (m_peaks.empty() || now - m_peaks.front().at > memory)
+    if (m_peaks.empty() || now - m_peaks.front().at > peakRetention)
         return 1;
     return (1.0 + m_routers) / (1.0 + m_peaks.front().routers);
 }
 
-double FleetContact::unheardFactor(Common::TimePoint now) const
+double FleetConnectivity::unreachableLoadFactor(Common::TimePoint now) const
 {
     constexpr double most = 2;
-    return std::min(most, 1 / heardShare(now));
+    return std::min(most, 1 / reachableShare(now));
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/FleetContact.h
+++ b/Source/RouteServing/Routing/FleetConnectivity.h
@@ -10,16 +10,16 @@
 // Whether a router still hears of most of its fleet. One that is cut off does not know what the others served, so it
 // should not do duties for all of them. Compared with what it heard itself a while ago, since the roster also lists
 // routers that ended for good. Not safe for several threads.
-class FleetContact {
+class FleetConnectivity {
 public:
     // Other routers whose load is known now.
     void record(unsigned routers, Common::TimePoint now);
-    bool isCutOff(Common::TimePoint now) const;
+    bool isPartitioned(Common::TimePoint now) const;
     // Routers that are heard now over those that were heard at most lately, this one counted in both.
-    double heardShare(Common::TimePoint now) const;
+    double reachableShare(Common::TimePoint now) const;
     // Routers that were heard at most lately over those that are heard now, this one counted in both: the load of the
     // others is not gone. At most two.
-    double unheardFactor(Common::TimePoint now) const;
+    double unreachableLoadFactor(Common::TimePoint now) const;
 
 private:
     struct Sample {
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -122,7 +122,7 @@
     return { others, { m_routers[index].id } };
 }
 
-double QuotaFleet::heardShare(size_t index) const
+double QuotaFleet::reachableShare(size_t index) const
 {
     double heard = 0;
     for (size_t other = 0; other < m_routers.size(); ++other)
@@ -160,7 +160,7 @@
         });
         return;
     }
-    router.exchange->stepAsHub(ranking.otherHubs(), heardShare(index), m_now);
+    router.exchange->stepAsHub(ranking.otherHubs(), reachableShare(index), m_now);
     for (const auto& id : ranking.otherHubs()) {
         auto hub = indexOf(id);
         Inner::Wire::HubLoads loads;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
@@ -87,7 +87,7 @@
     bool isConnected(size_t a, size_t b) const;
     bool isAlive(size_t router, size_t seenBy) const;
     Routing::HubRanking rankingOf(size_t router) const;
-    double heardShare(size_t router) const;
+    double reachableShare(size_t router) const;
     size_t indexOf(const std::string& id) const;
 
     Options m_options;
