--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -176,7 +176,7 @@
         target = updateTarget();
         m_contact.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
         reachableShare = m_contact.reachableShare(now);
-        m_parts.registry.setPeerLoads(m_loads.ofOthers(now));
+        m_parts.registry.setPeerLoads(m_loads.sumOfOthers(now));
     }
     if (target->seed)
         return requestRoster(target->seed->id);
@@ -235,7 +235,7 @@
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
         if (!asHub)
-            loads = m_loads.withSubscribers(std::move(loads), now, hub);
+            loads = m_loads.sumWithSubscribers(std::move(loads), now, hub);
         if (!stamp(hub, asHub, request))
             return;
     }
@@ -260,7 +260,7 @@
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
-        loads = m_loads.withSubscribers(std::move(loads), now);
+        loads = m_loads.sumWithSubscribers(std::move(loads), now);
         item.mutable_hub_loads()->set_routers(1 + m_loads.subscriberRouters(now));
     }
     encodeLoads(loads, *item.mutable_hub_loads()->mutable_loads());
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -53,7 +53,7 @@
     }
     dependency.recordFailure(*error);
     auto backoff = m_isStoreReader() ? m_intervals.backoffAfter(dependency.failures)
-                                     : m_intervals.ownBackoffAfter(dependency.failures);
+                                     : m_intervals.nonReaderBackoffAfter(dependency.failures);
     Common::sleepFor(Routing::jittered(backoff, Common::randomShare()));
     return true;
 }
--- a/Source/RouteServing/Gateway/SnapshotBuilder.cpp
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.cpp
@@ -39,7 +39,7 @@
     {
         std::lock_guard lock(m_parts.mutex);
         auto& state = m_parts.member.peers().state(peer);
-        if (!state.configuration.claim(version, now))
+        if (!state.configuration.beginSend(version, now))
             return;
         readsPacked = state.readsPacked;
     }
@@ -75,7 +75,7 @@
         return;
     {
         std::lock_guard lock(m_parts.mutex);
-        if (!m_parts.member.peers().state(peer).upstreams.claim(digest, now))
+        if (!m_parts.member.peers().state(peer).upstreams.beginSend(digest, now))
             return;
     }
     snapshot.set_has_upstreams(true);
@@ -112,7 +112,7 @@
         part.set_is_whole(recordSender(to, request, now));
         snapshot.set_store_unavailable(!m_parts.member.canReadStore(now));
         auto& peers = m_parts.member.peers();
-        auto after = peers.state(to.id).rosterSent.claim(known, peers.rosterRevision(), now);
+        auto after = peers.state(to.id).rosterSent.beginSend(known, peers.rosterRevision(), now);
         part.set_after(after);
         part.set_revision(peers.rosterRevision());
         entries = peers.rosterAfter(after);
@@ -132,7 +132,7 @@
         std::lock_guard lock(m_parts.mutex);
         auto now = Common::now();
         m_parts.loads.recordSubscriber(peer, decodeLoads(request.loads()), now);
-        loads = m_parts.loads.forSubscriber(peer, m_parts.registry.ownLoads(), now);
+        loads = m_parts.loads.sumForSubscriber(peer, m_parts.registry.ownLoads(), now);
         snapshot.set_routers(m_parts.loads.subscriberRouters(now) + m_parts.loads.hubRouters(now));
     }
     encodeLoads(loads, *snapshot.mutable_loads());
--- a/Source/RouteServing/Routing/HubBackoff.h
+++ b/Source/RouteServing/Routing/HubBackoff.h
@@ -12,18 +12,18 @@
 public:
     // Initial backoff before an unresponsive hub is asked again; doubles on each failure, up to 32 s. Chosen, not
     // measured: above the longest freeze from which instances usually come back.
-    static constexpr Common::Milliseconds initial { 2000 };
+    static constexpr Common::Milliseconds initialBackoff { 2000 };
     // 2 s x 2^4 is 32 s.
     static constexpr unsigned maxDoublings = 4;
 
     // It did not respond in time.
     void recordTimeout(Common::TimePoint now)
     {
-        m_ignoredUntil = now + initial * (1U << std::min(m_timeouts, maxDoublings));
+        m_ignoredUntil = now + initialBackoff * (1U << std::min(m_timeouts, maxDoublings));
         ++m_timeouts;
     }
     // It said that it is stopping.
-    void recordLeaving(Common::TimePoint now) { m_ignoredUntil = now + initial; }
+    void recordLeaving(Common::TimePoint now) { m_ignoredUntil = now + initialBackoff; }
     // It responded, or has a new address.
     void recordResponse()
     {
--- a/Source/RouteServing/Routing/OutstandingRequests.cpp
+++ b/Source/RouteServing/Routing/OutstandingRequests.cpp
@@ -41,7 +41,7 @@
     return !m_sent.empty() && now - m_sent.begin()->second >= responseTimeout;
 }
 
-bool LastSentVersion::claim(uint64_t version, Common::TimePoint now)
+bool LastSentVersion::beginSend(uint64_t version, Common::TimePoint now)
 {
     bool isInFlight = m_at && m_version == version && now - *m_at < m_lostAfter;
     if (isInFlight)
--- a/Source/RouteServing/Routing/OutstandingRequests.h
+++ b/Source/RouteServing/Routing/OutstandingRequests.h
@@ -51,7 +51,7 @@
     }
 
     // Whether the version must be sent now; it is in flight from then on.
-    bool claim(uint64_t version, Common::TimePoint now);
+    bool beginSend(uint64_t version, Common::TimePoint now);
     // What was in flight is lost.
     void forget() { m_at.reset(); }
 
--- a/Source/RouteServing/Routing/PeerLoads.cpp
+++ b/Source/RouteServing/Routing/PeerLoads.cpp
@@ -25,20 +25,21 @@
     m_hubs.record(id, std::move(loads), routers, now);
 }
 
-LoadsByUpstream PeerLoads::ofOthers(Common::TimePoint now) const
+LoadsByUpstream PeerLoads::sumOfOthers(Common::TimePoint now) const
 {
     auto loads = m_hubs.sumExcluding({}, now);
     addLoads(loads, m_subscribers.sumExcluding({}, now));
     return loads;
 }
 
-LoadsByUpstream PeerLoads::withSubscribers(LoadsByUpstream own, Common::TimePoint now, const std::string& target) const
+LoadsByUpstream PeerLoads::sumWithSubscribers(
+    LoadsByUpstream own, Common::TimePoint now, const std::string& target) const
 {
     addLoads(own, m_subscribers.sumExcluding(target, now));
     return own;
 }
 
-LoadsByUpstream PeerLoads::forSubscriber(const std::string& id, LoadsByUpstream own, Common::TimePoint now) const
+LoadsByUpstream PeerLoads::sumForSubscriber(const std::string& id, LoadsByUpstream own, Common::TimePoint now) const
 {
     addLoads(own, m_subscribers.sumExcluding(id, now));
     addLoads(own, m_hubs.sumExcluding(id, now));
--- a/Source/RouteServing/Routing/PeerLoads.h
+++ b/Source/RouteServing/Routing/PeerLoads.h
@@ -22,11 +22,12 @@
     void forgetHub(const std::string& id) { m_hubs.forget(id); }
 
     // All that other routers have outstanding.
-    LoadsByUpstream ofOthers(Common::TimePoint now) const;
+    LoadsByUpstream sumOfOthers(Common::TimePoint now) const;
     // What this router reports to other hubs, or, with `target`, to the hub that it requests snapshots from.
-    LoadsByUpstream withSubscribers(LoadsByUpstream own, Common::TimePoint now, const std::string& target = {}) const;
+    LoadsByUpstream sumWithSubscribers(
+        LoadsByUpstream own, Common::TimePoint now, const std::string& target = {}) const;
     // What this hub sends to a subscriber: the load of all routers but that one.
-    LoadsByUpstream forSubscriber(const std::string& id, LoadsByUpstream own, Common::TimePoint now) const;
+    LoadsByUpstream sumForSubscriber(const std::string& id, LoadsByUpstream own, Common::TimePoint now) const;
 
     // For how many other routers the recent reports of subscribers speak; of hubs.
     unsigned subscriberRouters(Common::TimePoint now) const { return m_subscribers.routers(now); }
--- a/Source/RouteServing/Routing/RefreshIntervals.cpp
+++ b/Source/RouteServing/Routing/RefreshIntervals.cpp
@@ -40,13 +40,13 @@
 }
 
 // So many times the longest backoff of a store reader. Chosen, not measured.
-static constexpr int ownBackoffFactor = 4;
+static constexpr int nonReaderBackoffFactor = 4;
 
-Common::Milliseconds RefreshIntervals::ownBackoffAfter(unsigned failures) const
+Common::Milliseconds RefreshIntervals::nonReaderBackoffAfter(unsigned failures) const
 {
     if (failures <= 1)
         return initialBackoff;
-    return exponentialBackoff(maxBackoff, maxBackoff * ownBackoffFactor, failures - 1);
+    return exponentialBackoff(maxBackoff, maxBackoff * nonReaderBackoffFactor, failures - 1);
 }
 
 Common::Milliseconds exponentialBackoff(Common::Milliseconds initial, Common::Milliseconds longest, unsigned failures)
--- a/Source/RouteServing/Routing/RefreshIntervals.h
+++ b/Source/RouteServing/Routing/RefreshIntervals.h
@@ -25,7 +25,7 @@
     // The same of a router that reads for itself alone, because what others tell it is stale. After a second failure it
     // leaves the store to the readers for longer: they tell it when the store is back, and all of 295 routers asking as
     // often as readers cost up to 2,000 calls in an outage of eight seconds (computed).
-    Common::Milliseconds ownBackoffAfter(unsigned failures) const;
+    Common::Milliseconds nonReaderBackoffAfter(unsigned failures) const;
 };
 
 // From `initial`, doubling up to `longest`.
--- a/Source/RouteServing/Routing/RevisionCursor.cpp
+++ b/Source/RouteServing/Routing/RevisionCursor.cpp
@@ -7,11 +7,11 @@
 
 // Without an acknowledgement for so long, a part is lost: the peer dropped it. The end of a connection is told, so this
 // is rare. Chosen, not measured: a part of 2,000 rows (about 20 KB) takes 16 ms on a link of 10 Mbit/s.
-static constexpr Common::Milliseconds lostAfter = 3000ms;
+static constexpr Common::Milliseconds acknowledgementTimeout = 3000ms;
 
 std::optional<uint64_t> RevisionCursor::next(Common::TimePoint now)
 {
-    if (m_sent > m_acknowledged && now - m_sentAt < lostAfter)
+    if (m_sent > m_acknowledged && now - m_sentAt < acknowledgementTimeout)
         return std::nullopt;
     return m_acknowledged;
 }
@@ -27,9 +27,9 @@
     // Of an earlier process of this router.
     if (revision > m_sent)
         return;
-    bool wasStartedAgain = revision < m_acknowledged;
+    bool hasRestarted = revision < m_acknowledged;
     m_acknowledged = revision;
-    if (wasStartedAgain)
+    if (hasRestarted)
         m_sent = revision;
 }
 
--- a/Source/RouteServing/Routing/Roster.cpp
+++ b/Source/RouteServing/Routing/Roster.cpp
@@ -20,7 +20,7 @@
     revision = std::max(known, to);
 }
 
-uint64_t RosterCursor::claim(uint64_t acknowledged, uint64_t newest, Common::TimePoint now)
+uint64_t RosterCursor::beginSend(uint64_t acknowledged, uint64_t newest, Common::TimePoint now)
 {
     bool isInFlight = m_at && now - *m_at < partLostAfter;
     auto after = isInFlight ? std::max(acknowledged, m_sent) : acknowledged;
--- a/Source/RouteServing/Routing/Roster.h
+++ b/Source/RouteServing/Routing/Roster.h
@@ -37,7 +37,7 @@
 public:
     // The revision after which entries must be sent now; the rest up to `newest` counts as in flight from then on.
     // `acknowledged`: what the peer says that it has.
-    uint64_t claim(uint64_t acknowledged, uint64_t newest, Common::TimePoint now);
+    uint64_t beginSend(uint64_t acknowledged, uint64_t newest, Common::TimePoint now);
     // What was in flight is lost.
     void forget() { m_at.reset(); }
 
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -156,7 +156,7 @@
         state.recordContact(router.incarnation);
         auto known = member.rosterPosition(id).revisionOf(peer->incarnation);
         auto newest = peer->member.peers().rosterRevision();
-        auto after = state.rosterSent.claim(known, newest, now);
+        auto after = state.rosterSent.beginSend(known, newest, now);
         auto entries = peer->member.peers().rosterAfter(after);
         entriesSent += entries.size();
         member.addRoster(entries);
--- a/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -61,13 +61,13 @@
 TEST(OutstandingRequestsTest, AVersionInFlightIsNotSentAgain)
 {
     LastSentVersion sent(500ms);
-    EXPECT_TRUE(sent.claim(0, s_now));
-    EXPECT_TRUE(sent.claim(7, s_now)) << "another version is news";
-    EXPECT_FALSE(sent.claim(7, s_now + 499ms));
-    EXPECT_TRUE(sent.claim(7, s_now + 500ms)) << "it counts as lost";
-    EXPECT_FALSE(sent.claim(7, s_now + 501ms)) << "and then the second copy is in flight";
+    EXPECT_TRUE(sent.beginSend(0, s_now));
+    EXPECT_TRUE(sent.beginSend(7, s_now)) << "another version is news";
+    EXPECT_FALSE(sent.beginSend(7, s_now + 499ms));
+    EXPECT_TRUE(sent.beginSend(7, s_now + 500ms)) << "it counts as lost";
+    EXPECT_FALSE(sent.beginSend(7, s_now + 501ms)) << "and then the second copy is in flight";
     sent.forget();
-    EXPECT_TRUE(sent.claim(7, s_now + 502ms)) << "it is known to be lost";
+    EXPECT_TRUE(sent.beginSend(7, s_now + 502ms)) << "it is known to be lost";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -53,16 +53,16 @@
     peers.addContact("p", { "127.0.0.1", 1 });
     auto& peer = peers.state("p");
     peer.recordRequest(1, 0, s_now);
-    EXPECT_TRUE(peer.configuration.claim(7, s_now));
+    EXPECT_TRUE(peer.configuration.beginSend(7, s_now));
     peer.recordRequest(1, 0, s_now + 20s);
-    EXPECT_FALSE(peer.configuration.claim(7, s_now + 20s)) << "it may still wait on a slow link";
+    EXPECT_FALSE(peer.configuration.beginSend(7, s_now + 20s)) << "it may still wait on a slow link";
     peer.recordRequest(2, 0, s_now + 20s);
-    EXPECT_TRUE(peer.configuration.claim(7, s_now + 20s)) << "it has started again";
+    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "it has started again";
     EXPECT_TRUE(peers.addContact("p", { "127.0.0.1", 2 }));
-    EXPECT_TRUE(peer.configuration.claim(7, s_now + 20s)) << "it has moved";
+    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "it has moved";
     EXPECT_FALSE(peers.addContact("p", { "127.0.0.1", 2 }));
-    EXPECT_FALSE(peer.configuration.claim(7, s_now + 20s));
-    EXPECT_TRUE(peer.configuration.claim(8, s_now + 20s)) << "another version is news";
+    EXPECT_FALSE(peer.configuration.beginSend(7, s_now + 20s));
+    EXPECT_TRUE(peer.configuration.beginSend(8, s_now + 20s)) << "another version is news";
 }
 
 TEST(PeerDirectoryTest, LookingForAPeerMakesNone)
@@ -89,17 +89,18 @@
     PeerLoads hub;
     hub.recordSubscriber("subscriber", load(1), s_now);
     hub.recordHub("other", load(20), 2, s_now);
-    EXPECT_EQ(hub.ofOthers(s_now).at(7).requests, 21U);
-    EXPECT_EQ(hub.withSubscribers(load(300), s_now).at(7).requests, 301U) << "for the other hub";
-    EXPECT_EQ(hub.forSubscriber("subscriber", load(300), s_now).at(7).requests, 320U) << "without its own";
+    EXPECT_EQ(hub.sumOfOthers(s_now).at(7).requests, 21U);
+    EXPECT_EQ(hub.sumWithSubscribers(load(300), s_now).at(7).requests, 301U) << "for the other hub";
+    EXPECT_EQ(hub.sumForSubscriber("subscriber", load(300), s_now).at(7).requests, 320U) << "without its own";
     EXPECT_EQ(hub.subscriberRouters(s_now) + hub.hubRouters(s_now), 3U);
     hub.forgetHub("other");
-    EXPECT_EQ(hub.ofOthers(s_now).at(7).requests, 1U);
-    EXPECT_TRUE(hub.ofOthers(s_now + 1500ms).empty()) << "reports that old are ignored";
+    EXPECT_EQ(hub.sumOfOthers(s_now).at(7).requests, 1U);
+    EXPECT_TRUE(hub.sumOfOthers(s_now + 1500ms).empty()) << "reports that old are ignored";
 
     PeerLoads subscriber;
     subscriber.recordHub("hub", load(320), 3, s_now);
-    EXPECT_EQ(subscriber.withSubscribers(load(1), s_now, "hub").at(7).requests, 1U) << "only its own goes to its hub";
+    EXPECT_EQ(subscriber.sumWithSubscribers(load(1), s_now, "hub").at(7).requests, 1U)
+        << "only its own goes to its hub";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -32,13 +32,13 @@
 TEST(RosterCursorTest, APartIsSentOnceUnlessItIsLost)
 {
     RosterCursor cursor;
-    EXPECT_EQ(cursor.claim(0, 5, s_now), 0U);
-    EXPECT_EQ(cursor.claim(0, 5, s_now + 100ms), 5U) << "it may still be on its way";
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 200ms), 5U) << "only what is new since";
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 699ms), 7U);
-    EXPECT_EQ(cursor.claim(5, 7, s_now + 700ms), 5U) << "what was not acknowledged is lost";
+    EXPECT_EQ(cursor.beginSend(0, 5, s_now), 0U);
+    EXPECT_EQ(cursor.beginSend(0, 5, s_now + 100ms), 5U) << "it may still be on its way";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 200ms), 5U) << "only what is new since";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 699ms), 7U);
+    EXPECT_EQ(cursor.beginSend(5, 7, s_now + 700ms), 5U) << "what was not acknowledged is lost";
     cursor.forget();
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 710ms), 0U) << "the connection has ended";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 710ms), 0U) << "the connection has ended";
 }
 
 TEST(RosterPositionTest, APartIsNotedOnlyBehindWhatIsThere)
