--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -188,7 +188,7 @@
     // A copy would carry a suspect to a second engine.
     engineReplicates = engineReplicates && !m_suspect.runsAlone();
     bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
-    if (Routing::wantsReplica(*m_route, m_prompt, engineReplicates, failuresAreLikely))
+    if (Routing::shouldReplicate(*m_route, m_prompt, engineReplicates, failuresAreLikely))
         m_replica.choose(m_services.registry, placementRequest(), now);
     else
         m_replica.drop();
@@ -380,7 +380,7 @@
 
 void RequestHandler::refuse(const Refusal& refusal)
 {
-    Refusal honest { Routing::honestKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
+    Refusal honest { Routing::reportableKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
     if (m_stream.hasBegun())
         return abandon(Common::name(honest.kind));
     auto response = refusalResponse(m_services.headers, honest, m_history.mayHaveRun, m_report.requestId);
--- a/Source/RouteServing/Routing/ReplicaPolicy.cpp
+++ b/Source/RouteServing/Routing/ReplicaPolicy.cpp
@@ -9,11 +9,11 @@
 
 // How long after an engine broke off replicas are kept. Keeping them always cost 0.005 of worth on days without a crash
 // (docs/DESIGN.md, "Ways weighed, on the users' days"); the length itself was chosen, not measured.
-static constexpr Common::Milliseconds failureMemory = 60'000ms;
+static constexpr Common::Milliseconds failureRetention = 60'000ms;
 
-bool MidStreamFailures::areLikely(Common::TimePoint now) const { return m_last && now - *m_last < failureMemory; }
+bool MidStreamFailures::areLikely(Common::TimePoint now) const { return m_last && now - *m_last < failureRetention; }
 
-bool wantsReplica(const Route& route, const Prompt& prompt, bool engineReplicates, bool midStreamFailuresAreLikely)
+bool shouldReplicate(const Route& route, const Prompt& prompt, bool engineReplicates, bool midStreamFailuresAreLikely)
 {
     return engineReplicates && route.kind == RouteKind::Stream && !route.mayRepeat()
         && EnginePlacement::isDecodeHeavy(prompt) && midStreamFailuresAreLikely;
--- a/Source/RouteServing/Routing/ReplicaPolicy.h
+++ b/Source/RouteServing/Routing/ReplicaPolicy.h
@@ -24,6 +24,6 @@
 // Whether a run on this route gets a replica. Only long responses that must not run twice: a repeatable request can
 // start over elsewhere, and a short one is done before its replica is complete. `engineReplicates`: the service's
 // engines support it.
-bool wantsReplica(const Route&, const Prompt&, bool engineReplicates, bool midStreamFailuresAreLikely);
+bool shouldReplicate(const Route&, const Prompt&, bool engineReplicates, bool midStreamFailuresAreLikely);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RetryPolicy.cpp
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -16,7 +16,7 @@
 // When a caller comes back whose request one upstream refused while others have room: soon enough to be served within
 // an objective of 300 ms, and after this router has told the others of its load (100 ms between two exchanges).
 // Measured against one second: see retryAfterRefusal's test.
-static constexpr Common::Milliseconds returnToOthers { 50 };
+static constexpr Common::Milliseconds retryAfterWithFreeUpstream { 50 };
 
 void AttemptHistory::record(AttemptOutcome outcome)
 {
@@ -68,10 +68,10 @@
 
 Common::Milliseconds retryAfterRefusal(bool hasFreeUpstream)
 {
-    return hasFreeUpstream ? returnToOthers : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
+    return hasFreeUpstream ? retryAfterWithFreeUpstream : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
 }
 
-ErrorKind honestKind(ErrorKind kind, bool mayHaveRun)
+ErrorKind reportableKind(ErrorKind kind, bool mayHaveRun)
 {
     return mayHaveRun && Common::traits(kind).ran == Ran::No ? ErrorKind::UpstreamBroken : kind;
 }
--- a/Source/RouteServing/Routing/RetryPolicy.h
+++ b/Source/RouteServing/Routing/RetryPolicy.h
@@ -38,6 +38,6 @@
 
 // The kind of error that may be said: kinds that promise "did not run" become UpstreamBroken once the request may have
 // run.
-Common::ErrorKind honestKind(Common::ErrorKind, bool mayHaveRun);
+Common::ErrorKind reportableKind(Common::ErrorKind, bool mayHaveRun);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -5,14 +5,14 @@
 
 // The share of the ratio that is used. The rest is slack, because the windows of different routers do not begin at the
 // same moment. Chosen, not measured.
-static constexpr double usedShareOfRatio = 0.9;
+static constexpr double ratioSafetyFactor = 0.9;
 // The share of the fleet's allowance that is used. The rest is slack for routers that have just started and do not know
 // the size of the fleet. Chosen, not measured.
-static constexpr double usedShareOfAllowance = 0.8;
+static constexpr double allowanceSafetyFactor = 0.8;
 
 double retryAllowanceShare(double fleetAllowance, size_t routers)
 {
-    return fleetAllowance * usedShareOfAllowance / static_cast<double>(routers);
+    return fleetAllowance * allowanceSafetyFactor / static_cast<double>(routers);
 }
 
 RetryWindow::RetryWindow(Bounds bounds)
@@ -22,14 +22,14 @@
 
 int64_t RetryWindow::sliceNumber(Common::TimePoint now) const
 {
-    return Common::toMilliseconds(now.time_since_epoch()).count() * static_cast<int64_t>(slices - 1)
+    return Common::toMilliseconds(now.time_since_epoch()).count() * static_cast<int64_t>(sliceCount - 1)
         / m_bounds.window.count();
 }
 
 RetryWindow::Slice& RetryWindow::slice(Common::TimePoint now)
 {
     auto number = sliceNumber(now);
-    auto& found = m_slices[static_cast<size_t>(number) % slices];
+    auto& found = m_slices[static_cast<size_t>(number) % sliceCount];
     if (found.number != number)
         found = { number, 0, 0 };
     return found;
@@ -51,7 +51,7 @@
 {
     std::lock_guard lock(m_mutex);
     auto& current = slice(now);
-    auto oldest = sliceNumber(now) - static_cast<int64_t>(slices - 1);
+    auto oldest = sliceNumber(now) - static_cast<int64_t>(sliceCount - 1);
     uint32_t requests = 0;
     uint32_t retries = 0;
     for (const auto& one : m_slices) {
@@ -61,7 +61,7 @@
         if (one.number > oldest)
             requests += one.requests;
     }
-    if (retries + 1 > m_bounds.ratio * usedShareOfRatio * requests + m_bounds.allowance)
+    if (retries + 1 > m_bounds.ratio * ratioSafetyFactor * requests + m_bounds.allowance)
         return false;
     ++current.retries;
     return true;
--- a/Source/RouteServing/Routing/RetryWindow.h
+++ b/Source/RouteServing/Routing/RetryWindow.h
@@ -37,7 +37,7 @@
 private:
     // Slices of the window, plus one: the oldest one, partly outside of it, still counts for retries but no longer for
     // requests, which errs on the safe side. 40 slices keep that error at 2.5%; chosen, not measured.
-    static constexpr size_t slices = 41;
+    static constexpr size_t sliceCount = 41;
     struct Slice {
         int64_t number { -1 };
         uint32_t requests { 0 };
@@ -49,7 +49,7 @@
 
     Bounds m_bounds;
     std::mutex m_mutex;
-    std::array<Slice, slices> m_slices;
+    std::array<Slice, sliceCount> m_slices;
 };
 
 // This router's share of the allowance of a fleet of `routers` (at least one).
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -128,8 +128,8 @@
     EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamBroken);
     EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::BrokenOff, true, "p").kind, ErrorKind::UpstreamTimeout);
     for (const auto& row : Common::errorTable()) {
-        EXPECT_EQ(honestKind(row.kind, false), row.kind);
-        EXPECT_NE(Common::traits(honestKind(row.kind, true)).ran, Ran::No) << row.name;
+        EXPECT_EQ(reportableKind(row.kind, false), row.kind);
+        EXPECT_NE(Common::traits(reportableKind(row.kind, true)).ran, Ran::No) << row.name;
     }
 }
 
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -69,14 +69,14 @@
     route.kind = RouteKind::Stream;
     Prompt longResponse { 500, 900, {} };
     Prompt longPrompt { 9000, 100, {} };
-    EXPECT_TRUE(wantsReplica(route, longResponse, true, true));
-    EXPECT_FALSE(wantsReplica(route, longResponse, true, false));
-    EXPECT_FALSE(wantsReplica(route, longResponse, false, true)) << "the engine cannot replicate";
-    EXPECT_FALSE(wantsReplica(route, longPrompt, true, true));
+    EXPECT_TRUE(shouldReplicate(route, longResponse, true, true));
+    EXPECT_FALSE(shouldReplicate(route, longResponse, true, false));
+    EXPECT_FALSE(shouldReplicate(route, longResponse, false, true)) << "the engine cannot replicate";
+    EXPECT_FALSE(shouldReplicate(route, longPrompt, true, true));
     route.resumable = true;
-    EXPECT_FALSE(wantsReplica(route, longResponse, true, true)) << "it can start over elsewhere";
+    EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "it can start over elsewhere";
     route.kind = RouteKind::OnceOnly;
-    EXPECT_FALSE(wantsReplica(route, longResponse, true, true)) << "not a stream";
+    EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "not a stream";
 }
 
 } // namespace Brassladder::RouteServing::Routing
