--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -16,7 +16,7 @@
 constexpr Common::TimePoint s_due = s_now + 600ms;
 constexpr EngineLimits s_limits { 64, false };
 
-std::vector<EngineState> nine()
+std::vector<EngineState> nineEngines()
 {
     static constexpr std::array s_ids { "e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8", "e9" };
     std::vector<EngineState> engines;
@@ -37,7 +37,7 @@
 TEST(EnginePlacementTest, PromptsWithOnePrefixGoToOneEngineAndPrefixesSpread)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     std::set<size_t> used;
     for (uint64_t prefix = 100; prefix < 200; ++prefix) {
         auto pick = placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now);
@@ -51,7 +51,7 @@
 TEST(EnginePlacementTest, AnotherEngineIsTakenOnceWaitingCostsMoreThanPrefillingAgain)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     auto home = placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now)->index;
     engines[home].prefillTokens = 59'900;
     EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now)->index, home);
@@ -65,7 +65,7 @@
 {
     EnginePlacement placement;
     EngineLimits fetching { s_limits.batch, true };
-    auto engines = nine();
+    auto engines = nineEngines();
     auto home = placement.place(prefillHeavy(5), engines, fetching, s_due, s_now);
     EXPECT_FALSE(home->prefixSource) << "it is there";
     engines[home->index].prefillTokens = 60'100;
@@ -80,7 +80,7 @@
 TEST(EnginePlacementTest, LongResponsesAndLongPromptsDoNotShareAnEngine)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     std::set<size_t> decodeEngines;
     std::set<size_t> prefillEngines;
     for (int index = 0; index < 20; ++index) {
@@ -100,7 +100,7 @@
 TEST(EnginePlacementTest, DecodeHeavyWorkOfOtherRoutersIsCountedAndSpread)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     for (auto& engine : engines)
         engine.decodeHeavy = 10;
     std::set<size_t> used;
@@ -114,7 +114,7 @@
 TEST(EnginePlacementTest, DecodeHeavyWorkFillsItsEnginesBeforeItUsesOthers)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     auto usedBy = [&](double generations) {
         for (auto& engine : engines)
             engine.decodeHeavy = generations / static_cast<double>(engines.size());
@@ -131,7 +131,7 @@
 TEST(EnginePlacementTest, DecodeHeavyWorkUsesFewerEnginesWhilePromptsAreLate)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     for (auto& engine : engines)
         engine.decodeHeavy = 10;
     auto enginesOfDecodeHeavy = [&](Common::TimePoint now) {
@@ -153,7 +153,7 @@
 TEST(EnginePlacementTest, DecodeHeavyWorkIsNeverLate)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     for (auto& engine : engines)
         engine.firstEvent = { 0, 100 };
     auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
@@ -164,7 +164,7 @@
 TEST(EnginePlacementTest, PrefillHeavyWorkKeepsHalfOfTheEngines)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     for (auto& engine : engines)
         engine.decodeHeavy = 200;
     std::set<size_t> prefillEngines;
@@ -176,17 +176,17 @@
 TEST(EnginePlacementTest, AnEngineWithoutDecodeHeavyWorkIsReleasedLater)
 {
     EnginePlacement placement;
-    auto engines = nine();
+    auto engines = nineEngines();
     auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
-    auto usesIt = [&](Common::TimePoint now) {
+    auto takesPrefillHeavy = [&](Common::TimePoint now) {
         for (uint64_t prefix = 0; prefix < 300; ++prefix) {
             if (placement.place(prefillHeavy(prefix), engines, s_limits, s_due, now)->index == pick->index)
                 return true;
         }
         return false;
     };
-    EXPECT_FALSE(usesIt(s_now + 2s));
-    EXPECT_TRUE(usesIt(s_now + 4s));
+    EXPECT_FALSE(takesPrefillHeavy(s_now + 2s));
+    EXPECT_TRUE(takesPrefillHeavy(s_now + 4s));
 }
 
 TEST(EnginePlacementTest, WithoutAnEngineThereIsNoPlacement)
--- a/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
@@ -24,12 +24,12 @@
 
 } // namespace
 
-TEST(FirstEventEstimateTest, WithoutObservationsNothingIsExpectedToWait)
+TEST(FirstEventEstimateTest, WithoutObservationsTheDelayIsZero)
 {
     EXPECT_EQ(FirstEventObservations().estimate({}, s_now).delayFor(50'000), 0ms);
 }
 
-TEST(FirstEventEstimateTest, BaseAndTimeForATokenAreToldApart)
+TEST(FirstEventEstimateTest, BaseAndTimePerTokenAreEstimatedSeparately)
 {
     auto estimate = engine(1, { 1000, 4000, 9000 }).estimate({}, s_now);
     EXPECT_NEAR(estimate.baseMilliseconds, 100, 1);
@@ -37,14 +37,14 @@
 }
 
 // A line through one number of tokens has no slope; without a base it would promise less than what was seen.
-TEST(FirstEventEstimateTest, ObservationsOfOneNumberOfTokensAreTakenInProportion)
+TEST(FirstEventEstimateTest, ObservationsWithEqualTokensGiveAProportionalDelay)
 {
     auto estimate = engine(1, { 5000, 5000, 5000 }).estimate({}, s_now);
     EXPECT_EQ(estimate.delayFor(5000), 600ms);
     EXPECT_EQ(estimate.delayFor(10'000), 1200ms);
 }
 
-TEST(FirstEventEstimateTest, AnEngineThatIsNotKnownIsJudgedByItsService)
+TEST(FirstEventEstimateTest, AnEngineWithoutObservationsUsesThoseOfItsService)
 {
     auto service = engine(1, { 1000, 4000, 9000 });
     EXPECT_EQ(FirstEventObservations().estimate(service, s_now).delayFor(20'000), 2100ms);
@@ -54,7 +54,7 @@
     EXPECT_LT(mixed, 10'100ms);
 }
 
-TEST(FirstEventEstimateTest, AnEngineThatTurnsSlowIsSeenWithinSeconds)
+TEST(FirstEventEstimateTest, ASlowdownOfAnEngineShowsWithinSeconds)
 {
     auto observations = engine(1, { 1000, 4000, 9000, 1000, 4000, 9000 });
     for (int each : { 1000, 4000, 9000 })
@@ -62,7 +62,7 @@
     EXPECT_GT(observations.estimate({}, s_now + 20s).delayFor(9000), 7000ms);
 }
 
-TEST(FirstEventEstimateTest, TimeNeverFallsWithMoreTokens)
+TEST(FirstEventEstimateTest, TheDelayNeverFallsWithMoreTokens)
 {
     FirstEventObservations observations;
     observations.record(1000, 900ms, s_now);
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -135,13 +135,13 @@
         member.handleOverdueHub(now);
         auto target = member.update(now);
         if (target.seed)
-            ask(router, target.seed->id, target.seed->endpoint, now);
+            requestRoster(router, target.seed->id, target.seed->endpoint, now);
         else if (const auto& source = target.ranking.source())
-            ask(router, *source, member.peers().find(*source)->endpoint, now);
-        useStore(router, now);
+            requestRoster(router, *source, member.peers().find(*source)->endpoint, now);
+        stepStore(router, now);
     }
 
-    void ask(Router& router, const std::string& id, const Common::Endpoint& endpoint, Common::TimePoint now)
+    void requestRoster(Router& router, const std::string& id, const Common::Endpoint& endpoint, Common::TimePoint now)
     {
         auto& member = router.member;
         auto nonce = member.outstanding().add(id, member.isHub(), now);
@@ -164,7 +164,7 @@
         member.outstanding().take(id, *nonce);
     }
 
-    void useStore(Router& router, Common::TimePoint now)
+    void stepStore(Router& router, Common::TimePoint now)
     {
         auto situation = router.member.rosterSituation(now);
         situation.reads = router.reads;
@@ -191,10 +191,10 @@
 };
 
 constexpr size_t s_seeds = 3;
-constexpr Common::Milliseconds s_day { 12'000 };
+constexpr Common::Milliseconds s_runLength { 12'000 };
 // Each store reader reads four times in so long (RosterDuty), and each seed as often at most: it is a reader until it
 // knows the others.
-constexpr size_t s_readsOfADay = (3 + s_seeds) * 4;
+constexpr size_t s_maxReadsPerRun = (3 + s_seeds) * 4;
 
 } // namespace
 
@@ -204,29 +204,29 @@
     for (size_t count : { 30, 100, 300 }) {
         SimulatedFleet fleet(count, s_seeds);
         fleet.startAll(s_start);
-        fleet.run(s_start, s_day);
+        fleet.run(s_start, s_runLength);
         EXPECT_TRUE(fleet.isComplete()) << count;
         EXPECT_EQ(fleet.store.announcements, count);
-        EXPECT_LE(fleet.store.reads, s_readsOfADay) << count << " routers: reads do not grow with the fleet";
+        EXPECT_LE(fleet.store.reads, s_maxReadsPerRun) << count << " routers: reads do not grow with the fleet";
         EXPECT_LE(fleet.entriesSent, 8 * count * count) << "each router hears of each other one a few times";
     }
 }
 
 // The platform still has all addresses.
-TEST(FleetStartTest, AStartOfAllTogetherWithOldAddressesCostsOnlyAFewReads)
+TEST(FleetStartTest, ARestartOfAllRoutersAtTheirOldAddressesCostsOnlyAFewReads)
 {
     static constexpr size_t count = 300;
     SimulatedFleet fleet(count, s_seeds);
     fleet.startAll(s_start);
-    fleet.run(s_start, s_day);
+    fleet.run(s_start, s_runLength);
     fleet.store.announcements = fleet.store.reads = 0;
-    fleet.startAll(s_start + s_day);
-    fleet.run(s_start + s_day, 1000ms);
+    fleet.startAll(s_start + s_runLength);
+    fleet.run(s_start + s_runLength, 1000ms);
     EXPECT_TRUE(fleet.isComplete()) << "a second later all have their roles again";
-    fleet.run(s_start + s_day + 1000ms, s_day - 1000ms);
+    fleet.run(s_start + s_runLength + 1000ms, s_runLength - 1000ms);
     EXPECT_TRUE(fleet.isComplete());
     EXPECT_LE(fleet.store.announcements, s_seeds) << "these do not wait to hear that they are known";
-    EXPECT_LE(fleet.store.reads, s_readsOfADay);
+    EXPECT_LE(fleet.store.reads, s_maxReadsPerRun);
 }
 
 TEST(FleetStartTest, ARouterThatIsReplacedIsKnownToAllWithoutAReadOfItsOwn)
@@ -234,25 +234,25 @@
     static constexpr size_t count = 100;
     SimulatedFleet fleet(count, s_seeds);
     fleet.startAll(s_start);
-    fleet.run(s_start, s_day);
+    fleet.run(s_start, s_runLength);
     auto reads = fleet.store.reads;
-    fleet.startOne(50, s_start + s_day);
-    fleet.run(s_start + s_day, 500ms);
+    fleet.startOne(50, s_start + s_runLength);
+    fleet.run(s_start + s_runLength, 500ms);
     EXPECT_EQ(fleet.member(50).fleetSize(), count);
     EXPECT_LE(fleet.store.reads, reads + 3);
 }
 
 // The settings may be old: no seed lives.
-TEST(FleetStartTest, WithoutALivingSeedTheStoreIsRead)
+TEST(FleetStartTest, WithoutAReachableSeedTheStoreIsRead)
 {
     static constexpr size_t count = 30;
     SimulatedFleet fleet(count, s_seeds);
     fleet.startAll(s_start);
-    fleet.run(s_start, s_day);
+    fleet.run(s_start, s_runLength);
     for (size_t seed = 0; seed < s_seeds; ++seed)
         fleet.end(seed);
-    fleet.startOne(20, s_start + s_day);
-    fleet.run(s_start + s_day, StartPhase::rosterTimeout + StartPhase::rosterTimeoutJitter + 3 * s_stepInterval);
+    fleet.startOne(20, s_start + s_runLength);
+    fleet.run(s_start + s_runLength, StartPhase::rosterTimeout + StartPhase::rosterTimeoutJitter + 3 * s_stepInterval);
     EXPECT_EQ(fleet.member(20).fleetSize(), count);
 }
 
@@ -261,10 +261,10 @@
     static constexpr size_t count = 100;
     SimulatedFleet fleet(count, 0);
     fleet.startAll(s_start);
-    fleet.run(s_start, s_day);
+    fleet.run(s_start, s_runLength);
     EXPECT_TRUE(fleet.isComplete());
     EXPECT_EQ(fleet.store.announcements, count);
-    EXPECT_LE(fleet.store.reads, count + s_readsOfADay);
+    EXPECT_LE(fleet.store.reads, count + s_maxReadsPerRun);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -122,7 +122,7 @@
     }
 }
 
-TEST(HubRankingTest, WhileNoHubCanReadTheStoreTheFirstOnesTry)
+TEST(HubRankingTest, WhileNoHubCanReadTheStoreTheFirstOnesStayStoreReaders)
 {
     std::vector<std::string> ids = routers(100);
     size_t readers = 0;
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 // The requests of one route.
-struct Class {
+struct RouteLoad {
     unsigned priority { 0 };
     double perSecond { 0 };
     uint32_t sharedTokens { 0 };
@@ -27,16 +27,16 @@
     uint32_t outputTokens { 0 };
     Common::Milliseconds objective { 600 };
     // A caller leaves when no event has come by then.
-    Common::Milliseconds patience { 2400 };
+    Common::Milliseconds callerTimeout { 2400 };
 };
 
 // What the callers of one class got.
-struct Service {
-    unsigned asked { 0 };
+struct RouteOutcome {
+    unsigned sent { 0 };
     unsigned inTime { 0 }; // Of the first event.
     unsigned late { 0 };
-    double share() const { return static_cast<double>(inTime) / asked; }
-    double servedShare() const { return static_cast<double>(inTime + late) / asked; }
+    double inTimeShare() const { return static_cast<double>(inTime) / sent; }
+    double servedShare() const { return static_cast<double>(inTime + late) / sent; }
 };
 
 // The level that a generation is sent with.
@@ -47,12 +47,12 @@
     return urgency.level(urgency.rank(1, routePriority), punctuality, 10);
 }
 
-class Play {
+class BurstSimulation {
 public:
-    Play(std::vector<Class> classes, LevelRule levelRule)
-        : m_classes(std::move(classes))
+    BurstSimulation(std::vector<RouteLoad> classes, LevelRule levelRule)
+        : m_loads(std::move(classes))
         , m_levelRule(std::move(levelRule))
-        , m_services(m_classes.size())
+        , m_outcomes(m_loads.size())
     {
         std::vector<UpstreamRecord> records;
         for (size_t index = 0; index < engineCount; ++index) {
@@ -61,63 +61,63 @@
         }
         m_registry.setUpstreams(records);
         m_urgency.addWorkspace(1);
-        for (const auto& each : m_classes)
+        for (const auto& each : m_loads)
             m_urgency.addRoute(each.priority);
     }
 
     // What is sent during the warm-up, until the engines' speed is known, is not counted.
-    std::vector<Service> run(Common::Milliseconds warmUp, Common::Milliseconds length)
+    std::vector<RouteOutcome> run(Common::Milliseconds warmUp, Common::Milliseconds length)
     {
         for (; m_now < m_begin + warmUp + length; m_now += 1ms) {
             m_isCounted = m_now >= m_begin + warmUp;
-            for (size_t kind = 0; kind < m_classes.size(); ++kind) {
-                if (std::bernoulli_distribution(m_classes[kind].perSecond / 1000)(m_random))
-                    send(kind);
+            for (size_t routeIndex = 0; routeIndex < m_loads.size(); ++routeIndex) {
+                if (std::bernoulli_distribution(m_loads[routeIndex].perSecond / 1000)(m_random))
+                    send(routeIndex);
             }
             advance();
         }
         auto end = m_now + 3s;
         for (; m_now < end; m_now += 1ms)
             advance();
-        return m_services;
+        return m_outcomes;
     }
 
 private:
     static constexpr size_t engineCount = 8;
 
     struct Call {
-        size_t kind { 0 };
+        size_t routeIndex { 0 };
         Common::TimePoint sent;
         UpstreamRegistry::Placement placement;
         bool hasEvent { false };
         bool isCounted { false };
     };
 
-    Prompt promptOf(size_t kind)
+    Prompt promptOf(size_t routeIndex)
     {
         static constexpr double spread = 0.8;
-        const auto& each = m_classes[kind];
+        const auto& each = m_loads[routeIndex];
         std::lognormal_distribution<double> own(std::log(each.ownTokens) - spread * spread / 2, spread);
         auto ownTokens = static_cast<uint32_t>(own(m_random)) + 1;
-        uint64_t prefix = 1000 * (kind + 1) + m_random() % each.prefixes;
+        uint64_t prefix = 1000 * (routeIndex + 1) + m_random() % each.prefixes;
         return { each.sharedTokens + ownTokens, 2 * each.outputTokens,
             { { prefix, each.sharedTokens }, { 1'000'000 + m_sent, ownTokens } } };
     }
 
-    void send(size_t kind)
+    void send(size_t routeIndex)
     {
-        const auto& each = m_classes[kind];
-        auto prompt = promptOf(kind);
+        const auto& each = m_loads[routeIndex];
+        auto prompt = promptOf(routeIndex);
         UpstreamRegistry::PlacementRequest request;
         request.service = "model";
         request.prompt = &prompt;
         request.engine = { 64, false };
         request.due = m_now + each.objective;
-        Call call { kind, m_now, *m_registry.choose(request, m_now), false, m_isCounted };
+        Call call { routeIndex, m_now, *m_registry.choose(request, m_now), false, m_isCounted };
         m_registry.recordStart(call.placement);
         auto level = m_levelRule(m_urgency, each.priority, call.placement.punctuality);
         m_engines.at(call.placement.upstream.id).submit({ m_sent, prompt, each.outputTokens, level }, m_now);
-        m_services[kind].asked += call.isCounted;
+        m_outcomes[routeIndex].sent += call.isCounted;
         m_calls.emplace(m_sent++, std::move(call));
     }
 
@@ -125,19 +125,20 @@
     {
         for (auto& [id, engine] : m_engines) {
             for (const auto& event : engine.runUntil(m_now))
-                take(event);
+                handleEvent(event);
         }
-        std::erase_if(m_calls, [this](const auto& numbered) { return leaves(numbered.first, numbered.second); });
+        std::erase_if(
+            m_calls, [this](const auto& numbered) { return cancelIfTimedOut(numbered.first, numbered.second); });
     }
 
-    void take(const SimulatedEngine::Event& event)
+    void handleEvent(const SimulatedEngine::Event& event)
     {
         auto& call = m_calls.at(event.generation);
         if (!call.hasEvent) {
             call.hasEvent = true;
             m_registry.recordPrefillDone(call.placement, event.at);
-            bool isInTime = event.at <= call.sent + m_classes[call.kind].objective;
-            auto& service = m_services[call.kind];
+            bool isInTime = event.at <= call.sent + m_loads[call.routeIndex].objective;
+            auto& service = m_outcomes[call.routeIndex];
             (isInTime ? service.inTime : service.late) += call.isCounted;
         }
         if (event.isLast) {
@@ -146,9 +147,9 @@
         }
     }
 
-    bool leaves(uint64_t number, const Call& call)
+    bool cancelIfTimedOut(uint64_t number, const Call& call)
     {
-        if (call.hasEvent || m_now < call.sent + m_classes[call.kind].patience)
+        if (call.hasEvent || m_now < call.sent + m_loads[call.routeIndex].callerTimeout)
             return false;
         m_engines.at(call.placement.upstream.id).cancel(number);
         m_registry.recordEnd(call.placement, false, AttemptOutcome::CancelledAfterSending, m_now);
@@ -156,13 +157,13 @@
     }
 
     const Common::TimePoint m_begin { 1h };
-    std::vector<Class> m_classes;
+    std::vector<RouteLoad> m_loads;
     LevelRule m_levelRule;
     UpstreamRegistry m_registry { "north" };
     UrgencyScale m_urgency;
     std::map<std::string, SimulatedEngine> m_engines;
     std::map<uint64_t, Call> m_calls; // Under way, by number.
-    std::vector<Service> m_services;
+    std::vector<RouteOutcome> m_outcomes;
     std::mt19937_64 m_random { 7 };
     Common::TimePoint m_now { m_begin };
     uint64_t m_sent { 0 };
@@ -174,7 +175,7 @@
 constexpr size_t chats = 1;
 
 // Long prompts that mostly share a prefix, and chats with long responses: the third site's load in a burst.
-std::vector<Class> burst(double promptsPerSecond)
+std::vector<RouteLoad> burst(double promptsPerSecond)
 {
     return { { 1, promptsPerSecond, 6300, 40, 2890, 51, 600ms, 2400ms }, { 0, 30, 200, 8, 630, 290, 600ms, 2400ms } };
 }
@@ -187,12 +188,12 @@
 // 0.75.
 TEST(OverloadTest, GenerationsThatCanStillBeInTimeGoFirst)
 {
-    auto before = Play(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
+    auto before = BurstSimulation(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
         return byRouteAndPunctuality(urgency, priority, Punctuality::OnTime);
     }).run(2s, 9s);
-    auto after = Play(burst(80), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_LT(before[prompts].share(), 0.25);
-    EXPECT_GT(after[prompts].share(), 0.63);
+    auto after = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_LT(before[prompts].inTimeShare(), 0.25);
+    EXPECT_GT(after[prompts].inTimeShare(), 0.63);
     EXPECT_GT(after[prompts].servedShare(), before[prompts].servedShare() + 0.1) << "nor are they shed for it";
 }
 
@@ -200,17 +201,17 @@
 // urgent ones waited behind long prompts; with it, all of them.
 TEST(OverloadTest, AnUrgentRouteDoesNotWaitBehindALessUrgentOne)
 {
-    auto before = Play(burst(80), [](const auto&, unsigned, Punctuality) { return size_t(0); }).run(2s, 9s);
-    auto after = Play(burst(80), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_LT(before[chats].share(), 0.93);
-    EXPECT_GT(after[chats].share(), 0.98);
+    auto before = BurstSimulation(burst(80), [](const auto&, unsigned, Punctuality) { return size_t(0); }).run(2s, 9s);
+    auto after = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_LT(before[chats].inTimeShare(), 0.93);
+    EXPECT_GT(after[chats].inTimeShare(), 0.98);
 }
 
 // A long prompt is the first to be late, but it must not starve while there is room between the others.
 TEST(OverloadTest, LateGenerationsAreServedInTheRoomThatIsLeft)
 {
-    auto after = Play(burst(30), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_GT(after[prompts].share(), 0.85);
+    auto after = BurstSimulation(burst(30), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_GT(after[prompts].inTimeShare(), 0.85);
     EXPECT_GT(after[prompts].servedShare(), 0.99);
     EXPECT_GT(after[chats].servedShare(), 0.99);
 }
--- a/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ(peers.ranking(true, s_now).otherHubs().size(), 1U);
 }
 
-TEST(PeerDirectoryTest, AConfigurationIsSentOnceToEachLifeOfAPeerAtEachAddress)
+TEST(PeerDirectoryTest, AConfigurationIsSentOnceToEachIncarnationOfAPeerAtEachAddress)
 {
     PeerDirectory peers("self");
     peers.addContact("p", { "127.0.0.1", 1 });
@@ -65,7 +65,7 @@
     EXPECT_TRUE(peer.configuration.beginSend(8, s_now + 20s)) << "another version is news";
 }
 
-TEST(PeerDirectoryTest, LookingForAPeerMakesNone)
+TEST(PeerDirectoryTest, FindDoesNotAddAPeer)
 {
     PeerDirectory peers("self");
     EXPECT_FALSE(peers.find("p"));
@@ -74,7 +74,7 @@
     EXPECT_EQ(peers.find("p"), &state);
 }
 
-TEST(PeerDirectoryTest, ThoseThatRequestedLatelyAreSubscribers)
+TEST(PeerDirectoryTest, PeersThatRequestedRecentlyAreSubscribers)
 {
     PeerDirectory peers("self");
     peers.state("p").lastRequest = s_now;
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -65,7 +65,7 @@
     }
 }
 
-TEST(RetryPolicyTest, WhatDidNotRunIsRetriedWhateverItsKind)
+TEST(RetryPolicyTest, ARequestThatDidNotRunIsRetriedOnAnyKindOfRoute)
 {
     for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Repeatable) }) {
         EXPECT_EQ(decideAfter(route, { AttemptOutcome::NotExecuted }), RetryDecision::RetryWithinBudget);
@@ -117,7 +117,7 @@
         RetryDecision::GiveUp);
 }
 
-TEST(RetryPolicyTest, OnlyARequestThatDidNotRunIsRefusedAsSuch)
+TEST(RetryPolicyTest, ErrorKindsThatSayDidNotRunAreOnlyUsedForRequestsThatDidNot)
 {
     AttemptHistory notRun;
     notRun.record(AttemptOutcome::NotExecuted);
@@ -146,7 +146,7 @@
 
 // A caller that is told to wait for a second is late whatever its objective; where others have room nothing speaks for
 // the wait.
-TEST(RetryPolicyTest, ARefusedCallerComesBackAtOnceWhereOthersHaveRoom)
+TEST(RetryPolicyTest, RetryAfterIsShorterWhileOtherUpstreamsHaveRoom)
 {
     EXPECT_EQ(retryAfterRefusal(true), 50ms);
     EXPECT_EQ(retryAfterRefusal(false), 1000ms);
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(cursor.beginSend(0, 7, s_now + 710ms), 0U) << "the connection has ended";
 }
 
-TEST(RosterPositionTest, APartIsNotedOnlyBehindWhatIsThere)
+TEST(RosterPositionTest, APartIsRecordedOnlyWithoutAGapBeforeIt)
 {
     RosterPosition position;
     position.advance(1, 0, 5);
@@ -122,7 +122,7 @@
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "it is known from peers, but not yet at this address";
 }
 
-TEST(RosterDutyTest, AStoreReaderReadsSoonAfterItsFirstReadAndThenSeldom)
+TEST(RosterDutyTest, TheIntervalBetweenReadsDoublesUpToItsMaximum)
 {
     EXPECT_EQ(rosterInterval(1), 1000ms);
     EXPECT_EQ(rosterInterval(2), 2000ms);
@@ -131,7 +131,7 @@
     EXPECT_EQ(rosterInterval(400), 6000ms);
 }
 
-TEST(StartPhaseTest, WithoutSeedsNothingIsExpectedFromOthers)
+TEST(StartPhaseTest, WithoutSeedsTheRosterIsNotAwaited)
 {
     StartPhase start({ {}, true }, s_now, 0.5);
     start.setOwnEndpoint(s_self);
@@ -157,7 +157,7 @@
 }
 
 // Callers wait for it.
-TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyWhileASeedIsThere)
+TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyUntilASeedFails)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
     start.setOwnEndpoint(s_self);
@@ -177,7 +177,7 @@
     EXPECT_FALSE(start.awaitsState(s_now + StartPhase::rosterTimeout));
 }
 
-TEST(StartPhaseTest, ASeedWaitsForNobody)
+TEST(StartPhaseTest, ASeedDoesNotAwaitARoster)
 {
     StartPhase start({ { s_self, s_old }, true }, s_now, 0);
     start.setOwnEndpoint(s_self);
--- a/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
@@ -38,7 +38,7 @@
     EXPECT_LT(urgency.rank(1, 0), urgency.rank(1, 1));
 }
 
-TEST(UrgencyTest, NoneIsRankedBeforeOneThatBothOrdersHoldForMoreUrgent)
+TEST(UrgencyTest, TheRankRisesWithEachOfTheTwoPriorities)
 {
     auto urgency = scale({ 0, 3, std::nullopt }, { 0, 1, 7 });
     const std::vector<std::optional<unsigned>> workspaces { 0, 3, std::nullopt };
