--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -55,7 +55,7 @@
     if (isError(port))
         return port;
     m_endpoint = { endpoint.address, valueOf(port) };
-    m_member.setSelf(m_endpoint, Common::now());
+    m_member.setOwnEndpoint(m_endpoint, Common::now());
     return port;
 }
 
@@ -120,16 +120,16 @@
     return locked([](const auto& member) { return member.readsStore(); });
 }
 
-bool PeerExchange::isCutOff() const
+bool PeerExchange::isPartitioned() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.isCutOff(Common::now());
+    return m_contact.isPartitioned(Common::now());
 }
 
-double PeerExchange::unheardFactor() const
+double PeerExchange::unreachableLoadFactor() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.unheardFactor(Common::now());
+    return m_contact.unreachableLoadFactor(Common::now());
 }
 
 std::optional<size_t> PeerExchange::fleetSize() const
@@ -141,7 +141,7 @@
 Routing::FleetMember::Target PeerExchange::updateTarget()
 {
     auto now = Common::now();
-    if (auto hub = m_member.overdueHub(now)) {
+    if (auto hub = m_member.handleOverdueHub(now)) {
         m_loads.forgetHub(*hub);
         Common::log(LogLevel::Warning, "gateway", "hub.silent",
             { { "hub", *hub }, { "times", m_member.peers().state(*hub).backoff.timeouts() } });
@@ -170,18 +170,18 @@
 {
     std::optional<Routing::FleetMember::Target> target;
     auto now = Common::now();
-    double heardShare = 1;
+    double reachableShare = 1;
     {
         std::lock_guard lock(m_mutex);
         target = updateTarget();
         m_contact.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
-        heardShare = m_contact.heardShare(now);
-        m_parts.registry.setPeerLoads(m_loads.ofOthers(now));
+        reachableShare = m_contact.reachableShare(now);
+        m_parts.registry.setPeerLoads(m_loads.sumOfOthers(now));
     }
     if (target->seed)
         return requestRoster(target->seed->id);
     if (target->ranking.isHub())
-        m_quotas.stepAsHub(target->ranking.otherHubs(), heardShare, now);
+        m_quotas.stepAsHub(target->ranking.otherHubs(), reachableShare, now);
     else
         m_quotas.stepAsSubscriber(now);
     if (target->ranking.isHub())
@@ -235,7 +235,7 @@
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
         if (!asHub)
-            loads = m_loads.withSubscribers(std::move(loads), now, hub);
+            loads = m_loads.sumWithSubscribers(std::move(loads), now, hub);
         if (!stamp(hub, asHub, request))
             return;
     }
@@ -260,7 +260,7 @@
     {
         std::lock_guard lock(m_mutex);
         auto now = Common::now();
-        loads = m_loads.withSubscribers(std::move(loads), now);
+        loads = m_loads.sumWithSubscribers(std::move(loads), now);
         item.mutable_hub_loads()->set_routers(1 + m_loads.subscriberRouters(now));
     }
     encodeLoads(loads, *item.mutable_hub_loads()->mutable_loads());
@@ -355,7 +355,7 @@
     auto requested = outstanding.take(from, snapshot.nonce());
     if (!requested)
         return std::nullopt;
-    m_member.recordStoreOf(from, !snapshot.store_unavailable(), now);
+    m_member.recordPeerStoreAvailability(from, !snapshot.store_unavailable(), now);
     if (snapshot.leaving())
         m_member.peers().state(from).backoff.recordLeaving(now);
     if (!outstanding.asHub())
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -149,9 +149,9 @@
     if (isPastDeadline())
         return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired, "out of time" };
     // The lease is read first: a table that is read after it is at least as new as what the lease stands for.
-    bool keysAreConfirmed = areKeysConfirmed();
+    bool isKeyLeaseValid = areKeysConfirmed();
     auto inForce = m_services.watcher.configuration();
-    return Routing::refusalOfKey(inForce->table, m_workspace, key(), keysAreConfirmed);
+    return Routing::revalidateKey(inForce->table, m_workspace, key(), isKeyLeaseValid);
 }
 
 Routing::UpstreamRegistry::PlacementRequest RequestHandler::placementRequest() const
@@ -188,7 +188,7 @@
     // A copy would carry a suspect to a second engine.
     engineReplicates = engineReplicates && !m_suspect.runsAlone();
     bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
-    if (Routing::wantsReplica(*m_route, m_prompt, engineReplicates, failuresAreLikely))
+    if (Routing::shouldReplicate(*m_route, m_prompt, engineReplicates, failuresAreLikely))
         m_replica.choose(m_services.registry, placementRequest(), now);
     else
         m_replica.drop();
@@ -380,7 +380,7 @@
 
 void RequestHandler::refuse(const Refusal& refusal)
 {
-    Refusal honest { Routing::honestKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
+    Refusal honest { Routing::reportableKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
     if (m_stream.hasBegun())
         return abandon(Common::name(honest.kind));
     auto response = refusalResponse(m_services.headers, honest, m_history.mayHaveRun, m_report.requestId);
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -65,7 +65,7 @@
     }
 }
 
-TEST(RetryPolicyTest, WhatDidNotRunIsRetriedWhateverItsKind)
+TEST(RetryPolicyTest, ARequestThatDidNotRunIsRetriedOnAnyKindOfRoute)
 {
     for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Repeatable) }) {
         EXPECT_EQ(decideAfter(route, { AttemptOutcome::NotExecuted }), RetryDecision::RetryWithinBudget);
@@ -117,7 +117,7 @@
         RetryDecision::GiveUp);
 }
 
-TEST(RetryPolicyTest, OnlyARequestThatDidNotRunIsRefusedAsSuch)
+TEST(RetryPolicyTest, ErrorKindsThatSayDidNotRunAreOnlyUsedForRequestsThatDidNot)
 {
     AttemptHistory notRun;
     notRun.record(AttemptOutcome::NotExecuted);
@@ -128,8 +128,8 @@
     EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::NotExecuted, false, "p").kind, ErrorKind::UpstreamBroken);
     EXPECT_EQ(refusalAfterFailure(mayHaveRun, AttemptOutcome::Interrupted, true, "p").kind, ErrorKind::UpstreamTimeout);
     for (const auto& row : Common::errorTable()) {
-        EXPECT_EQ(honestKind(row.kind, false), row.kind);
-        EXPECT_NE(Common::traits(honestKind(row.kind, true)).ran, Ran::No) << row.name;
+        EXPECT_EQ(reportableKind(row.kind, false), row.kind);
+        EXPECT_NE(Common::traits(reportableKind(row.kind, true)).ran, Ran::No) << row.name;
     }
 }
 
@@ -146,7 +146,7 @@
 
 // A caller that is told to wait for a second is late whatever its objective; where others have room nothing speaks for
 // the wait.
-TEST(RetryPolicyTest, ARefusedCallerComesBackAtOnceWhereOthersHaveRoom)
+TEST(RetryPolicyTest, RetryAfterIsShorterWhileOtherUpstreamsHaveRoom)
 {
     EXPECT_EQ(retryAfterRefusal(true), 50ms);
     EXPECT_EQ(retryAfterRefusal(false), 1000ms);
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -32,16 +32,16 @@
 TEST(RosterCursorTest, APartIsSentOnceUnlessItIsLost)
 {
     RosterCursor cursor;
-    EXPECT_EQ(cursor.claim(0, 5, s_now), 0U);
-    EXPECT_EQ(cursor.claim(0, 5, s_now + 100ms), 5U) << "it may still be on its way";
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 200ms), 5U) << "only what is new since";
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 699ms), 7U);
-    EXPECT_EQ(cursor.claim(5, 7, s_now + 700ms), 5U) << "what was not acknowledged is lost";
+    EXPECT_EQ(cursor.beginSend(0, 5, s_now), 0U);
+    EXPECT_EQ(cursor.beginSend(0, 5, s_now + 100ms), 5U) << "it may still be on its way";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 200ms), 5U) << "only what is new since";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 699ms), 7U);
+    EXPECT_EQ(cursor.beginSend(5, 7, s_now + 700ms), 5U) << "what was not acknowledged is lost";
     cursor.forget();
-    EXPECT_EQ(cursor.claim(0, 7, s_now + 710ms), 0U) << "the connection has ended";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 710ms), 0U) << "the connection has ended";
 }
 
-TEST(RosterPositionTest, APartIsNotedOnlyBehindWhatIsThere)
+TEST(RosterPositionTest, APartIsRecordedOnlyWithoutAGapBeforeIt)
 {
     RosterPosition position;
     position.advance(1, 0, 5);
@@ -60,7 +60,7 @@
 TEST(PeerDirectoryTest, TheRosterSinceARevisionHoldsWhatChangedSince)
 {
     PeerDirectory peers("self");
-    peers.setSelf(s_self);
+    peers.setOwnEndpoint(s_self);
     peers.add({ "a", s_old, 1 });
     peers.addContact("b", s_old);
     EXPECT_EQ(idsOf(peers.rosterAfter(0)), (std::vector<std::string> { "self", "a", "b" }));
@@ -89,7 +89,7 @@
 TEST(PeerDirectoryTest, ARouterIsAnnouncedWhileThePlatformHasItsPresentAddress)
 {
     PeerDirectory peers("self");
-    peers.setSelf(s_self);
+    peers.setOwnEndpoint(s_self);
     EXPECT_FALSE(peers.isAnnounced());
     EXPECT_FALSE(peers.add({ "self", s_old, 3 })) << "it is no peer of its own";
     EXPECT_FALSE(peers.isAnnounced()) << "an earlier life was elsewhere";
@@ -122,7 +122,7 @@
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "it is known from peers, but not yet at this address";
 }
 
-TEST(RosterDutyTest, AStoreReaderReadsSoonAfterItsFirstReadAndThenSeldom)
+TEST(RosterDutyTest, TheIntervalBetweenReadsDoublesUpToItsMaximum)
 {
     EXPECT_EQ(rosterInterval(1), 1000ms);
     EXPECT_EQ(rosterInterval(2), 2000ms);
@@ -131,10 +131,10 @@
     EXPECT_EQ(rosterInterval(400), 6000ms);
 }
 
-TEST(StartPhaseTest, WithoutSeedsNothingIsExpectedFromOthers)
+TEST(StartPhaseTest, WithoutSeedsTheRosterIsNotAwaited)
 {
     StartPhase start({ {}, true }, s_now, 0.5);
-    start.setSelf(s_self);
+    start.setOwnEndpoint(s_self);
     EXPECT_FALSE(start.awaitsRoster(s_now));
     EXPECT_FALSE(start.seed());
 }
@@ -142,26 +142,27 @@
 TEST(StartPhaseTest, SeedsAreAskedInTurnForALimitedTime)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
-    start.setSelf(s_self);
+    start.setOwnEndpoint(s_self);
     EXPECT_TRUE(start.awaitsRoster(s_now));
     EXPECT_EQ(start.seed(), s_old);
     start.recordSeedFailure();
     EXPECT_EQ(start.seed(), s_new);
     start.recordSeedFailure();
     EXPECT_EQ(start.seed(), s_old);
-    EXPECT_TRUE(start.awaitsRoster(s_now + StartPhase::patience - 1ms));
-    EXPECT_FALSE(start.awaitsRoster(s_now + StartPhase::patience));
+    EXPECT_TRUE(start.awaitsRoster(s_now + StartPhase::rosterTimeout - 1ms));
+    EXPECT_FALSE(start.awaitsRoster(s_now + StartPhase::rosterTimeout));
     StartPhase later({ { s_old, s_new } }, s_now, 0.99);
-    EXPECT_TRUE(later.awaitsRoster(s_now + StartPhase::patience + StartPhase::patienceJitter / 2)) << "not in step";
+    EXPECT_TRUE(later.awaitsRoster(s_now + StartPhase::rosterTimeout + StartPhase::rosterTimeoutJitter / 2))
+        << "not in step";
 }
 
 // Callers wait for it.
-TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyWhileASeedIsThere)
+TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyUntilASeedFails)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
-    start.setSelf(s_self);
+    start.setOwnEndpoint(s_self);
     EXPECT_TRUE(start.awaitsState(s_now));
-    EXPECT_FALSE(start.awaitsState(s_now + StartPhase::statePatience));
+    EXPECT_FALSE(start.awaitsState(s_now + StartPhase::firstStateTimeout));
     start.recordSeedFailure();
     EXPECT_FALSE(start.awaitsState(s_now)) << "more than this router is starting";
     EXPECT_TRUE(start.awaitsRoster(s_now)) << "which is not urgent";
@@ -170,22 +171,22 @@
 TEST(StartPhaseTest, AtTheFleetsFirstStartTheStateIsAwaitedAsLongAsTheRoster)
 {
     StartPhase start({ { s_old, s_new }, true }, s_now, 0);
-    start.setSelf(s_self);
+    start.setOwnEndpoint(s_self);
     start.recordSeedFailure();
-    EXPECT_TRUE(start.awaitsState(s_now + StartPhase::patience - 1ms));
-    EXPECT_FALSE(start.awaitsState(s_now + StartPhase::patience));
+    EXPECT_TRUE(start.awaitsState(s_now + StartPhase::rosterTimeout - 1ms));
+    EXPECT_FALSE(start.awaitsState(s_now + StartPhase::rosterTimeout));
 }
 
-TEST(StartPhaseTest, ASeedWaitsForNobody)
+TEST(StartPhaseTest, ASeedDoesNotAwaitARoster)
 {
     StartPhase start({ { s_self, s_old }, true }, s_now, 0);
-    start.setSelf(s_self);
+    start.setOwnEndpoint(s_self);
     EXPECT_FALSE(start.awaitsRoster(s_now));
     EXPECT_TRUE(start.isSettled(s_now));
-    start.recordUnlisted(s_now + 100ms);
+    start.recordUnlistedRouter(s_now + 100ms);
     EXPECT_FALSE(start.isSettled(s_now + 299ms)) << "more may come";
     EXPECT_TRUE(start.isSettled(s_now + 300ms));
-    start.recordUnlisted(s_now + 1100ms);
+    start.recordUnlistedRouter(s_now + 1100ms);
     EXPECT_TRUE(start.isSettled(s_now + 1150ms)) << "one more does not make a roster incomplete";
 }
 
