--- a/Source/Inner/FrameCodec.cpp
+++ b/Source/Inner/FrameCodec.cpp
@@ -8,14 +8,14 @@
 using Common::ErrorKind;
 
 // Width of the length in front of each frame.
-static constexpr size_t lengthBytes = sizeof(uint32_t);
+static constexpr size_t lengthPrefixBytes = sizeof(uint32_t);
 
 std::string encodeFrame(const Wire::Frame& frame)
 {
-    std::string bytes(lengthBytes, '\0');
+    std::string bytes(lengthPrefixBytes, '\0');
     frame.AppendToString(&bytes);
     boost::endian::store_big_u32(
-        reinterpret_cast<unsigned char*>(bytes.data()), static_cast<uint32_t>(bytes.size() - lengthBytes));
+        reinterpret_cast<unsigned char*>(bytes.data()), static_cast<uint32_t>(bytes.size() - lengthPrefixBytes));
     return bytes;
 }
 
@@ -23,20 +23,21 @@
 {
     m_buffer += bytes;
     std::vector<Wire::Frame> frames;
-    size_t taken = 0;
-    while (m_buffer.size() - taken >= lengthBytes) {
-        uint32_t length = boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(m_buffer.data() + taken));
+    size_t consumed = 0;
+    while (m_buffer.size() - consumed >= lengthPrefixBytes) {
+        uint32_t length
+            = boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(m_buffer.data() + consumed));
         if (length > maxFrameBytes)
             return Common::makeError(ErrorKind::BadRequest, "a frame is larger than the limit");
-        if (m_buffer.size() - taken - lengthBytes < length)
+        if (m_buffer.size() - consumed - lengthPrefixBytes < length)
             break;
         Wire::Frame frame;
-        if (!frame.ParseFromArray(m_buffer.data() + taken + lengthBytes, static_cast<int>(length)))
+        if (!frame.ParseFromArray(m_buffer.data() + consumed + lengthPrefixBytes, static_cast<int>(length)))
             return Common::makeError(ErrorKind::BadRequest, "not a frame");
         frames.push_back(std::move(frame));
-        taken += lengthBytes + length;
+        consumed += lengthPrefixBytes + length;
     }
-    m_buffer.erase(0, taken);
+    m_buffer.erase(0, consumed);
     return frames;
 }
 
--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -14,12 +14,12 @@
 // A peer behind a network cut neither responds nor resets: the connection ends when bytes stay unacknowledged for this
 // long (TCP_USER_TIMEOUT). The kernel of a stopped process acknowledges: there the connection ends when bytes have
 // waited for the peer's HTTP/2 window for as long. Chosen, not measured.
-static constexpr int noProgressMs = 2000;
+static constexpr int writeStallTimeoutMs = 2000;
 
 // Buffer for one read: HTTP/2's default maximum frame size (RFC 9113, 6.5.2).
-static constexpr size_t readBytes = 16 * 1024;
+static constexpr size_t readBufferBytes = 16 * 1024;
 // HTTP/2 window: room for a burst of frames without waiting for window updates. Chosen, not measured.
-static constexpr int32_t windowBytes = 1 << 20;
+static constexpr int32_t flowControlWindowBytes = 1 << 20;
 
 Http2Session::Http2Session(Socket socket, Hooks hooks)
     : m_socket(std::move(socket))
@@ -28,7 +28,7 @@
     boost::system::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-    m_socket.set_option(UserTimeout(noProgressMs), ignored);
+    m_socket.set_option(UserTimeout(writeStallTimeoutMs), ignored);
 }
 
 Http2Session::~Http2Session() { nghttp2_session_del(m_session); }
@@ -49,10 +49,10 @@
 
 static void submitSettings(nghttp2_session* session)
 {
-    std::array settings { nghttp2_settings_entry { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, windowBytes },
+    std::array settings { nghttp2_settings_entry { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, flowControlWindowBytes },
         nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, 1 } };
     nghttp2_submit_settings(session, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
-    nghttp2_session_set_local_window_size(session, NGHTTP2_FLAG_NONE, 0, windowBytes);
+    nghttp2_session_set_local_window_size(session, NGHTTP2_FLAG_NONE, 0, flowControlWindowBytes);
 }
 
 void Http2Session::startServer()
@@ -93,18 +93,18 @@
     nghttp2_session*, int32_t, uint8_t* target, size_t room, uint32_t*, nghttp2_data_source* source, void*)
 {
     auto& self = *static_cast<Http2Session*>(source->ptr);
-    size_t bytes = std::min(room, self.m_out.size() - self.m_outTaken);
+    size_t bytes = std::min(room, self.m_outbound.size() - self.m_outboundConsumed);
     if (!bytes) {
         self.m_deferred = true;
         return NGHTTP2_ERR_DEFERRED;
     }
-    std::copy_n(self.m_out.data() + self.m_outTaken, bytes, target);
-    self.m_outTaken += bytes;
-    self.m_bytesTaken += bytes;
+    std::copy_n(self.m_outbound.data() + self.m_outboundConsumed, bytes, target);
+    self.m_outboundConsumed += bytes;
+    self.m_totalConsumed += bytes;
     // Also for a peer that always lags a little: what was taken never exceeds what was not.
-    if (self.m_outTaken >= self.m_out.size() - self.m_outTaken) {
-        self.m_out.erase(0, self.m_outTaken);
-        self.m_outTaken = 0;
+    if (self.m_outboundConsumed >= self.m_outbound.size() - self.m_outboundConsumed) {
+        self.m_outbound.erase(0, self.m_outboundConsumed);
+        self.m_outboundConsumed = 0;
     }
     return static_cast<ssize_t>(bytes);
 }
@@ -152,14 +152,15 @@
 {
     auto keepAlive = shared_from_this();
     flush();
-    std::vector<char> buffer(readBytes);
+    std::vector<char> buffer(readBufferBytes);
     while (m_open) {
         auto read = Common::awaitIo(
             [&](auto handler) { m_socket.async_read_some(asio::buffer(buffer), std::move(handler)); });
         if (!read.ok())
             break;
-        auto taken = nghttp2_session_mem_recv(m_session, reinterpret_cast<const uint8_t*>(buffer.data()), read.bytes);
-        if (!handOver() || taken < 0)
+        auto consumed
+            = nghttp2_session_mem_recv(m_session, reinterpret_cast<const uint8_t*>(buffer.data()), read.bytes);
+        if (!deliverReceived() || consumed < 0)
             break;
         flush();
     }
@@ -167,41 +168,41 @@
 }
 
 // Outside nghttp2, so that the hook may do anything, also with this session.
-bool Http2Session::handOver()
+bool Http2Session::deliverReceived()
 {
     if (m_received.empty())
         return true;
-    bool isFine = m_hooks.onData(m_received);
+    bool isAccepted = m_hooks.onData(m_received);
     m_received.clear();
-    return isFine;
+    return isAccepted;
 }
 
 void Http2Session::send(std::string bytes)
 {
     if (!m_open)
         return;
-    if (m_out.empty())
-        m_out = std::move(bytes);
+    if (m_outbound.empty())
+        m_outbound = std::move(bytes);
     else
-        m_out += bytes;
+        m_outbound += bytes;
     if (m_deferred) {
         m_deferred = false;
         nghttp2_session_resume_data(m_session, m_stream);
     }
     flush();
-    awaitTaken();
+    awaitOutboundConsumed();
 }
 
 // Another fiber may be writing, or the peer's window may be used up: then the reader goes on when the window opens.
-void Http2Session::awaitTaken()
+void Http2Session::awaitOutboundConsumed()
 {
     std::unique_lock lock(m_progressMutex);
-    while (m_open && !m_out.empty()) {
-        auto takenBefore = m_bytesTaken;
-        auto status = m_progress.wait_for(lock, std::chrono::milliseconds(noProgressMs));
+    while (m_open && !m_outbound.empty()) {
+        auto consumedBefore = m_totalConsumed;
+        auto status = m_progress.wait_for(lock, std::chrono::milliseconds(writeStallTimeoutMs));
         // Bytes that are on their way to the socket are the kernel's to judge.
         bool isStuck
-            = status == boost::fibers::cv_status::timeout && m_bytesTaken == takenBefore && !m_flushing && m_open;
+            = status == boost::fibers::cv_status::timeout && m_totalConsumed == consumedBefore && !m_flushing && m_open;
         if (isStuck)
             close();
     }
--- a/Source/Inner/Http2Session.h
+++ b/Source/Inner/Http2Session.h
@@ -38,8 +38,8 @@
     void startServer();
     void flush();
     void writePending();
-    void awaitTaken();
-    bool handOver();
+    void awaitOutboundConsumed();
+    bool deliverReceived();
     static ssize_t readBody(nghttp2_session*, int32_t, uint8_t*, size_t, uint32_t* flags, nghttp2_data_source*, void*);
     static int onHeader(
         nghttp2_session*, const nghttp2_frame*, const uint8_t*, size_t, const uint8_t*, size_t, uint8_t, void*);
@@ -54,9 +54,9 @@
     std::string m_authorization;
     bool m_authorized { false };
     std::string m_received; // Of the stream, not handed over yet.
-    std::string m_out;
-    size_t m_outTaken { 0 };
-    uint64_t m_bytesTaken { 0 }; // Since the connection began.
+    std::string m_outbound;
+    size_t m_outboundConsumed { 0 };
+    uint64_t m_totalConsumed { 0 }; // Since the connection began.
     bool m_deferred { false };
     bool m_flushing { false };
     bool m_open { true };
--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -15,7 +15,7 @@
 static constexpr Common::Milliseconds connectTimeout { 500 };
 // From the end of a connection, or of an attempt to get one, to the next attempt. An owner that sends again whenever it
 // is notified would otherwise make a router connect as fast as it can to a peer that refuses it. Chosen, not measured.
-static constexpr Common::Milliseconds reconnectPause { 10 };
+static constexpr Common::Milliseconds reconnectDelay { 10 };
 // A connection is closed when more than this waits behind the first item that the peer does not take; that one may have
 // any size. Chosen, not measured.
 static constexpr size_t maxBacklogBytes = 8 * 1024 * 1024;
@@ -32,7 +32,7 @@
 
 void PeerLink::send(Wire::Item item)
 {
-    bool isFirst = false;
+    bool startsDrain = false;
     bool isStalled = false;
     {
         std::lock_guard lock(m_mutex);
@@ -41,45 +41,45 @@
             m_backlogBytes += bytes;
         m_outbox.push_back({ std::move(item), bytes });
         isStalled = m_backlogBytes > maxBacklogBytes && !std::exchange(m_stalled, true);
-        isFirst = !std::exchange(m_draining, true);
+        startsDrain = !std::exchange(m_draining, true);
     }
     if (isStalled)
-        m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->endStalled(); });
-    if (isFirst)
+        m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->closeStalledConnection(); });
+    if (startsDrain)
         m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->drain(); });
 }
 
 void PeerLink::remove()
 {
-    m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->removeNow(); });
+    m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->removeOnLinkThread(); });
 }
 
-void PeerLink::removeNow()
+void PeerLink::removeOnLinkThread()
 {
     if (auto session = m_session)
-        endConnection(session);
-    else if (isWaiting())
-        discard();
+        closeConnection(session);
+    else if (hasPendingItems())
+        dropOutboxAndNotify();
     m_removed = true;
 }
 
 // Sends what waits, one frame at a time, until nothing waits. At most one fiber does so.
 void PeerLink::drain()
 {
-    while (hasWork()) {
+    while (continueDrain()) {
         if (auto session = openSession())
             write(session, takeBatch());
     }
 }
 
-bool PeerLink::hasWork()
+bool PeerLink::continueDrain()
 {
     std::lock_guard lock(m_mutex);
     m_draining = !m_outbox.empty();
     return m_draining;
 }
 
-bool PeerLink::isWaiting()
+bool PeerLink::hasPendingItems()
 {
     std::lock_guard lock(m_mutex);
     return !m_outbox.empty();
@@ -131,10 +131,10 @@
         return m_session;
     // The connection ended while it was written to, and its reader has not noticed yet.
     if (auto ended = m_session) {
-        endConnection(ended);
+        closeConnection(ended);
         return nullptr;
     }
-    pauseBeforeReconnect();
+    awaitReconnectDelay();
     auto session = m_removed ? nullptr : connect();
     if (m_removed) {
         // The owner was notified by `remove`.
@@ -142,7 +142,7 @@
         return nullptr;
     }
     if (!session) {
-        discard();
+        dropOutboxAndNotify();
         return nullptr;
     }
     m_session = session;
@@ -151,9 +151,9 @@
     return session;
 }
 
-void PeerLink::pauseBeforeReconnect() const
+void PeerLink::awaitReconnectDelay() const
 {
-    auto rest = m_lastEnd + reconnectPause - Common::now();
+    auto rest = m_lastConnectionEnd + reconnectDelay - Common::now();
     if (rest.count() > 0)
         Common::sleepFor(rest);
 }
@@ -174,21 +174,21 @@
 {
     Common::FiberRuntime::spawnHere([self = shared_from_this(), session] {
         session->run();
-        self->endConnection(session);
+        self->closeConnection(session);
     });
 }
 
-void PeerLink::endConnection(const Session& session)
+void PeerLink::closeConnection(const Session& session)
 {
     session->close();
     // Another fiber was first.
     if (m_session != session)
         return;
     m_session = nullptr;
-    discard();
+    dropOutboxAndNotify();
 }
 
-void PeerLink::endStalled()
+void PeerLink::closeStalledConnection()
 {
     {
         std::lock_guard lock(m_mutex);
@@ -197,12 +197,12 @@
     }
     // An attempt to connect has a time limit of its own.
     if (auto session = m_session)
-        endConnection(session);
+        closeConnection(session);
 }
 
-void PeerLink::discard()
+void PeerLink::dropOutboxAndNotify()
 {
-    m_lastEnd = Common::now();
+    m_lastConnectionEnd = Common::now();
     dropOutbox();
     m_context.onDisconnected(m_peer.id);
 }
--- a/Source/Inner/PeerLink.h
+++ b/Source/Inner/PeerLink.h
@@ -24,7 +24,7 @@
 //
 // Connecting and writing suspend the sending fiber, and meanwhile the fiber that reads the connection, or `remove`, may
 // end it. So no fiber keeps what it knew of the link across a suspension: it holds a reference to its own session, and
-// looks at the link again afterwards. Whoever notices the end of a connection first calls `endConnection`, which does
+// looks at the link again afterwards. Whoever notices the end of a connection first calls `closeConnection`, which does
 // in one step all that belongs to it; the others find it done.
 //
 // What the owner may rely on: an item is written to an open connection, or it is dropped and `onDisconnected` is called
@@ -59,8 +59,8 @@
 
     void drain();
     // Whether something waits; otherwise the drain is over and the next `send` starts another one. For the drain alone.
-    bool hasWork();
-    bool isWaiting();
+    bool continueDrain();
+    bool hasPendingItems();
     // What goes into one frame.
     std::vector<Wire::Item> takeBatch();
     void dropOutbox();
@@ -68,16 +68,16 @@
     // The open session, connecting if there is none; null when the outbox was discarded instead.
     Session openSession();
     Session connect();
-    void pauseBeforeReconnect() const;
+    void awaitReconnectDelay() const;
     void startReading(const Session&);
-    void endConnection(const Session&);
+    void closeConnection(const Session&);
     // Ends the connection of a peer that does not take what it is sent.
-    void endStalled();
+    void closeStalledConnection();
     // Drops what waits, and notifies the owner.
-    void discard();
-    void removeNow();
+    void dropOutboxAndNotify();
+    void removeOnLinkThread();
 
-    struct Waiting {
+    struct QueuedItem {
         Wire::Item item;
         size_t bytes { 0 };
     };
@@ -87,9 +87,9 @@
     const size_t m_thread;
     Session m_session; // Null when there is no connection.
     bool m_removed { false };
-    Common::TimePoint m_lastEnd {}; // Of a connection, or of an attempt to get one.
+    Common::TimePoint m_lastConnectionEnd {}; // Of a connection, or of an attempt to get one.
     std::mutex m_mutex; // Guards the rest.
-    std::deque<Waiting> m_outbox;
+    std::deque<QueuedItem> m_outbox;
     size_t m_backlogBytes { 0 }; // Of all items in the outbox but the first.
     bool m_stalled { false }; // More waits than may.
     bool m_draining { false }; // A fiber is on its way to empty the outbox.
