--- a/Source/RouteServing/Duties/CapacityDemand.h
+++ b/Source/RouteServing/Duties/CapacityDemand.h
@@ -19,8 +19,8 @@
 
 // Engines that a service needs.
 struct CapacityNeed {
-    unsigned lasting { 0 }; // So that prompts begin in time, under the load that lasts.
-    unsigned ahead { 0 }; // With headroom for bursts that are over before another engine has booted.
+    unsigned sustained { 0 }; // So that prompts begin in time, under the load that lasts.
+    unsigned withHeadroom { 0 }; // With headroom for bursts that are over before another engine has booted.
     bool operator==(const CapacityNeed&) const = default;
 };
 
@@ -41,8 +41,8 @@
     // `spotPrice`: of an engine that carries the headroom, as a share of one on demand.
     explicit CapacityDemand(double spotPrice);
 
-    // `standing`: engines that serve now.
-    void observe(const EngineLoad&, unsigned standing, Common::TimePoint now);
+    // `servingEngines`: engines that serve now.
+    void observe(const EngineLoad&, unsigned servingEngines, Common::TimePoint now);
     // None before what stands is settled: nothing is ordered then.
     std::optional<CapacityNeed> need(Common::TimePoint now) const;
 
@@ -58,10 +58,10 @@
     double m_headroom;
     std::deque<Sample> m_samples;
     double m_smoothed { 0 };
-    unsigned m_standing { 0 };
-    std::optional<Common::TimePoint> m_standingSince;
-    std::optional<unsigned> m_held; // What stood when it had settled first.
-    std::optional<Common::TimePoint> m_loadSince;
+    unsigned m_servingEngines { 0 };
+    std::optional<Common::TimePoint> m_servingEnginesSince;
+    std::optional<unsigned> m_initialEngines; // What stood when it had settled first.
+    std::optional<Common::TimePoint> m_firstLoadAt;
 };
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/CapacityOrders.cpp
+++ b/Source/RouteServing/Duties/CapacityOrders.cpp
@@ -8,24 +8,25 @@
 
 // When none are to be had; the users' sheets name eight to ten seconds of that. Chosen, not measured: one call in two
 // seconds and failure domain.
-static constexpr Common::Milliseconds retryWhenNone = 2000ms;
+static constexpr Common::Milliseconds noCapacityRetryDelay = 2000ms;
 // After a refusal for other reasons or no answer. Chosen, not measured.
-static constexpr Common::Milliseconds retryAfterFailure = 500ms;
+static constexpr Common::Milliseconds failureRetryDelay = 500ms;
 // The list of upstreams lags (`DrainMs` is 2 to 4 s in the users' sheets). Chosen, not measured.
-static constexpr Common::Milliseconds listLag = 3000ms;
+static constexpr Common::Milliseconds upstreamListLag = 3000ms;
 
 // None, so that it is ordered again, when the platform accepted a number long ago and fewer stand.
-std::optional<unsigned> CapacityOrders::orderedNumber(const Subject& subject, unsigned standing, TimePoint now) const
+std::optional<unsigned> CapacityOrders::orderedNumber(
+    const Subject& subject, unsigned servingEngines, TimePoint now) const
 {
     auto found = m_subjects.find(subject);
     if (found == m_subjects.end() || !found->second.accepted)
         return std::nullopt;
     const auto& state = found->second;
-    bool isMissing = standing < *state.accepted && now - state.acceptedAt > m_boot + listLag;
+    bool isMissing = servingEngines < *state.accepted && now - state.acceptedAt > m_boot + upstreamListLag;
     return isMissing ? std::nullopt : state.accepted;
 }
 
-void CapacityOrders::describe(const std::string& service, std::span<DomainCapacity> domains, TimePoint now)
+void CapacityOrders::setOrderedNumbers(const std::string& service, std::span<DomainCapacity> domains, TimePoint now)
 {
     for (auto& domain : domains) {
         domain.orderedOnDemand = orderedNumber({ service, domain.domain, EngineKind::OnDemand }, domain.onDemand, now);
@@ -43,8 +44,9 @@
         const auto& state = found->second;
         if (now < state.notBefore)
             continue;
-        bool mayCross = state.unanswered && *state.unanswered != order.desired && state.unansweredToken >= token;
-        return Next { order, mayCross };
+        bool conflictsWithUnanswered
+            = state.unanswered && *state.unanswered != order.desired && state.unansweredToken >= token;
+        return Next { order, conflictsWithUnanswered };
     }
     return std::nullopt;
 }
@@ -60,14 +62,14 @@
         if (state.unansweredToken < token || state.unanswered == order.desired)
             state.unanswered.reset();
         return;
-    case Outcome::NoneToBeHad:
-        state.notBefore = now + retryWhenNone;
+    case Outcome::NoCapacity:
+        state.notBefore = now + noCapacityRetryDelay;
         return;
-    case Outcome::NotDone:
-        state.notBefore = now + retryAfterFailure;
+    case Outcome::Rejected:
+        state.notBefore = now + failureRetryDelay;
         return;
-    case Outcome::NoAnswer:
-        state.notBefore = now + retryAfterFailure;
+    case Outcome::NoResponse:
+        state.notBefore = now + failureRetryDelay;
         state.unanswered = order.desired;
         state.unansweredToken = token;
         return;
--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -26,7 +26,7 @@
     }
 
     // Sets what was ordered in each domain.
-    void describe(const std::string& service, std::span<DomainCapacity>, Common::TimePoint now);
+    void setOrderedNumbers(const std::string& service, std::span<DomainCapacity>, Common::TimePoint now);
 
     struct Next {
         CapacityOrder order;
@@ -37,9 +37,9 @@
 
     enum class Outcome : uint8_t {
         Accepted,
-        NoneToBeHad, // The platform has no such engines in the domain now.
-        NotDone,
-        NoAnswer,
+        NoCapacity, // The platform has no such engines in the domain now.
+        Rejected,
+        NoResponse,
     };
     void record(const CapacityOrder&, uint64_t token, Outcome, Common::TimePoint now);
 
@@ -53,7 +53,7 @@
         uint64_t unansweredToken { 0 }; // with this token.
     };
     static Subject subjectOf(const CapacityOrder& order) { return { order.service, order.domain, order.kind }; }
-    std::optional<unsigned> orderedNumber(const Subject&, unsigned standing, Common::TimePoint now) const;
+    std::optional<unsigned> orderedNumber(const Subject&, unsigned servingEngines, Common::TimePoint now) const;
 
     Common::Milliseconds m_boot;
     std::map<Subject, State> m_subjects;
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -13,26 +13,27 @@
 
 // Spot engines are given back only when they are so many more than wanted: a new one starts with an empty cache.
 // Chosen, not measured: about what the need varies by under a load that does not change.
-static constexpr unsigned keptShareDivisor = 8;
-static constexpr unsigned keptAtLeast = 2;
+static constexpr unsigned spotSurplusDivisor = 8;
+static constexpr unsigned minSpotSurplus = 2;
 
 // Engines of a kind and domain that come or go at one time; the next ones when these serve or have left. Each change of
 // the list of upstreams is passed on to every router: when 3,000 engines were replaced at once before 300 routers, hubs
 // sent 15 MB a second and grew to 263 MB. Chosen, not measured: more than the bound of a domain on the users' sites
 // (40).
-static constexpr unsigned maxStep = 60;
+static constexpr unsigned maxEnginesPerStep = 60;
 
-static unsigned inSteps(unsigned standing, unsigned wanted)
+static unsigned limitStep(unsigned servingEngines, unsigned wanted)
 {
-    return std::clamp(wanted, standing - std::min(standing, maxStep), standing + maxStep);
+    return std::clamp(
+        wanted, servingEngines - std::min(servingEngines, maxEnginesPerStep), servingEngines + maxEnginesPerStep);
 }
 
-static bool isWorthGivingBack(unsigned ordered, unsigned wanted)
+static bool exceedsSpotSurplus(unsigned ordered, unsigned wanted)
 {
-    return ordered - wanted > std::max(keptAtLeast, ordered / keptShareDivisor);
+    return ordered - wanted > std::max(minSpotSurplus, ordered / spotSurplusDivisor);
 }
 
-std::vector<size_t> CapacityPlan::byPrice(std::span<const DomainCapacity> domains) const
+std::vector<size_t> CapacityPlan::domainsByPrice(std::span<const DomainCapacity> domains) const
 {
     auto price = [&](size_t index) {
         auto found = m_terms.domainPrices.find(domains[index].domain);
@@ -62,17 +63,17 @@
         targets.push_back({ floor, 0 });
         if (spotIsCheaper)
             targets.back().spot
-                = std::min(spotTarget(domains.size(), need.ahead), m_terms.max - std::min(m_terms.max, floor));
+                = std::min(spotTarget(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
         carried += floor + std::min(domain.spot, targets.back().spot);
     }
     // What spot engines do not carry yet, or no more, in the cheapest domains first, and never in the place of a spot
     // engine that serves. What stands is given back last.
-    auto missing = need.lasting - std::min(need.lasting, carried);
-    for (bool keepsStanding : { true, false }) {
-        for (size_t index : byPrice(domains)) {
+    auto missing = need.sustained - std::min(need.sustained, carried);
+    for (bool keepsServing : { true, false }) {
+        for (size_t index : domainsByPrice(domains)) {
             auto& target = targets[index];
             auto room = m_terms.max - std::min(m_terms.max, domains[index].spot);
-            auto most = keepsStanding ? std::min(domains[index].onDemand, room) : room;
+            auto most = keepsServing ? std::min(domains[index].onDemand, room) : room;
             auto more = std::min(missing, most - std::min(most, target.onDemand));
             target.onDemand += more;
             missing -= more;
@@ -93,9 +94,9 @@
         auto onDemand = domain.orderedOnDemand.value_or(domain.onDemand);
         auto spot = domain.orderedSpot.value_or(domain.spot);
         auto room = [&](unsigned other) { return m_terms.max - std::min(m_terms.max, other); };
-        auto nextOnDemand = std::min(inSteps(domain.onDemand, targets[index].onDemand), room(spot));
-        auto nextSpot = std::min(inSteps(domain.spot, targets[index].spot), room(onDemand));
-        if (nextSpot < spot && spot <= room(std::max(onDemand, nextOnDemand)) && !isWorthGivingBack(spot, nextSpot))
+        auto nextOnDemand = std::min(limitStep(domain.onDemand, targets[index].onDemand), room(spot));
+        auto nextSpot = std::min(limitStep(domain.spot, targets[index].spot), room(onDemand));
+        if (nextSpot < spot && spot <= room(std::max(onDemand, nextOnDemand)) && !exceedsSpotSurplus(spot, nextSpot))
             nextSpot = spot;
         if (nextOnDemand + nextSpot < m_terms.min)
             nextOnDemand = m_terms.min - nextSpot;
--- a/Source/RouteServing/Duties/CapacityPlan.h
+++ b/Source/RouteServing/Duties/CapacityPlan.h
@@ -77,7 +77,7 @@
 
 private:
     unsigned spotTarget(size_t domains, unsigned needed) const;
-    std::vector<size_t> byPrice(std::span<const DomainCapacity> domains) const;
+    std::vector<size_t> domainsByPrice(std::span<const DomainCapacity> domains) const;
 
     ScalingTerms m_terms;
 };
--- a/Source/RouteServing/Gateway/DutyMetrics.cpp
+++ b/Source/RouteServing/Gateway/DutyMetrics.cpp
@@ -68,18 +68,18 @@
         .Increment();
 }
 
-void capacity(const std::string& service, unsigned standing, const std::optional<Duties::CapacityNeed>& need)
+void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>& need)
 {
     auto set = [&](const char* what, unsigned engines) {
         Common::Metrics::gauge("brassladder_capacity_engines", "Engines of a service whose capacity this router orders",
             { { "service", service }, { "what", what } })
             .Set(engines);
     };
-    set("standing", standing);
+    set("standing", servingEngines);
     if (!need)
         return;
-    set("lasting", need->lasting);
-    set("ahead", need->ahead);
+    set("lasting", need->sustained);
+    set("ahead", need->withHeadroom);
 }
 
 } // namespace Brassladder::RouteServing::Gateway::DutyMetrics
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -22,7 +22,7 @@
 void windowEnded(std::string_view how);
 
 // `brassladder_capacity_engines{service,what}`; `what`: standing, lasting (needed) or ahead (with headroom).
-void capacity(const std::string& service, unsigned standing, const std::optional<Duties::CapacityNeed>&);
+void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>&);
 
 std::string_view label(DutyCallOutcome);
 
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -134,7 +134,7 @@
     if (!m_lease.isHolder())
         return;
     if (order)
-        m_orders.at(order->service).record(*order, m_heldToken, CapacityOrders::Outcome::NoneToBeHad, Common::now());
+        m_orders.at(order->service).record(*order, m_heldToken, CapacityOrders::Outcome::NoCapacity, Common::now());
     else
         m_lease.requireNewToken();
 }
@@ -277,12 +277,12 @@
 
 void DutyRunner::observeDemand(const ServiceCapacity& service, TimePoint now)
 {
-    unsigned standing = 0;
+    unsigned servingEngines = 0;
     for (const auto& domain : service.domains)
-        standing += domain.onDemand + domain.spot;
+        servingEngines += domain.onDemand + domain.spot;
     auto& demand = m_demands.try_emplace(service.service, service.terms.spotPrice).first->second;
-    demand.observe(service.load, standing, now);
-    DutyMetrics::capacity(service.service, standing, demand.need(now));
+    demand.observe(service.load, servingEngines, now);
+    DutyMetrics::capacity(service.service, servingEngines, demand.need(now));
 }
 
 bool DutyRunner::orderCapacity(const ServiceCapacity& service, TimePoint now)
@@ -292,7 +292,7 @@
         return false;
     auto& orders = m_orders.try_emplace(service.service, service.terms.boot).first->second;
     auto domains = service.domains;
-    orders.describe(service.service, domains, now);
+    orders.setOrderedNumbers(service.service, domains, now);
     Duties::CapacityPlan plan(service.terms);
     auto targets = plan.targets(domains, *need);
     auto next = orders.next(plan.orders(service.service, domains, targets), m_heldToken, now);
@@ -311,9 +311,9 @@
     case DutyCallOutcome::Accepted:
         return CapacityOrders::Outcome::Accepted;
     case DutyCallOutcome::NoResponse:
-        return CapacityOrders::Outcome::NoAnswer;
+        return CapacityOrders::Outcome::NoResponse;
     default:
-        return CapacityOrders::Outcome::NotDone;
+        return CapacityOrders::Outcome::Rejected;
     }
 }
 
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -47,8 +47,8 @@
                 continue;
             bool isSpot = order.kind == EngineKind::Spot;
             (isSpot ? domain.orderedSpot : domain.orderedOnDemand) = order.desired;
-            auto& standing = isSpot ? domain.spot : domain.onDemand;
-            standing = std::min(standing, order.desired);
+            auto& servingEngines = isSpot ? domain.spot : domain.onDemand;
+            servingEngines = std::min(servingEngines, order.desired);
         }
     }
     void boot()
@@ -100,15 +100,15 @@
 TEST(CapacityDemandTest, NothingIsOrderedBeforeWhatStandsIsSettledAndThenItIsHeld)
 {
     CapacityDemand demand(0.15);
-    unsigned standing = 0;
+    unsigned servingEngines = 0;
     auto now = s_start;
     // A list that fills while engines announce themselves.
-    for (; standing < 60; standing += 6, now += 500ms) {
-        demand.observe({}, standing, now);
+    for (; servingEngines < 60; servingEngines += 6, now += 500ms) {
+        demand.observe({}, servingEngines, now);
         EXPECT_FALSE(demand.need(now));
     }
     for (int step = 0; step < 5; ++step, now += 500ms)
-        demand.observe({}, standing, now);
+        demand.observe({}, servingEngines, now);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 60, 60 }));
     // What was ordered meanwhile does not count as needed.
     demand.observe({}, 120, now + 5s);
@@ -132,7 +132,7 @@
     play(100'000, 61s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
     play(300'000, 2s);
-    EXPECT_GE(demand.need(now)->ahead, 2 * 60U);
+    EXPECT_GE(demand.need(now)->withHeadroom, 2 * 60U);
     play(300'000, 6s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 143 }));
     play(100'000, 10s);
@@ -140,7 +140,7 @@
     play(100'000, 60s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
     play(300'000, 15s);
-    EXPECT_EQ(demand.need(now)->lasting, 72U) << "a load that lasts";
+    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a load that lasts";
 }
 
 // Whatever is needed and whatever stands or was ordered: no order leaves the bounds, alone or with those before it.
@@ -160,8 +160,8 @@
         CapacityPlan plan(any);
         for (int round = 0; round < 6; ++round) {
             auto needed = *rc::gen::inRange(0U, 400U);
-            auto ahead = *rc::gen::inRange(0U, 400U);
-            auto targets = plan.targets(platform.domains, { needed, ahead });
+            auto withHeadroom = *rc::gen::inRange(0U, 400U);
+            auto targets = plan.targets(platform.domains, { needed, withHeadroom });
             for (const auto& order : plan.orders("s", platform.domains, targets)) {
                 if (!*rc::gen::arbitrary<bool>())
                     continue;
@@ -243,7 +243,7 @@
     CapacityOrder six { "s", "north", EngineKind::Spot, 6 };
     CapacityOrder nine { "s", "north", EngineKind::Spot, 9 };
     EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)->needsNewToken);
-    orders.record(six, 5, CapacityOrders::Outcome::NoAnswer, s_start);
+    orders.record(six, 5, CapacityOrders::Outcome::NoResponse, s_start);
     EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)) << "not at once";
     auto later = s_start + 1s;
     EXPECT_FALSE(orders.next(std::array { six }, 5, later)->needsNewToken) << "the same may be repeated";
@@ -258,7 +258,7 @@
     CapacityOrders orders(4000ms);
     CapacityOrder north { "s", "north", EngineKind::Spot, 6 };
     CapacityOrder south { "s", "south", EngineKind::Spot, 6 };
-    orders.record(north, 1, CapacityOrders::Outcome::NoneToBeHad, s_start);
+    orders.record(north, 1, CapacityOrders::Outcome::NoCapacity, s_start);
     const std::array both { north, south };
     EXPECT_EQ(orders.next(both, 1, s_start + 1s)->order, south);
     EXPECT_EQ(orders.next(both, 1, s_start + 2s)->order, north);
@@ -269,12 +269,12 @@
     CapacityOrders orders(4000ms);
     orders.record({ "s", "north", EngineKind::Spot, 6 }, 1, CapacityOrders::Outcome::Accepted, s_start);
     std::vector<DomainCapacity> domains { { "north", 0, 5, std::nullopt, std::nullopt } };
-    orders.describe("s", domains, s_start + 7s);
+    orders.setOrderedNumbers("s", domains, s_start + 7s);
     EXPECT_EQ(domains[0].orderedSpot, 6U);
-    orders.describe("s", domains, s_start + 7001ms);
+    orders.setOrderedNumbers("s", domains, s_start + 7001ms);
     EXPECT_FALSE(domains[0].orderedSpot);
     domains[0].spot = 6;
-    orders.describe("s", domains, s_start + 8s);
+    orders.setOrderedNumbers("s", domains, s_start + 8s);
     EXPECT_EQ(domains[0].orderedSpot, 6U);
 }
 
