--- a/Source/RouteServing/Duties/DutyRecord.cpp
+++ b/Source/RouteServing/Duties/DutyRecord.cpp
@@ -13,7 +13,7 @@
 std::string keyOf(const DutyRecord& record)
 {
     if (const auto* window = std::get_if<WindowRecord>(&record))
-        return std::string(windowKeyPrefix) + std::to_string(window->window % windowsOnLog);
+        return std::string(windowKeyPrefix) + std::to_string(window->window % maxLoggedWindows);
     return std::string(leaseKey);
 }
 
@@ -27,7 +27,7 @@
         { "token", lease.token }, { "released", lease.isReleased }, { "first_unreported", lease.firstUnreported } });
 }
 
-static std::optional<uint64_t> wholeNumber(const Json& json, std::string_view name)
+static std::optional<uint64_t> unsignedMember(const Json& json, std::string_view name)
 {
     auto found = json.find(name);
     if (found == json.end() || !found->is_number_unsigned())
@@ -37,9 +37,9 @@
 
 static std::optional<DutyRecord> decodeLease(const Json& json)
 {
-    auto incarnation = wholeNumber(json, "incarnation");
-    auto token = wholeNumber(json, "token");
-    auto firstUnreported = wholeNumber(json, "first_unreported");
+    auto incarnation = unsignedMember(json, "incarnation");
+    auto token = unsignedMember(json, "token");
+    auto firstUnreported = unsignedMember(json, "first_unreported");
     auto holder = Common::member<std::string>(json, "holder", "");
     if (!incarnation || !token || !firstUnreported || holder.empty())
         return std::nullopt;
@@ -62,8 +62,8 @@
 
 static std::optional<DutyRecord> decodeWindow(const Json& json)
 {
-    auto token = wholeNumber(json, "token");
-    auto window = wholeNumber(json, "window");
+    auto token = unsignedMember(json, "token");
+    auto window = unsignedMember(json, "window");
     auto counts = json.contains("counts") ? decodeCounts(json["counts"]) : std::nullopt;
     if (!token || !window || !counts)
         return std::nullopt;
--- a/Source/RouteServing/Duties/DutyRecord.h
+++ b/Source/RouteServing/Duties/DutyRecord.h
@@ -37,7 +37,7 @@
 using DutyRecord = std::variant<LeaseRecord, WindowRecord>;
 
 // So many windows are kept on the log: more than can be due at one time, and each takes the place of an older one.
-inline constexpr uint64_t windowsOnLog = 16;
+inline constexpr uint64_t maxLoggedWindows = 16;
 
 // The key under which the log keeps the newest record of its kind.
 std::string keyOf(const DutyRecord&);
--- a/Source/RouteServing/Duties/FleetClock.cpp
+++ b/Source/RouteServing/Duties/FleetClock.cpp
@@ -14,9 +14,9 @@
 static constexpr Milliseconds jumpThreshold = 50ms;
 // A jump that lasts longer is a correction. Jumps there and back take seconds (the users' sheets). Chosen, not
 // measured.
-static constexpr Milliseconds jumpLasts = 60'000ms;
+static constexpr Milliseconds jumpConfirmationTime = 60'000ms;
 // What others said counts for so long: some dozens of exchange intervals. Chosen, not measured.
-static constexpr Milliseconds maxAge = 5000ms;
+static constexpr Milliseconds maxOffsetAge = 5000ms;
 
 static Milliseconds sinceEpoch(TimePoint now) { return Common::toMilliseconds(now.time_since_epoch()); }
 
@@ -32,7 +32,7 @@
     if (differs && !m_hasJumped)
         m_jumpedSince = now;
     m_hasJumped = differs;
-    if (!differs || now - m_jumpedSince < jumpLasts)
+    if (!differs || now - m_jumpedSince < jumpConfirmationTime)
         return;
     m_ownOffset = offset;
     m_hasJumped = false;
@@ -40,7 +40,7 @@
 
 void FleetClock::recordSubscriber(const std::string& id, Milliseconds own, TimePoint now)
 {
-    std::erase_if(m_subscribers, [&](const auto& entry) { return now - entry.second.at >= maxAge; });
+    std::erase_if(m_subscribers, [&](const auto& entry) { return now - entry.second.at >= maxOffsetAge; });
     m_subscribers[id] = { own - this->own(now), now };
 }
 
@@ -54,12 +54,12 @@
 
 Milliseconds FleetClock::agreed(TimePoint now) const
 {
-    if (m_hasHub && now - m_hub.at < maxAge)
-        return own(now) + m_hub.toOwn;
+    if (m_hasHub && now - m_hub.at < maxOffsetAge)
+        return own(now) + m_hub.fromOwn;
     std::vector<Milliseconds> differences { 0ms };
     for (const auto& [id, difference] : m_subscribers) {
-        if (now - difference.at < maxAge)
-            differences.push_back(difference.toOwn);
+        if (now - difference.at < maxOffsetAge)
+            differences.push_back(difference.fromOwn);
     }
     auto middle = differences.begin() + static_cast<ptrdiff_t>(differences.size() / 2);
     std::nth_element(differences.begin(), middle, differences.end());
--- a/Source/RouteServing/Duties/FleetClock.h
+++ b/Source/RouteServing/Duties/FleetClock.h
@@ -31,14 +31,14 @@
     Common::Milliseconds agreed(Common::TimePoint now) const;
 
 private:
-    struct Difference {
-        Common::Milliseconds toOwn { 0 };
+    struct ClockOffset {
+        Common::Milliseconds fromOwn { 0 };
         Common::TimePoint at {};
     };
 
     Common::Milliseconds m_ownOffset; // Of the time of day to the monotonic clock.
-    std::map<std::string, Difference> m_subscribers;
-    Difference m_hub;
+    std::map<std::string, ClockOffset> m_subscribers;
+    ClockOffset m_hub;
     Common::TimePoint m_jumpedSince {};
     bool m_hasJumped { false };
     bool m_hasHub { false };
--- a/Source/RouteServing/Duties/Lease.cpp
+++ b/Source/RouteServing/Duties/Lease.cpp
@@ -32,7 +32,7 @@
 
 std::optional<uint64_t> Lease::token(TimePoint now) const
 {
-    if (!isHolder() || m_state.mustClaimAnew || now >= validUntil())
+    if (!isHolder() || m_state.mustReclaim || now >= validUntil())
         return std::nullopt;
     return m_state.newest->token;
 }
@@ -43,17 +43,17 @@
     // What was released is free at once, but not to a router that may have held it a moment ago, before it was started
     // again: holders would change back and forth.
     auto from = m_state.newest->isReleased ? m_started + m_times.duration : m_state.newestSeen + m_times.duration;
-    return m_state.lastHeld ? std::max(from, *m_state.lastHeld + m_times.comeback) : from;
+    return m_state.lastHeld ? std::max(from, *m_state.lastHeld + m_times.reclaimDelay) : from;
 }
 
-TimePoint Lease::eraSettledFrom() const
+TimePoint Lease::eraClaimableFrom() const
 {
-    return m_state.eraSeen ? *m_state.eraSeen + m_times.duration : TimePoint::min();
+    return m_state.eraFirstReadAt ? *m_state.eraFirstReadAt + m_times.duration : TimePoint::min();
 }
 
 bool Lease::mayClaim(TimePoint now) const
 {
-    if (m_state.readStarted < eraSettledFrom())
+    if (m_state.readStarted < eraClaimableFrom())
         return false;
     // Nobody ever held the duties.
     if (!m_state.newest)
@@ -74,7 +74,7 @@
             return Step::Read;
         if (!mayHold)
             return Step::Release;
-        if (m_state.wantsNewToken || m_state.mustClaimAnew)
+        if (m_state.wantsNewToken || m_state.mustReclaim)
             return Step::Claim;
         return now >= m_state.validFrom + m_times.renewalInterval() ? Step::Renew : Step::Wait;
     }
@@ -87,7 +87,7 @@
 {
     if (m_state.mustRead)
         return Milliseconds(0);
-    auto from = m_state.newest ? std::max(claimableFrom(), eraSettledFrom()) : eraSettledFrom();
+    auto from = m_state.newest ? std::max(claimableFrom(), eraClaimableFrom()) : eraClaimableFrom();
     if (from <= now)
         return Milliseconds(0);
     return Common::toMilliseconds(from - now) + Milliseconds(1);
@@ -118,22 +118,22 @@
     m_state.newestOffset = logged.offset;
     m_state.newestSeen = now;
     bool isOurs = isHolder();
-    if (isOurs && m_state.sent)
-        m_state.validFrom = *m_state.sent;
+    if (isOurs && m_state.unresolvedAppendAt)
+        m_state.validFrom = *m_state.unresolvedAppendAt;
     if (isOurs)
         m_state.lastHeld = now;
 }
 
 void Lease::beginEra(uint64_t era, TimePoint started)
 {
-    m_state.mustClaimAnew = isHolder() && started < validUntil();
+    m_state.mustReclaim = isHolder() && started < validUntil();
     // Another one may have followed meanwhile, whose claim the store has lost.
-    if (isHolder() && !m_state.mustClaimAnew)
+    if (isHolder() && !m_state.mustReclaim)
         m_state.newest->isReleased = true;
     m_state.end.era = era;
-    m_state.eraSeen = started;
+    m_state.eraFirstReadAt = started;
     m_state.newestOffset.reset();
-    m_state.sent.reset();
+    m_state.unresolvedAppendAt.reset();
 }
 
 void Lease::recordRead(std::span<const LoggedRecord> records, const LogEnd& end, TimePoint started, TimePoint now)
@@ -145,10 +145,10 @@
         if (m_state.newestOffset && record.offset <= *m_state.newestOffset)
             continue;
         apply(record, now);
-        m_state.sent.reset();
+        m_state.unresolvedAppendAt.reset();
     }
     if (end.offset != m_state.end.offset)
-        m_state.sent.reset();
+        m_state.unresolvedAppendAt.reset();
     m_state.end.offset = end.offset;
     m_state.readStarted = started;
     m_state.mustRead = false;
@@ -167,24 +167,24 @@
 
 void Lease::recordSent(TimePoint now)
 {
-    if (!m_state.sent)
-        m_state.sent = now;
+    if (!m_state.unresolvedAppendAt)
+        m_state.unresolvedAppendAt = now;
 }
 
 void Lease::recordAppended(const DutyRecord& record)
 {
-    auto sent = *m_state.sent;
+    auto unresolvedAppendAt = *m_state.unresolvedAppendAt;
     if (const auto* lease = std::get_if<LeaseRecord>(&record)) {
         bool isSameClaim = m_state.newest && lease->token == m_state.newest->token;
         m_state.wantsNewToken &= isSameClaim;
-        m_state.mustClaimAnew &= isSameClaim;
+        m_state.mustReclaim &= isSameClaim;
         m_state.newest = *lease;
     }
     m_state.newestOffset = m_state.end.offset;
-    m_state.newestSeen = sent;
-    m_state.validFrom = sent;
-    m_state.lastHeld = sent;
-    m_state.sent.reset();
+    m_state.newestSeen = unresolvedAppendAt;
+    m_state.validFrom = unresolvedAppendAt;
+    m_state.lastHeld = unresolvedAppendAt;
+    m_state.unresolvedAppendAt.reset();
     ++m_state.end.offset;
 }
 
--- a/Source/RouteServing/Duties/Lease.h
+++ b/Source/RouteServing/Duties/Lease.h
@@ -16,10 +16,10 @@
     Common::Milliseconds duration { 0 }; // Others take over when they have seen nothing of the holder for so long.
     Common::Milliseconds margin { 0 }; // The holder stops acting so much sooner.
     // A holder that gave the lease back, or that another one followed, does not come back sooner.
-    Common::Milliseconds comeback { 0 };
+    Common::Milliseconds reclaimDelay { 0 };
 
     // From what the operators promise: the length of a lease, and how long an instance that was stopped may act on.
-    static LeaseTimes within(Common::Milliseconds duration, Common::Milliseconds margin)
+    static LeaseTimes fromDurationAndMargin(Common::Milliseconds duration, Common::Milliseconds margin)
     {
         return { duration, std::min(margin, duration / 2), 2 * duration };
     }
@@ -86,7 +86,7 @@
     // It was done.
     void recordAppended(const DutyRecord&);
     // The log ends elsewhere, or there was no answer.
-    void recordUnsure() { m_state.mustRead = true; }
+    void recordAppendUncertain() { m_state.mustRead = true; }
 
     // The token to act with; none unless this router holds the duties now. Checked before each call.
     std::optional<uint64_t> token(Common::TimePoint now) const;
@@ -98,8 +98,9 @@
     // What this router knows of the log, and of its own appends.
     struct State {
         LogEnd end;
-        std::optional<Common::TimePoint> eraSeen; // When the first read of this era began; none where there are none.
-        bool mustClaimAnew { false }; // It held the duties when the era rose.
+        std::optional<Common::TimePoint>
+            eraFirstReadAt; // When the first read of this era began; none where there are none.
+        bool mustReclaim { false }; // It held the duties when the era rose.
         bool mustRead { true };
         bool wantsNewToken { false };
         uint64_t firstUnreported { 0 };
@@ -107,7 +108,7 @@
         std::optional<uint64_t> newestOffset; // Of the last record under the newest lease.
         Common::TimePoint newestSeen {}; // When this router first saw it.
         Common::TimePoint readStarted {}; // Of the last read, which showed nothing newer.
-        std::optional<Common::TimePoint> sent; // The first append at `end` whose fate is not known.
+        std::optional<Common::TimePoint> unresolvedAppendAt; // The first append at `end` whose fate is not known.
         Common::TimePoint validFrom {}; // When the last record of our own was sent.
         std::optional<Common::TimePoint> lastHeld;
     };
@@ -124,7 +125,7 @@
     // When the holder stops acting unless it renews.
     Common::TimePoint validUntil() const { return m_state.validFrom + m_times.duration - m_times.margin; }
     // Before this, a holder may act whose claim the store has lost.
-    Common::TimePoint eraSettledFrom() const;
+    Common::TimePoint eraClaimableFrom() const;
     void beginEra(uint64_t era, Common::TimePoint started);
     void apply(const LoggedRecord&, Common::TimePoint now);
     void applyLease(LeaseRecord);
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -18,7 +18,7 @@
 void UsageReports::recordWritten(const WindowRecord& record)
 {
     m_written.emplace(record.window, record);
-    while (m_written.size() > windowsOnLog)
+    while (m_written.size() > maxLoggedWindows)
         m_written.erase(m_written.begin());
 }
 
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -149,7 +149,7 @@
         noteLease();
         return true;
     }
-    m_lease.recordUnsure();
+    m_lease.recordAppendUncertain();
     // The read that follows may succeed where appends do not.
     if (isError(appended))
         Common::sleepFor(backoffAfter(++m_appendFailures));
@@ -172,7 +172,7 @@
 {
     Common::log(LogLevel::Info, "gateway", "duties.conflict", { { "call", call }, { "token", token } });
     m_conflictIsOpen = true;
-    m_lease.recordUnsure();
+    m_lease.recordAppendUncertain();
 }
 
 // Usage
--- a/Source/RouteServing/Gateway/GatewaySettings.cpp
+++ b/Source/RouteServing/Gateway/GatewaySettings.cpp
@@ -73,7 +73,7 @@
         result.reportsUsage |= duty == "usage";
         result.ordersCapacity |= duty == "autoscale";
     }
-    result.lease = Duties::LeaseTimes::within(
+    result.lease = Duties::LeaseTimes::fromDurationAndMargin(
         settings.milliseconds("/duties/lease_ms"), settings.milliseconds("/duties/thaw_ms"));
     result.usage.window = fromSeconds(settings.number("/duties/usage_window_s"));
     result.usage.delay = fromSeconds(settings.number("/duties/usage_delay_s"));
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -48,9 +48,9 @@
     explicit Model(const Guards& guards)
         : m_guards(guards)
     {
-        auto times = LeaseTimes::within(3000ms, 300ms);
+        auto times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
         if (!guards.staysAwayWhenFollowed)
-            times.comeback = 0ms;
+            times.reclaimDelay = 0ms;
         // Both have been up for a while.
         m_routers.push_back({ Lease(times, "a", 1, s_start - 1min), false, std::nullopt });
         m_routers.push_back({ Lease(times, "b", 2, s_start - 1min), false, std::nullopt });
@@ -98,9 +98,10 @@
         for (const auto& router : m_routers) {
             const auto& state = router.lease.state();
             out << '|' << router.isStopping << state.end.era << ' ' << state.end.offset << ' '
-                << (state.eraSeen ? ticksOf(*state.eraSeen) : -1) << state.mustClaimAnew << ' ' << state.mustRead
-                << ticksOf(state.newestSeen) << ' ' << ticksOf(state.readStarted) << ' ' << ticksOf(state.validFrom)
-                << ' ' << (state.sent ? ticksOf(*state.sent) : -1) << ' '
+                << (state.eraFirstReadAt ? ticksOf(*state.eraFirstReadAt) : -1) << state.mustReclaim << ' '
+                << state.mustRead << ticksOf(state.newestSeen) << ' ' << ticksOf(state.readStarted) << ' '
+                << ticksOf(state.validFrom) << ' '
+                << (state.unresolvedAppendAt ? ticksOf(*state.unresolvedAppendAt) : -1) << ' '
                 << (state.lastHeld ? ticksOf(*state.lastHeld) : -1) << ' '
                 << (state.newest ? describe(*state.newest) : "") << (router.written ? *router.written : 0);
         }
@@ -196,7 +197,7 @@
             router.lease.recordAppended(record);
             noteWritten(router, record);
         } else {
-            router.lease.recordUnsure();
+            router.lease.recordAppendUncertain();
         }
         return true;
     }
--- a/Source/UnitTests/RouteServing/Duties/DutyRecordTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyRecordTest.cpp
@@ -18,7 +18,7 @@
 
 TEST(DutyRecordTest, AWindowTakesThePlaceOfAnOlderOne)
 {
-    EXPECT_EQ(keyOf(WindowRecord { 1, 5, {} }), keyOf(WindowRecord { 1, 5 + windowsOnLog, {} }));
+    EXPECT_EQ(keyOf(WindowRecord { 1, 5, {} }), keyOf(WindowRecord { 1, 5 + maxLoggedWindows, {} }));
     EXPECT_NE(keyOf(WindowRecord { 1, 5, {} }), keyOf(WindowRecord { 1, 6, {} }));
 }
 
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -14,7 +14,7 @@
 
 constexpr Common::TimePoint s_start(1h);
 constexpr Lease::Situation s_candidate { true, false };
-const auto s_times = LeaseTimes::within(3000ms, 300ms);
+const auto s_times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
 
 // The log, as a store keeps it, and routers that read and append to it.
 struct Log {
@@ -41,7 +41,7 @@
         auto record = lease.recordFor(step);
         lease.recordSent(now);
         if (lease.end() != end()) {
-            lease.recordUnsure();
+            lease.recordAppendUncertain();
             return false;
         }
         records.push_back({ end(), record });
@@ -152,7 +152,7 @@
     log.read(a, s_start);
     auto record = a.recordFor(Step::Claim);
     a.recordSent(s_start);
-    a.recordUnsure();
+    a.recordAppendUncertain();
     EXPECT_EQ(a.nextStep(s_candidate, s_start), Step::Read);
     log.read(a, s_start + 1s);
     EXPECT_FALSE(a.isHolder()) << "not done yet";
