--- a/Source/RouteServing/Duties/UsageLedger.cpp
+++ b/Source/RouteServing/Duties/UsageLedger.cpp
@@ -7,15 +7,15 @@
 namespace Brassladder::RouteServing::Duties {
 
 // Stands for the open window of a process that counts nothing more.
-static constexpr uint64_t allFinal = std::numeric_limits<uint64_t>::max();
+static constexpr uint64_t allWindowsFinal = std::numeric_limits<uint64_t>::max();
 
-UsageLedger::UsageLedger(RouterProcess self, uint64_t open)
+UsageLedger::UsageLedger(RouterProcess self, uint64_t openWindow)
     : m_self(std::move(self))
-    , m_open(open)
+    , m_open(openWindow)
 {
     auto& own = m_processes[m_self];
-    own.firstWhole = open + 1;
-    own.open = open;
+    own.firstCompleteWindow = openWindow + 1;
+    own.openWindow = openWindow;
     own.revision = ++m_revision;
 }
 
@@ -30,7 +30,7 @@
     return index;
 }
 
-void UsageLedger::raise(Process& process, uint64_t window, uint32_t workspace, uint32_t count)
+void UsageLedger::raiseCount(Process& process, uint64_t window, uint32_t workspace, uint32_t count)
 {
     auto& rows = process.windows[window];
     auto row = std::find_if(rows.begin(), rows.end(), [&](const Row& known) { return known.workspace == workspace; });
@@ -42,29 +42,30 @@
     row->revision = ++m_revision;
 }
 
-void UsageLedger::count(std::string_view workspace, uint64_t open)
+void UsageLedger::count(std::string_view workspace, uint64_t openWindow)
 {
-    advance(open);
+    advance(openWindow);
     auto index = indexOf(workspace);
     auto& own = m_processes[m_self];
     const auto& rows = own.windows[m_open];
     auto row = std::find_if(rows.begin(), rows.end(), [&](const Row& known) { return known.workspace == index; });
-    raise(own, m_open, index, row == rows.end() ? 1 : row->count + 1);
+    raiseCount(own, m_open, index, row == rows.end() ? 1 : row->count + 1);
 }
 
-void UsageLedger::advance(uint64_t open)
+void UsageLedger::advance(uint64_t openWindow)
 {
-    if (open <= m_open)
+    if (openWindow <= m_open)
         return;
-    m_open = open;
+    m_open = openWindow;
     auto& own = m_processes[m_self];
-    if (own.open != allFinal)
-        own.open = open;
+    if (own.openWindow != allWindowsFinal)
+        own.openWindow = openWindow;
     own.revision = ++m_revision;
     for (auto process = m_processes.begin(); process != m_processes.end();) {
         auto& windows = process->second.windows;
-        windows.erase(windows.begin(), windows.upper_bound(m_open - std::min(m_open, keptWindows)));
-        bool isOver = process->second.open == allFinal ? windows.empty() : !isKept(process->second.open);
+        windows.erase(windows.begin(), windows.upper_bound(m_open - std::min(m_open, retainedWindows)));
+        bool isOver
+            = process->second.openWindow == allWindowsFinal ? windows.empty() : !isRetained(process->second.openWindow);
         bool isGone = process->first != m_self && isOver;
         process = isGone ? m_processes.erase(process) : std::next(process);
     }
@@ -73,33 +74,33 @@
 void UsageLedger::finish()
 {
     auto& own = m_processes[m_self];
-    own.open = allFinal;
+    own.openWindow = allWindowsFinal;
     own.revision = ++m_revision;
 }
 
 void UsageLedger::merge(std::span<const RouterUsage> usages)
 {
     for (const auto& usage : usages) {
-        if (usage.router == m_self || !isKept(usage.open))
+        if (usage.router == m_self || !isRetained(usage.openWindow))
             continue;
         auto& process = m_processes[usage.router];
-        if (usage.open > process.open || !process.revision) {
-            process.firstWhole = usage.firstWhole;
-            process.open = std::max(process.open, usage.open);
+        if (usage.openWindow > process.openWindow || !process.revision) {
+            process.firstCompleteWindow = usage.firstCompleteWindow;
+            process.openWindow = std::max(process.openWindow, usage.openWindow);
             process.revision = ++m_revision;
         }
         for (const auto& row : usage.rows) {
             // A row beyond the process's open window, or of a clock that is far ahead, cannot be true.
-            if (!isKept(row.window) || row.window > m_open + keptWindows)
+            if (!isRetained(row.window) || row.window > m_open + retainedWindows)
                 continue;
             auto count = std::min<uint64_t>(row.count, std::numeric_limits<uint32_t>::max());
-            raise(process, row.window, indexOf(row.workspace), static_cast<uint32_t>(count));
+            raiseCount(process, row.window, indexOf(row.workspace), static_cast<uint32_t>(count));
         }
     }
 }
 
 // The revision up to which there are no more than so many changes after the first one.
-uint64_t UsageLedger::revisionAfter(uint64_t revision, size_t most) const
+uint64_t UsageLedger::revisionAfter(uint64_t revision, size_t maxRows) const
 {
     std::vector<uint64_t> revisions;
     auto add = [&](uint64_t changed) {
@@ -113,19 +114,19 @@
                 add(row.revision);
         }
     }
-    if (revisions.size() <= most)
+    if (revisions.size() <= maxRows)
         return m_revision;
-    auto last = revisions.begin() + static_cast<ptrdiff_t>(most - 1);
+    auto last = revisions.begin() + static_cast<ptrdiff_t>(maxRows - 1);
     std::nth_element(revisions.begin(), last, revisions.end());
     return *last;
 }
 
-UsageLedger::Changes UsageLedger::changesAfter(uint64_t revision, size_t most) const
+UsageLedger::Changes UsageLedger::changesAfter(uint64_t revision, size_t maxRows) const
 {
-    Changes changes { {}, revisionAfter(revision, most) };
+    Changes changes { {}, revisionAfter(revision, maxRows) };
     auto isIncluded = [&](uint64_t changed) { return changed > revision && changed <= changes.upTo; };
     for (const auto& [router, process] : m_processes) {
-        RouterUsage change { router, process.firstWhole, process.open, {} };
+        RouterUsage change { router, process.firstCompleteWindow, process.openWindow, {} };
         for (const auto& [window, rows] : process.windows) {
             for (const auto& row : rows) {
                 if (isIncluded(row.revision))
@@ -152,23 +153,24 @@
 }
 
 // A process that started after the window has nothing to say of it.
-bool UsageLedger::awaits(const Process& process, uint64_t window) const
+bool UsageLedger::hasUnfinishedWindow(const Process& process, uint64_t window) const
 {
-    return process.open <= window && process.firstWhole <= window + 1;
+    return process.openWindow <= window && process.firstCompleteWindow <= window + 1;
 }
 
-bool UsageLedger::isFinal(uint64_t window) const { return !missing(window); }
+bool UsageLedger::isFinal(uint64_t window) const { return !unfinishedProcesses(window); }
 
-size_t UsageLedger::missing(uint64_t window) const
+size_t UsageLedger::unfinishedProcesses(uint64_t window) const
 {
-    return static_cast<size_t>(std::count_if(
-        m_processes.begin(), m_processes.end(), [&](const auto& entry) { return awaits(entry.second, window); }));
+    return static_cast<size_t>(std::count_if(m_processes.begin(), m_processes.end(),
+        [&](const auto& entry) { return hasUnfinishedWindow(entry.second, window); }));
 }
 
-bool UsageLedger::isCovered(uint64_t window) const
+bool UsageLedger::isFullyCounted(uint64_t window) const
 {
-    return std::any_of(m_processes.begin(), m_processes.end(),
-        [&](const auto& entry) { return entry.second.firstWhole <= window && entry.second.open > window; });
+    return std::any_of(m_processes.begin(), m_processes.end(), [&](const auto& entry) {
+        return entry.second.firstCompleteWindow <= window && entry.second.openWindow > window;
+    });
 }
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -10,10 +10,10 @@
 
 // Counts travel from a router over its hub and a store reader to the holder, at each step within an interval of the
 // exchange (100 ms); a router that has just started is known after as long. Chosen, not measured.
-static constexpr Milliseconds settleTime = 500ms;
+static constexpr Milliseconds countPropagationTime = 500ms;
 // Before the report is due, for writing it to the log and sending it, with a second try of either: calls take some
 // milliseconds, and a second without an answer. Chosen, not measured.
-static constexpr Milliseconds sendingTime = 1200ms;
+static constexpr Milliseconds reportLeadTime = 1200ms;
 
 void UsageReports::recordWritten(const WindowRecord& record)
 {
@@ -31,18 +31,21 @@
 UsageReports::Step UsageReports::next(uint64_t window, const UsageLedger& ledger, Milliseconds wall) const
 {
     auto end = m_times.endOf(window);
-    if (wall < end + settleTime)
+    if (wall < end + countPropagationTime)
         return Step::Wait;
     if (written(window))
         return Step::Send;
-    bool isCovered = ledger.isCovered(window);
-    if (isCovered && ledger.isFinal(window))
+    bool isFullyCounted = ledger.isFullyCounted(window);
+    if (isFullyCounted && ledger.isFinal(window))
         return Step::Write;
-    if (wall < end + m_times.delay - sendingTime)
+    if (wall < end + m_times.delay - reportLeadTime)
         return Step::Wait;
-    return isCovered ? Step::Write : Step::GiveUp;
+    return isFullyCounted ? Step::Write : Step::GiveUp;
 }
 
-uint64_t UsageReports::firstPossible(uint64_t open) { return open - std::min(open, UsageLedger::keptWindows - 1); }
+uint64_t UsageReports::firstReportableWindow(uint64_t open)
+{
+    return open - std::min(open, UsageLedger::retainedWindows - 1);
+}
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -17,7 +17,7 @@
 
     // The window of a moment, in milliseconds since the start of 1970.
     uint64_t windowAt(Common::Milliseconds wall) const { return static_cast<uint64_t>(wall / window); }
-    Common::Milliseconds endOf(uint64_t window_) const { return window * (static_cast<int64_t>(window_) + 1); }
+    Common::Milliseconds endOf(uint64_t index) const { return window * (static_cast<int64_t>(index) + 1); }
 };
 
 // Which usage window the holder of the duties writes or sends next. Windows are taken in order.
@@ -52,7 +52,7 @@
     // `window`: the first one that was not accepted or given up. `wall`: milliseconds since the start of 1970.
     Step next(uint64_t window, const UsageLedger&, Common::Milliseconds wall) const;
     // The first window that can still be reported.
-    static uint64_t firstPossible(uint64_t open);
+    static uint64_t firstReportableWindow(uint64_t open);
 
 private:
     UsageTimes m_times;
--- a/Source/RouteServing/Duties/UsageStart.h
+++ b/Source/RouteServing/Duties/UsageStart.h
@@ -25,7 +25,7 @@
 // low (444 of 2,410 and 206 of 2,643 requests of a day on 88 routers).
 //
 // A generation that was answered is counted at its first event. Pure.
-inline bool hadBegun(const EndedAttempt& attempt)
+inline bool hadStartedAtUpstream(const EndedAttempt& attempt)
 {
     switch (attempt.outcome) {
     case Routing::AttemptOutcome::ServerError:
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -183,7 +183,7 @@
     if (!m_settings.reportsUsage || Common::now() < m_usageNotBefore)
         return false;
     auto [next, window] = m_parts.usage.inspect([&](const auto& ledger, Milliseconds wall) {
-        auto first = Duties::UsageReports::firstPossible(m_settings.usage.windowAt(wall));
+        auto first = Duties::UsageReports::firstReportableWindow(m_settings.usage.windowAt(wall));
         auto window = std::max(m_firstUnreported, first);
         return std::pair(m_reports.next(window, ledger, wall), window);
     });
@@ -215,9 +215,9 @@
     if (!by)
         return false;
     Duties::WindowRecord record { by->token, window, {} };
-    auto missing = m_parts.usage.inspect([&](const auto& ledger, Milliseconds) {
+    auto unfinishedProcesses = m_parts.usage.inspect([&](const auto& ledger, Milliseconds) {
         record.counts = ledger.total(window);
-        return ledger.missing(window);
+        return ledger.unfinishedProcesses(window);
     });
     if (!append(record))
         return true;
@@ -226,7 +226,8 @@
     for (const auto& [workspace, count] : record.counts)
         total += count;
     Common::log(LogLevel::Info, "gateway", "usage.written",
-        { { "window", window }, { "total", total }, { "token", by->token }, { "missing_routers", missing } });
+        { { "window", window }, { "total", total }, { "token", by->token },
+            { "missing_routers", unfinishedProcesses } });
     return true;
 }
 
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -224,7 +224,7 @@
     ended.elapsed = Common::toMilliseconds(Common::now() - m_report.lastPlaced);
     if (m_report.expectedFirstEvent.count() > 0)
         ended.expectedFirstEvent = m_report.expectedFirstEvent;
-    if (Duties::hadBegun(ended))
+    if (Duties::hadStartedAtUpstream(ended))
         countStart();
 }
 
--- a/Source/RouteServing/Gateway/UsageCodec.cpp
+++ b/Source/RouteServing/Gateway/UsageCodec.cpp
@@ -18,8 +18,8 @@
         auto& router = *table.add_routers();
         router.set_id(usage.router.id);
         router.set_incarnation(usage.router.incarnation);
-        router.set_first_whole(usage.firstWhole);
-        router.set_open(usage.open);
+        router.set_first_whole(usage.firstCompleteWindow);
+        router.set_open(usage.openWindow);
         auto first = usage.rows.empty() ? 0 : usage.rows.front().window;
         for (const auto& row : usage.rows)
             first = std::min(first, row.window);
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -48,13 +48,13 @@
     b.advance(s_window + 1);
     passOn(b, a);
     EXPECT_TRUE(a.isFinal(s_window));
-    EXPECT_FALSE(a.isCovered(s_window)) << "both started in it";
+    EXPECT_FALSE(a.isFullyCounted(s_window)) << "both started in it";
     a.advance(s_window + 2);
-    EXPECT_TRUE(a.isCovered(s_window + 1));
-    EXPECT_EQ(a.missing(s_window + 1), 1U);
+    EXPECT_TRUE(a.isFullyCounted(s_window + 1));
+    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 1U);
     b.finish();
     passOn(b, a);
-    EXPECT_EQ(a.missing(s_window + 1), 0U) << "a planned stop makes all windows final";
+    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a planned stop makes all windows final";
 }
 
 TEST(UsageLedgerTest, ARouterThatStartedLaterIsNotWaitedFor)
@@ -75,7 +75,7 @@
     b.finish();
     passOn(b, a);
     EXPECT_EQ(a.total(s_window).size(), 1U);
-    a.advance(s_window + UsageLedger::keptWindows);
+    a.advance(s_window + UsageLedger::retainedWindows);
     EXPECT_TRUE(a.total(s_window).empty());
     EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only itself";
 }
@@ -180,16 +180,16 @@
 TEST(UsageStartTest, WhatUpstreamsBeganIsCountedAlsoWhenNothingCameOfIt)
 {
     using Outcome = Routing::AttemptOutcome;
-    EXPECT_TRUE(hadBegun({ Outcome::Answered, false, 10ms, std::nullopt }));
-    EXPECT_FALSE(hadBegun({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
-    EXPECT_TRUE(hadBegun({ Outcome::ServerError, true, 10ms, 100ms }));
-    EXPECT_TRUE(hadBegun({ Outcome::BrokenOff, true, 100ms, 100ms }));
-    EXPECT_FALSE(hadBegun({ Outcome::BrokenOff, true, 99ms, 100ms })) << "it waited for its turn";
-    EXPECT_FALSE(hadBegun({ Outcome::BrokenOff, true, 10s, std::nullopt }));
-    EXPECT_TRUE(hadBegun({ Outcome::BrokenOff, false, 1ms, std::nullopt }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Answered, false, 10ms, std::nullopt }));
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::ServerError, true, 10ms, 100ms }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::BrokenOff, true, 100ms, 100ms }));
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::BrokenOff, true, 99ms, 100ms })) << "it waited for its turn";
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::BrokenOff, true, 10s, std::nullopt }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::BrokenOff, false, 1ms, std::nullopt }));
     for (auto outcome : { Outcome::NotExecuted, Outcome::ConnectFailed, Outcome::CancelledBeforeSending,
              Outcome::CancelledAfterSending })
-        EXPECT_FALSE(hadBegun({ outcome, false, 10s, 1ms }));
+        EXPECT_FALSE(hadStartedAtUpstream({ outcome, false, 10s, 1ms }));
 }
 
 TEST(FleetClockTest, AJumpOfTheTimeOfDayIsNotFollowedUnlessItLasts)
