--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -66,7 +66,7 @@
     }
     void end() { m_socket.close(); }
     // Takes a little at a time, so that the connection is never without progress, until it ends or `stop` is set.
-    void takeLittle(const std::atomic<bool>& stop)
+    void readSlowly(const std::atomic<bool>& stop)
     {
         boost::system::error_code error;
         std::array<char, 64> piece {};
@@ -77,7 +77,7 @@
     }
 
     // Whether a new connection arrives in time.
-    bool isConnectedAgain()
+    bool awaitReconnect()
     {
         bool connected = false;
         m_acceptor.async_accept([&](boost::system::error_code error, const tcp::socket&) { connected = !error; });
@@ -162,7 +162,7 @@
     sender.mesh().send("b", numberedItem(1));
     peer.end();
     ASSERT_TRUE(sender.awaitEvent("disconnected b"));
-    EXPECT_TRUE(peer.isConnectedAgain());
+    EXPECT_TRUE(peer.awaitReconnect());
 }
 
 TEST(MeshConnectionTest, TheEndOfAReplacedPeerIsNotifiedBeforeItsSuccessorIsConnected)
@@ -190,7 +190,7 @@
     sender.mesh().send("b", largeItem());
     peer.acceptAndStall();
     std::atomic<bool> stop = false;
-    std::thread reader([&] { peer.takeLittle(stop); });
+    std::thread reader([&] { peer.readSlowly(stop); });
     sender.mesh().send("b", largeItem());
     sender.mesh().send("b", largeItem());
     EXPECT_TRUE(sender.awaitEvent("disconnected b"));
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "UnitTests/Inner/EndingPeer.h"
 #include "UnitTests/Inner/MeshNode.h"
+#include "UnitTests/Inner/TerminatingPeer.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -13,19 +13,19 @@
 // What a mesh promises to its sender while peers end, whatever the moment and the way.
 namespace Brassladder::Inner {
 
-using Stage = EndingPeer::Stage;
-using Ending = EndingPeer::Ending;
+using Stage = TerminatingPeer::Stage;
+using Termination = TerminatingPeer::Termination;
 
 namespace {
 
-// More than the kernel takes from a sender to an `EndingPeer` that does not read.
+// More than the kernel takes from a sender to an `TerminatingPeer` that does not read.
 constexpr size_t largeBytes = 2 * 1024 * 1024;
 // What is sent only to have a connection opened.
-constexpr uint64_t probe = 100;
+constexpr uint64_t probeSequence = 100;
 
 // Sends a large message and small ones until the peer has come to the stage. As an owner of state does, it sends them
 // again when it hears that the connection has ended.
-bool sendUntilAtStage(MeshNode& sender, const std::string& id, const EndingPeer& peer, uint64_t smallItems)
+bool sendUntilAtStage(MeshNode& sender, const std::string& id, const TerminatingPeer& peer, uint64_t smallItems)
 {
     int disconnections = -1;
     return MeshNode::await([&] {
@@ -41,24 +41,24 @@
 }
 
 // A peer with its two lives: one that ends, and one that listens at the same address afterwards.
-struct MortalPeer {
-    MortalPeer(std::string id, const EndingPeer::Plan& plan)
+struct RestartingPeer {
+    RestartingPeer(std::string id, const TerminatingPeer::Plan& plan)
         : id(std::move(id))
-        , firstLife(port.port(), plan)
+        , beforeRestart(port.port(), plan)
     {
     }
 
     std::string id;
     ReservedPort port;
-    EndingPeer firstLife;
+    TerminatingPeer beforeRestart;
     int connectionsBefore { 0 }; // Of its first life.
-    MeshNode* secondLife { nullptr };
+    MeshNode* afterRestart { nullptr };
 };
 
 // One sender and its peers. The seed decides who ends how, and in which order.
-class MortalFleet {
+class RestartingFleet {
 public:
-    explicit MortalFleet(unsigned seed)
+    explicit RestartingFleet(unsigned seed)
         : m_random(seed)
         , m_sender(*new MeshNode("sender", "key"))
     {
@@ -67,44 +67,45 @@
         std::map<std::string, uint16_t> ports;
         for (size_t index = 0; index < peerCount; ++index) {
             auto id = "peer" + std::to_string(index);
-            m_peers.push_back(std::make_unique<MortalPeer>(id, plans[index % plans.size()]));
+            m_peers.push_back(std::make_unique<RestartingPeer>(id, plans[index % plans.size()]));
             ports[id] = m_peers.back()->port.port();
         }
-        m_sender.knows(ports);
+        m_sender.connectTo(ports);
     }
 
     void distributeMessages()
     {
         std::vector<std::thread> senders;
         for (auto& peer : m_peers)
-            senders.emplace_back(
-                [&] { EXPECT_TRUE(sendUntilAtStage(m_sender, peer->id, peer->firstLife, itemsBefore)) << peer->id; });
+            senders.emplace_back([&] {
+                EXPECT_TRUE(sendUntilAtStage(m_sender, peer->id, peer->beforeRestart, itemsBefore)) << peer->id;
+            });
         for (auto& thread : senders)
             thread.join();
     }
 
     // In any order, while the sender goes on.
-    void endAllPeers()
+    void terminateAllPeers()
     {
         std::shuffle(m_peers.begin(), m_peers.end(), m_random);
         for (auto& ending : m_peers) {
             sendToAll();
-            ending->firstLife.end();
+            ending->beforeRestart.end();
             sendToAll();
         }
         for (auto& peer : m_peers) {
-            peer->firstLife.awaitEnd();
+            peer->beforeRestart.awaitEnd();
             EXPECT_TRUE(m_sender.awaitDisconnected(peer->id)) << peer->id;
             peer->connectionsBefore = m_sender.connections(peer->id);
         }
     }
 
-    void expectDeliveryAfterReturn()
+    void expectDeliveryAfterRestart()
     {
         for (auto& peer : m_peers)
-            peer->secondLife = new MeshNode(peer->id, "key", peer->port.port());
+            peer->afterRestart = new MeshNode(peer->id, "key", peer->port.port());
         for (auto& peer : m_peers) {
-            EXPECT_TRUE(m_sender.connectAnew(peer->id, peer->connectionsBefore, probe)) << peer->id;
+            EXPECT_TRUE(m_sender.sendUntilReconnected(peer->id, peer->connectionsBefore, probeSequence)) << peer->id;
             for (uint64_t sequence = firstAfter; sequence < firstAfter + itemsAfter; ++sequence)
                 m_sender.send(peer->id, sequence);
         }
@@ -122,11 +123,11 @@
     static constexpr uint64_t firstAfter = 1000;
     static constexpr uint64_t itemsAfter = 20;
 
-    std::vector<EndingPeer::Plan> allPlans()
+    std::vector<TerminatingPeer::Plan> allPlans()
     {
         std::uniform_int_distribution<size_t> someBytes(1, largeBytes / 4);
-        std::vector<EndingPeer::Plan> plans;
-        for (auto ending : { Ending::Reset, Ending::Shutdown, Ending::Silence }) {
+        std::vector<TerminatingPeer::Plan> plans;
+        for (auto ending : { Termination::Reset, Termination::Shutdown, Termination::Silence }) {
             plans.push_back({ Stage::Connecting, ending });
             plans.push_back({ Stage::BeforeSettings, ending });
             plans.push_back({ Stage::DuringMessage, ending, someBytes(m_random) });
@@ -139,19 +140,19 @@
     void sendToAll()
     {
         for (auto& peer : m_peers)
-            m_sender.send(peer->id, probe);
+            m_sender.send(peer->id, probeSequence);
     }
 
-    static std::vector<uint64_t> receivedAfter(const MortalPeer& peer)
+    static std::vector<uint64_t> receivedAfter(const RestartingPeer& peer)
     {
-        auto sequences = peer.secondLife->received();
+        auto sequences = peer.afterRestart->received();
         std::erase_if(sequences, [](uint64_t sequence) { return sequence < firstAfter; });
         return sequences;
     }
 
     std::mt19937 m_random;
     MeshNode& m_sender;
-    std::vector<std::unique_ptr<MortalPeer>> m_peers;
+    std::vector<std::unique_ptr<RestartingPeer>> m_peers;
 };
 
 } // namespace
@@ -161,10 +162,10 @@
 
 TEST_P(MeshFleetFailureTest, PeersThatEndAtAnyStageHarmNeitherTheSenderNorWhatIsSentAfterTheyCameBack)
 {
-    MortalFleet fleet(GetParam());
+    RestartingFleet fleet(GetParam());
     fleet.distributeMessages();
-    fleet.endAllPeers();
-    fleet.expectDeliveryAfterReturn();
+    fleet.terminateAllPeers();
+    fleet.expectDeliveryAfterRestart();
 }
 
 // While a message to the old one is being written and another one waits.
@@ -172,19 +173,19 @@
 {
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
-    EndingPeer old(port.port(), { Stage::DuringMessage, Ending::Silence, largeBytes / 4 });
-    sender.knows(port.port(), "b");
+    TerminatingPeer old(port.port(), { Stage::DuringMessage, Termination::Silence, largeBytes / 4 });
+    sender.connectTo(port.port(), "b");
     ASSERT_TRUE(sendUntilAtStage(sender, "b", old, 0));
     sender.send("b", 1);
     int connectionsBefore = sender.connections("b");
     auto& moved = *new MeshNode("b", "key");
-    sender.knows(moved, "b");
-    EXPECT_TRUE(sender.connectAnew("b", connectionsBefore, probe));
+    sender.connectTo(moved, "b");
+    EXPECT_TRUE(sender.sendUntilReconnected("b", connectionsBefore, probeSequence));
     sender.send("b", 2);
     sender.send("b", 3);
     EXPECT_TRUE(MeshNode::await([&] { return !moved.received().empty() && moved.received().back() == 3; }));
     auto received = moved.received();
-    std::erase(received, probe);
+    std::erase(received, probeSequence);
     EXPECT_EQ(received, (std::vector<uint64_t> { 2, 3 }));
     EXPECT_TRUE(sender.awaitDisconnected("b"));
 }
@@ -194,25 +195,25 @@
 {
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
-    EndingPeer old(port.port(), { Stage::DuringMessage, Ending::Shutdown, largeBytes / 4 });
-    sender.knows(port.port(), "b");
+    TerminatingPeer old(port.port(), { Stage::DuringMessage, Termination::Shutdown, largeBytes / 4 });
+    sender.connectTo(port.port(), "b");
     ASSERT_TRUE(sendUntilAtStage(sender, "b", old, 0));
     int disconnectionsBefore = sender.disconnections("b");
     int connectionsBefore = sender.connections("b");
     sender.send("b", 1);
-    sender.knows(std::map<std::string, uint16_t> {});
+    sender.connectTo(std::map<std::string, uint16_t> {});
     sender.send("b", 2);
     EXPECT_TRUE(MeshNode::await([&] { return sender.disconnections("b") > disconnectionsBefore; }))
         << "its connection is closed";
     old.end();
     old.awaitEnd();
     auto& added = *new MeshNode("b", "key", port.port());
-    sender.knows(added, "b");
-    EXPECT_TRUE(sender.connectAnew("b", connectionsBefore, probe));
+    sender.connectTo(added, "b");
+    EXPECT_TRUE(sender.sendUntilReconnected("b", connectionsBefore, probeSequence));
     sender.send("b", 3);
     EXPECT_TRUE(MeshNode::await([&] { return !added.received().empty() && added.received().back() == 3; }));
     auto received = added.received();
-    std::erase(received, probe);
+    std::erase(received, probeSequence);
     EXPECT_EQ(received, std::vector<uint64_t> { 3 });
 }
 
--- a/Source/UnitTests/Inner/MeshNode.h
+++ b/Source/UnitTests/Inner/MeshNode.h
@@ -33,10 +33,10 @@
 
     uint16_t port() const { return m_port; }
 
-    void knows(const MeshNode& other, const std::string& id) { knows(other.m_port, id); }
-    void knows(uint16_t otherPort, const std::string& id) { knows({ { id, otherPort } }); }
+    void connectTo(const MeshNode& other, const std::string& id) { connectTo(other.m_port, id); }
+    void connectTo(uint16_t otherPort, const std::string& id) { connectTo({ { id, otherPort } }); }
     // All other peers are removed.
-    void knows(const std::map<std::string, uint16_t>& portOfPeer)
+    void connectTo(const std::map<std::string, uint16_t>& portOfPeer)
     {
         std::vector<Peer> peers;
         peers.reserve(portOfPeer.size());
@@ -83,7 +83,7 @@
         return await([&] { return disconnections(peer) > 0; });
     }
     // Sends the item until a connection is open that was not open before; what is sent from then on arrives.
-    bool connectAnew(const std::string& peer, int connectionsBefore, uint64_t sequence)
+    bool sendUntilReconnected(const std::string& peer, int connectionsBefore, uint64_t sequence)
     {
         return await([&] {
             send(peer, sequence);
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -15,7 +15,7 @@
 {
     auto& sender = *new MeshNode("a", "key");
     auto& receiver = *new MeshNode("b", "key");
-    sender.knows(receiver, "b");
+    sender.connectTo(receiver, "b");
     static constexpr uint64_t count = 5000;
     for (uint64_t sequence = 0; sequence < count; ++sequence)
         sender.send("b", sequence);
@@ -27,14 +27,14 @@
 
 TEST(MeshTest, PeerWithoutTheFleetsKeyIsRefusedAndNothingOfItIsTaken)
 {
-    auto& stranger = *new MeshNode("x", "another key");
+    auto& unauthorizedNode = *new MeshNode("x", "another key");
     auto& receiver = *new MeshNode("b", "key");
-    stranger.knows(receiver, "b");
-    stranger.send("b", 1);
-    EXPECT_TRUE(stranger.awaitDisconnected("b"));
-    auto& friendly = *new MeshNode("a", "key");
-    friendly.knows(receiver, "b");
-    friendly.send("b", 2);
+    unauthorizedNode.connectTo(receiver, "b");
+    unauthorizedNode.send("b", 1);
+    EXPECT_TRUE(unauthorizedNode.awaitDisconnected("b"));
+    auto& authorizedNode = *new MeshNode("a", "key");
+    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.send("b", 2);
     ASSERT_TRUE(receiver.awaitCount(1));
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
 }
@@ -72,7 +72,7 @@
         while (!error)
             socket.read_some(boost::asio::buffer(received), error);
     });
-    sender.knows(port.get_future().get(), "b");
+    sender.connectTo(port.get_future().get(), "b");
     sender.sendLarge("b", 15 * 1024 * 1024);
     isWriting.get_future().wait();
     sender.send("b", 1);
@@ -80,7 +80,7 @@
     EXPECT_TRUE(sender.awaitDisconnected("b"));
     peer.join();
     auto& receiver = *new MeshNode("b", "key");
-    sender.knows(receiver, "b");
+    sender.connectTo(receiver, "b");
     sender.send("b", 2);
     EXPECT_TRUE(receiver.awaitCount(1)) << "the sender goes on";
 }
@@ -129,9 +129,9 @@
         });
         EXPECT_NE(closed, boost::beast::error::timeout);
     }
-    auto& friendly = *new MeshNode("a", "key");
-    friendly.knows(receiver, "b");
-    friendly.send("b", 3);
+    auto& authorizedNode = *new MeshNode("a", "key");
+    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.send("b", 3);
     EXPECT_TRUE(receiver.awaitCount(1));
 }
 
--- a/Source/UnitTests/Inner/EndingPeer.h
+++ b/Source/UnitTests/Inner/TerminatingPeer.h
@@ -38,7 +38,7 @@
 // Stands in for a peer that takes a connection of a mesh and ends it: at a stage that the test names, in a way that it
 // names, when it says so. A connection that breaks off before, as it may beside load, does not count. Runs on a plain
 // thread of its own.
-class EndingPeer {
+class TerminatingPeer {
 public:
     enum class Stage {
         Connecting, // Refused, or with `Silence` never accepted.
@@ -46,19 +46,19 @@
         DuringMessage, // `bytes` of the body are read.
         AfterMessages, // `items` are read.
     };
-    enum class Ending {
+    enum class Termination {
         Reset, // As of a process that is killed with unread bytes.
         Shutdown, // As of a process that is killed with none, while the other side may still write.
         Silence, // Nothing is read any more, as of a process that is stopped; it is killed in the end.
     };
     struct Plan {
         Stage stage { Stage::DuringMessage };
-        Ending ending { Ending::Shutdown };
+        Termination ending { Termination::Shutdown };
         size_t bytes { 0 };
         size_t items { 0 };
     };
 
-    EndingPeer(uint16_t port, const Plan& plan)
+    TerminatingPeer(uint16_t port, const Plan& plan)
         : m_plan(plan)
         , m_acceptor(m_io)
         , m_socket(m_io)
@@ -70,13 +70,13 @@
         listen(port);
         m_thread = std::thread([this] { run(); });
     }
-    ~EndingPeer()
+    ~TerminatingPeer()
     {
         end();
         awaitEnd();
     }
-    EndingPeer(const EndingPeer&) = delete;
-    EndingPeer& operator=(const EndingPeer&) = delete;
+    TerminatingPeer(const TerminatingPeer&) = delete;
+    TerminatingPeer& operator=(const TerminatingPeer&) = delete;
 
     bool isAtStage() const { return m_isAtStage; }
     // Lets the connection end as planned.
@@ -108,7 +108,7 @@
     static constexpr size_t frameHeaderBytes = 9; // RFC 9113, 4.1.
     static constexpr uint8_t dataFrame = 0;
 
-    bool mustListen() const { return m_plan.stage != Stage::Connecting || m_plan.ending == Ending::Silence; }
+    bool mustListen() const { return m_plan.stage != Stage::Connecting || m_plan.ending == Termination::Silence; }
 
     void listen(uint16_t port)
     {
@@ -192,11 +192,11 @@
     void finish()
     {
         boost::system::error_code ignored;
-        if (m_plan.ending == Ending::Silence)
+        if (m_plan.ending == Termination::Silence)
             m_mayDie.get_future().wait();
-        if (m_plan.ending == Ending::Reset)
+        if (m_plan.ending == Termination::Reset)
             m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-        if (m_plan.ending == Ending::Shutdown)
+        if (m_plan.ending == Termination::Shutdown)
             shutDown();
         m_socket.close(ignored);
         m_acceptor.close(ignored);
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -19,7 +19,7 @@
 
 ScalingTerms terms() { return { 1, 40, 4000ms, 0.15, { { "north", 0.85 }, { "south", 1.2 }, { "west", 1.0 } } }; }
 
-std::vector<DomainCapacity> three(unsigned onDemand, unsigned spot)
+std::vector<DomainCapacity> threeDomains(unsigned onDemand, unsigned spot)
 {
     std::vector<DomainCapacity> domains;
     for (const char* name : { "north", "south", "west" })
@@ -72,7 +72,7 @@
 TEST(CapacityPlanTest, SpotEnginesCarryTheLoadAlsoWithoutOneDomain)
 {
     CapacityPlan plan(terms());
-    auto targets = plan.targets(three(20, 30), { 60, 60 });
+    auto targets = plan.targets(threeDomains(20, 30), { 60, 60 });
     for (const auto& target : targets)
         EXPECT_EQ(target.spot, 30U);
     EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "the floor";
@@ -81,14 +81,14 @@
 TEST(CapacityPlanTest, OnDemandEnginesStayUntilSpotEnginesServe)
 {
     CapacityPlan plan(terms());
-    EXPECT_EQ(sum(plan.targets(three(20, 0), { 60, 60 }), &Target::onDemand), 60U);
-    EXPECT_EQ(sum(plan.targets(three(20, 10), { 60, 60 }), &Target::onDemand), 30U);
+    EXPECT_EQ(sum(plan.targets(threeDomains(20, 0), { 60, 60 }), &Target::onDemand), 60U);
+    EXPECT_EQ(sum(plan.targets(threeDomains(20, 10), { 60, 60 }), &Target::onDemand), 30U);
 }
 
 TEST(CapacityPlanTest, WhenADomainsSpotEnginesAreTakenAwayTheCheapestDomainsFillIn)
 {
     CapacityPlan plan(terms());
-    auto domains = three(1, 30);
+    auto domains = threeDomains(1, 30);
     domains[2].spot = 0;
     auto targets = plan.targets(domains, { 80, 80 });
     EXPECT_EQ(sum(targets, &Target::onDemand), 20U);
@@ -123,23 +123,23 @@
     auto load = [](double tokens) { return EngineLoad { 32, tokens, 0.0176, 64, 300ms }; };
     EXPECT_NEAR(CapacityDemand::enginesFor(load(100'000)), 24.5, 0.1);
     auto now = s_start;
-    auto play = [&](double tokens, Common::Milliseconds time) {
+    auto observeFor = [&](double tokens, Common::Milliseconds time) {
         for (auto end = now + time; now < end; now += 500ms)
             demand.observe(load(tokens), 60, now);
     };
-    play(100'000, 15s);
+    observeFor(100'000, 15s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 60 })) << "what stood is held";
-    play(100'000, 61s);
+    observeFor(100'000, 61s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
-    play(300'000, 2s);
+    observeFor(300'000, 2s);
     EXPECT_GE(demand.need(now)->withHeadroom, 2 * 60U);
-    play(300'000, 6s);
+    observeFor(300'000, 6s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 143 }));
-    play(100'000, 10s);
+    observeFor(100'000, 10s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 143 }));
-    play(100'000, 60s);
+    observeFor(100'000, 60s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
-    play(300'000, 15s);
+    observeFor(300'000, 15s);
     EXPECT_EQ(demand.need(now)->sustained, 72U) << "a load that lasts";
 }
 
@@ -147,17 +147,17 @@
 TEST(CapacityPlanTest, NoOrderLeavesItsBounds)
 {
     EXPECT_TRUE(rc::check([] {
-        ScalingTerms any;
-        any.max = *rc::gen::inRange(1U, 50U);
-        any.min = *rc::gen::inRange(0U, any.max + 1);
-        any.spotPrice = *rc::gen::element(0.0, 0.15, 1.0, 2.0);
+        ScalingTerms randomTerms;
+        randomTerms.max = *rc::gen::inRange(1U, 50U);
+        randomTerms.min = *rc::gen::inRange(0U, randomTerms.max + 1);
+        randomTerms.spotPrice = *rc::gen::element(0.0, 0.15, 1.0, 2.0);
         Platform platform;
         for (const char* name : { "a", "b", "c", "d" }) {
-            auto onDemand = *rc::gen::inRange(0U, any.max + 1);
-            auto spot = *rc::gen::inRange(0U, any.max + 1 - onDemand);
+            auto onDemand = *rc::gen::inRange(0U, randomTerms.max + 1);
+            auto spot = *rc::gen::inRange(0U, randomTerms.max + 1 - onDemand);
             platform.domains.push_back({ name, onDemand, spot, std::nullopt, std::nullopt });
         }
-        CapacityPlan plan(any);
+        CapacityPlan plan(randomTerms);
         for (int round = 0; round < 6; ++round) {
             auto needed = *rc::gen::inRange(0U, 400U);
             auto withHeadroom = *rc::gen::inRange(0U, 400U);
@@ -170,8 +170,8 @@
                     if (!domain.orderedOnDemand || !domain.orderedSpot)
                         continue;
                     auto total = *domain.orderedOnDemand + *domain.orderedSpot;
-                    RC_ASSERT(total <= any.max);
-                    RC_ASSERT(*domain.orderedOnDemand <= any.max && *domain.orderedSpot <= any.max);
+                    RC_ASSERT(total <= randomTerms.max);
+                    RC_ASSERT(*domain.orderedOnDemand <= randomTerms.max && *domain.orderedSpot <= randomTerms.max);
                 }
             }
             platform.boot();
@@ -183,7 +183,7 @@
 TEST(CapacityPlanTest, ComesToRestWithoutServingWithFewer)
 {
     CapacityPlan plan(terms());
-    Platform platform { three(20, 0) };
+    Platform platform { threeDomains(20, 0) };
     size_t ordersInLastRound = 1;
     for (int round = 0; round < 8; ++round) {
         auto orders = plan.orders("s", platform.domains, plan.targets(platform.domains, { 60, 60 }));
@@ -202,7 +202,7 @@
 TEST(CapacityPlanTest, ANeedThatVariesALittleOrdersNothing)
 {
     CapacityPlan plan(terms());
-    Platform platform { three(20, 0) };
+    Platform platform { threeDomains(20, 0) };
     size_t orders = 0;
     for (unsigned round = 0; round < 1200; ++round) {
         CapacityNeed need { 50 + round % 3, 57 + round * 7 % 6 };
@@ -220,7 +220,7 @@
     auto large = terms();
     large.max = 2000;
     CapacityPlan plan(large);
-    Platform platform { three(1000, 0) };
+    Platform platform { threeDomains(1000, 0) };
     auto before = platform.domains;
     for (int round = 0; round < 60; ++round) {
         for (const auto& order : plan.orders("s", platform.domains, plan.targets(platform.domains, { 3000, 3000 })))
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -26,11 +26,11 @@
 constexpr uint64_t s_window = 7;
 
 struct Guards {
-    bool appendsOnCondition { true };
-    bool readsWhenUnsure { true };
-    bool staysAwayWhenFollowed { true };
+    bool appendsConditionally { true };
+    bool readsAfterUncertainAppend { true };
+    bool delaysReclaim { true };
     bool writesBeforeSending { true };
-    bool knowsEras { true };
+    bool tracksEras { true };
 };
 
 struct Limits {
@@ -49,7 +49,7 @@
         : m_guards(guards)
     {
         auto times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
-        if (!guards.staysAwayWhenFollowed)
+        if (!guards.delaysReclaim)
             times.reclaimDelay = 0ms;
         // Both have been up for a while.
         m_routers.push_back({ Lease(times, "a", 1, s_start - 1min), false, std::nullopt });
@@ -78,7 +78,7 @@
             }
         }
         for (size_t copyEnd = 0; m_era < limits.eras && copyEnd < m_log.size(); ++copyEnd)
-            add([&](Model& state) { return state.comeBack(copyEnd); });
+            add([&](Model& state) { return state.restoreFromCopy(copyEnd); });
         for (size_t index = 0; index < m_lateAppends.size(); ++index)
             add([&](Model& state) { return state.carryOutAppend(index); });
         for (size_t index = 0; index < m_lateCalls.size(); ++index)
@@ -163,7 +163,7 @@
 
     bool read(Router& router)
     {
-        auto era = m_guards.knowsEras ? m_era : 0;
+        auto era = m_guards.tracksEras ? m_era : 0;
         bool isWhole = router.lease.state().end.era != era;
         auto from = isWhole ? 0 : std::min<size_t>(router.lease.end(), m_log.size());
         auto before = key();
@@ -192,8 +192,8 @@
             m_lateAppends.push_back({ index, record, at });
         bool isDone = fate != Fate::Late && store(record, at);
         // The answer names the era.
-        isLost |= m_guards.knowsEras && m_era != router.lease.state().end.era;
-        if ((isDone && !isLost) || (isLost && !m_guards.readsWhenUnsure)) {
+        isLost |= m_guards.tracksEras && m_era != router.lease.state().end.era;
+        if ((isDone && !isLost) || (isLost && !m_guards.readsAfterUncertainAppend)) {
             router.lease.recordAppended(record);
             noteWritten(router, record);
         } else {
@@ -203,7 +203,7 @@
     }
 
     // The store comes back from a copy that ends there; what was sent to it before is gone.
-    bool comeBack(size_t copyEnd)
+    bool restoreFromCopy(size_t copyEnd)
     {
         ++m_era;
         m_log.resize(copyEnd);
@@ -215,7 +215,7 @@
 
     bool store(const DutyRecord& record, uint64_t at)
     {
-        if (m_guards.appendsOnCondition && at != m_log.size())
+        if (m_guards.appendsConditionally && at != m_log.size())
             return false;
         m_log.push_back({ m_log.size(), record });
         return true;
@@ -364,7 +364,7 @@
 TEST(DutyModelTest, WithoutErasTwoHoldAtOnceOrOneTokenHasTwoHolders)
 {
     Guards guards;
-    guards.knowsEras = false;
+    guards.tracksEras = false;
     auto violation = explore(guards, { 11, 3, 0, 1 }).violation;
     EXPECT_TRUE(violation == "two holders at once" || violation == "one token of two holders") << violation;
 }
@@ -372,21 +372,21 @@
 TEST(DutyModelTest, WithoutTheConditionOfAnAppendOneTokenHasTwoHolders)
 {
     Guards guards;
-    guards.appendsOnCondition = false;
+    guards.appendsConditionally = false;
     EXPECT_EQ(explore(guards, { 9, 1, 0 }).violation, "one token of two holders");
 }
 
 TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendOneTokenHasTwoHolders)
 {
     Guards guards;
-    guards.readsWhenUnsure = false;
+    guards.readsAfterUncertainAppend = false;
     EXPECT_EQ(explore(guards, { 9, 1, 1 }).violation, "one token of two holders");
 }
 
 TEST(DutyModelTest, WithoutStayingAwayHoldersChangeBackAndForth)
 {
     Guards guards;
-    guards.staysAwayWhenFollowed = false;
+    guards.delaysReclaim = false;
     EXPECT_EQ(explore(guards, { 16, 3, 0 }).violation, "holders A, B, A within a lease");
 }
 
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -30,7 +30,7 @@
         lease.recordRead(std::span(records).subspan(from), { era, end() }, started, now);
     }
     // The store comes back from a copy that ends there.
-    void comeBack(size_t copyEnd)
+    void restoreFromCopy(size_t copyEnd)
     {
         records.resize(copyEnd);
         ++era;
@@ -233,7 +233,7 @@
         log.read(b, s_start);
         log.append(b, Step::Claim, s_start + 1s);
         auto token = *b.token(s_start + 1s);
-        log.comeBack(copyEnd);
+        log.restoreFromCopy(copyEnd);
         log.read(b, s_start + 2s);
         EXPECT_FALSE(b.token(s_start + 2s));
         EXPECT_EQ(b.nextStep(s_candidate, s_start + 2s), Step::Claim);
@@ -255,7 +255,7 @@
         log.read(a, s_start - 10s);
         log.read(a, s_start);
         log.append(a, Step::Claim, s_start);
-        log.comeBack(copyEnd);
+        log.restoreFromCopy(copyEnd);
         log.read(fresh, s_start);
         EXPECT_EQ(fresh.nextStep(s_candidate, s_start), Step::Read);
         EXPECT_GT(fresh.readWait(s_start), 2900ms);
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -20,7 +20,7 @@
 constexpr uint64_t s_window = 100;
 
 // Passes everything that `from` knows on.
-void passOn(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
+void forwardAll(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
 
 } // namespace
 
@@ -33,7 +33,7 @@
     b.count("blue", s_window + 1);
     b.count("red", s_window + 1);
     a.count("red", s_window + 2);
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_EQ(a.total(s_window + 1), (WorkspaceCounts { { "blue", 3 }, { "red", 1 } }));
     EXPECT_EQ(a.total(s_window + 2), (WorkspaceCounts { { "red", 1 } }));
 }
@@ -42,18 +42,18 @@
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
-    passOn(b, a);
+    forwardAll(b, a);
     a.advance(s_window + 1);
     EXPECT_FALSE(a.isFinal(s_window)) << "b has not come to its end";
     b.advance(s_window + 1);
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_TRUE(a.isFinal(s_window));
     EXPECT_FALSE(a.isFullyCounted(s_window)) << "both started in it";
     a.advance(s_window + 2);
     EXPECT_TRUE(a.isFullyCounted(s_window + 1));
     EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 1U);
     b.finish();
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a planned stop makes all windows final";
 }
 
@@ -62,7 +62,7 @@
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger later({ "b", 1 }, s_window + 3);
     a.advance(s_window + 3);
-    passOn(later, a);
+    forwardAll(later, a);
     EXPECT_TRUE(a.isFinal(s_window + 1));
     EXPECT_FALSE(a.isFinal(s_window + 3));
 }
@@ -73,7 +73,7 @@
     UsageLedger b({ "b", 1 }, s_window);
     b.count("blue", s_window);
     b.finish();
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_EQ(a.total(s_window).size(), 1U);
     a.advance(s_window + UsageLedger::retainedWindows);
     EXPECT_TRUE(a.total(s_window).empty());
@@ -104,9 +104,9 @@
             auto index = *rc::gen::inRange<size_t>(0, messages.size());
             (*rc::gen::arbitrary<bool>() ? hub : holder).merge(messages[index]);
         }
-        passOn(source, hub);
-        passOn(hub, holder);
-        passOn(hub, holder);
+        forwardAll(source, hub);
+        forwardAll(hub, holder);
+        forwardAll(hub, holder);
         for (uint64_t window = s_window; window < s_window + 3; ++window)
             RC_ASSERT(holder.total(window) == source.total(window));
     }));
@@ -121,7 +121,7 @@
         UsageLedger holder({ "z", 1 }, s_window);
         for (int step = *rc::gen::inRange(1, 40); step > 0; --step)
             (step % 3 ? source : other).count("w" + std::to_string(*rc::gen::inRange(0, 9)), s_window);
-        passOn(other, source);
+        forwardAll(other, source);
         uint64_t position = 0;
         while (position < source.revision()) {
             auto most = *rc::gen::inRange<size_t>(1, 10);
@@ -158,7 +158,7 @@
 {
     UsageLedger ledger({ "a", 1 }, s_window - 1);
     UsageLedger cutOff({ "b", 1 }, s_window - 1);
-    passOn(cutOff, ledger);
+    forwardAll(cutOff, ledger);
     ledger.advance(s_window + 1);
     UsageReports reports(s_times);
     auto end = s_times.endOf(s_window);
