--- a/Source/UnitTests/Inner/FrameCodecTest.cpp
+++ b/Source/UnitTests/Inner/FrameCodecTest.cpp
@@ -8,7 +8,7 @@
 
 namespace Brassladder::Inner {
 
-TEST(FrameCodecTest, FramesSurviveAnyCutOfTheStream)
+TEST(FrameCodecTest, FramesAreDecodedFromArbitraryChunks)
 {
     bool holds = rc::check("frames", [] {
         auto names = *rc::gen::container<std::vector<std::string>>(rc::gen::string<std::string>());
@@ -34,7 +34,7 @@
     EXPECT_TRUE(holds);
 }
 
-TEST(FrameCodecTest, GarbageIsRefused)
+TEST(FrameCodecTest, MalformedInputIsRejected)
 {
     EXPECT_TRUE(isError(FrameDecoder().feed("\xff\xff\xff\xff")));
     EXPECT_TRUE(isError(FrameDecoder().feed(std::string("\0\0\0\3\xff\xff\xff", 7))));
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -147,7 +147,7 @@
 
 } // namespace
 
-TEST(MeshConnectionTest, WhatIsSentAfterTheOwnerWasNotifiedGoesToANewConnection)
+TEST(MeshConnectionTest, ItemsSentAfterDisconnectNotificationUseANewConnection)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -165,7 +165,7 @@
     EXPECT_TRUE(peer.awaitReconnect());
 }
 
-TEST(MeshConnectionTest, TheEndOfAReplacedPeerIsNotifiedBeforeItsSuccessorIsConnected)
+TEST(MeshConnectionTest, ReplacedPeerIsReportedDisconnectedBeforeItsSuccessorConnects)
 {
     StalledPeer old;
     auto& sender = *new RecordingNode("a");
@@ -182,7 +182,7 @@
     EXPECT_EQ(successor.events(), std::vector<std::string> { "item 2" }) << "messages to the old one are not repeated";
 }
 
-TEST(MeshConnectionTest, WhatWaitsForAPeerThatTakesLittleIsBounded)
+TEST(MeshConnectionTest, BacklogForASlowPeerIsBounded)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -211,7 +211,7 @@
     EXPECT_EQ(sender.events(), std::vector<std::string> { "connected b" });
 }
 
-TEST(MeshConnectionTest, EachConnectionIsNotifiedOnceWhenItEndsDuringAWrite)
+TEST(MeshConnectionTest, ConnectionThatEndsDuringAWriteIsReportedOnce)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -230,7 +230,7 @@
 }
 
 // A stopped process: its kernel accepts and acknowledges, and nothing else comes of it.
-TEST(MeshConnectionTest, APeerThatTakesNothingIsNotifiedAsDisconnected)
+TEST(MeshConnectionTest, PeerThatReadsNothingIsReportedDisconnected)
 {
     boost::asio::io_context io;
     tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
@@ -244,7 +244,7 @@
     EXPECT_TRUE(sender.awaitEvent("disconnected b"));
 }
 
-TEST(MeshConnectionTest, APeerThatIsRemovedAndAddedAgainIsNotifiedInOrder)
+TEST(MeshConnectionTest, HooksRunInOrderWhenAPeerIsRemovedAndAddedAgain)
 {
     for (size_t busyThread : { 0U, 1U }) {
         auto& runtime = Common::FiberRuntime::start(2);
@@ -268,7 +268,7 @@
 }
 
 // Beside a connect that fails, with more behind it than may wait: one fiber goes on sending, over one connection.
-TEST(MeshConnectionTest, MuchThatWaitsForAFailingConnectLeadsToOneConnection)
+TEST(MeshConnectionTest, LargeBacklogDuringAFailingConnectOpensOneConnection)
 {
     auto& runtime = Common::FiberRuntime::start(1);
     boost::asio::io_context io;
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -160,7 +160,7 @@
 class MeshFleetFailureTest : public testing::TestWithParam<unsigned> { };
 INSTANTIATE_TEST_SUITE_P(Seeds, MeshFleetFailureTest, testing::Range(1U, 6U));
 
-TEST_P(MeshFleetFailureTest, PeersThatEndAtAnyStageHarmNeitherTheSenderNorWhatIsSentAfterTheyCameBack)
+TEST_P(MeshFleetFailureTest, PeerFailureAtAnyStageAffectsNeitherTheSenderNorLaterItems)
 {
     RestartingFleet fleet(GetParam());
     fleet.distributeMessages();
@@ -169,7 +169,7 @@
 }
 
 // While a message to the old one is being written and another one waits.
-TEST(MeshFailureTest, APeerThatMovesToAnotherAddressGetsOnlyWhatIsSentAfterwards)
+TEST(MeshFailureTest, PeerWithANewAddressReceivesOnlyLaterItems)
 {
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
@@ -191,7 +191,7 @@
 }
 
 // While a message to it is being written and another one waits.
-TEST(MeshFailureTest, APeerThatIsRemovedIsCutOffAndCanBeAddedAgain)
+TEST(MeshFailureTest, RemovedPeerIsDisconnectedAndCanBeAddedAgain)
 {
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -25,7 +25,7 @@
         EXPECT_EQ(got[sequence], sequence);
 }
 
-TEST(MeshTest, PeerWithoutTheFleetsKeyIsRefusedAndNothingOfItIsTaken)
+TEST(MeshTest, PeerWithoutTheFleetKeyIsRefusedAndItsItemsAreDropped)
 {
     auto& unauthorizedNode = *new MeshNode("x", "another key");
     auto& receiver = *new MeshNode("b", "key");
@@ -41,7 +41,7 @@
 
 // Found beside load: a router crashed when a peer was killed while a message to it was being written and another one
 // waited.
-TEST(MeshTest, AConnectionThatEndsDuringAWriteDoesNotHarmTheSender)
+TEST(MeshTest, SenderSurvivesAConnectionThatEndsDuringAWrite)
 {
     using boost::asio::ip::tcp;
     auto& sender = *new MeshNode("a", "key");
@@ -86,7 +86,7 @@
 }
 
 // A peer that breaks the protocol without ending its side: what it sent then was read and dropped without a word.
-TEST(MeshTest, AnErrorOfTheProtocolEndsTheConnection)
+TEST(MeshTest, ProtocolErrorClosesTheConnection)
 {
     using boost::asio::ip::tcp;
     auto& receiver = *new MeshNode("b", "key");
@@ -107,7 +107,7 @@
     peer.shutdown(tcp::socket::shutdown_both);
 }
 
-TEST(MeshTest, GarbageEndsItsOwnConnectionOnly)
+TEST(MeshTest, MalformedInputClosesOnlyItsOwnConnection)
 {
     auto& receiver = *new MeshNode("b", "key");
     for (const std::string& garbage : { std::string("GET / HTTP/1.1\r\n\r\n"), std::string(4096, '\xff'),
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST(CapacityPlanTest, SpotEnginesCarryTheLoadAlsoWithoutOneDomain)
+TEST(CapacityPlanTest, SpotEnginesCarryTheLoadAfterTheLossOfOneDomain)
 {
     CapacityPlan plan(terms());
     auto targets = plan.targets(threeDomains(20, 30), { 60, 60 });
@@ -85,7 +85,7 @@
     EXPECT_EQ(sum(plan.targets(threeDomains(20, 10), { 60, 60 }), &Target::onDemand), 30U);
 }
 
-TEST(CapacityPlanTest, WhenADomainsSpotEnginesAreTakenAwayTheCheapestDomainsFillIn)
+TEST(CapacityPlanTest, OnDemandEnginesOfTheCheapestDomainsReplaceLostSpotEngines)
 {
     CapacityPlan plan(terms());
     auto domains = threeDomains(1, 30);
@@ -97,7 +97,7 @@
     EXPECT_EQ(targets[2].onDemand, 9U);
 }
 
-TEST(CapacityDemandTest, NothingIsOrderedBeforeWhatStandsIsSettledAndThenItIsHeld)
+TEST(CapacityDemandTest, NeedIsUnknownUntilTheServingCountIsStableAndThenEqualsIt)
 {
     CapacityDemand demand(0.15);
     unsigned servingEngines = 0;
@@ -144,7 +144,7 @@
 }
 
 // Whatever is needed and whatever stands or was ordered: no order leaves the bounds, alone or with those before it.
-TEST(CapacityPlanTest, NoOrderLeavesItsBounds)
+TEST(CapacityPlanTest, OrdersStayWithinMax)
 {
     EXPECT_TRUE(rc::check([] {
         ScalingTerms randomTerms;
@@ -180,7 +180,7 @@
 }
 
 // Under a load that does not change, the plan comes to rest, and never serves with fewer than needed on the way.
-TEST(CapacityPlanTest, ComesToRestWithoutServingWithFewer)
+TEST(CapacityPlanTest, ConvergesWithoutDroppingBelowTheNeed)
 {
     CapacityPlan plan(terms());
     Platform platform { threeDomains(20, 0) };
@@ -199,7 +199,7 @@
 }
 
 // A need that varies by a tenth around 60, for ten minutes: nothing is ordered after the first rounds.
-TEST(CapacityPlanTest, ANeedThatVariesALittleOrdersNothing)
+TEST(CapacityPlanTest, SmallVariationsOfTheNeedCauseNoOrders)
 {
     CapacityPlan plan(terms());
     Platform platform { threeDomains(20, 0) };
@@ -237,7 +237,7 @@
     EXPECT_EQ(platform.domains[0].onDemand, 1U);
 }
 
-TEST(CapacityOrdersTest, AfterAnOrderWithoutAnswerADifferentOneNeedsANewToken)
+TEST(CapacityOrdersTest, DifferentOrderAfterAnUnansweredOneNeedsANewToken)
 {
     CapacityOrders orders(4000ms);
     CapacityOrder six { "s", "north", EngineKind::Spot, 6 };
@@ -253,7 +253,7 @@
     EXPECT_FALSE(orders.next(std::array { six }, 6, later)->needsNewToken) << "the late one is refused now";
 }
 
-TEST(CapacityOrdersTest, WhereNoneAreToBeHadOthersGoFirst)
+TEST(CapacityOrdersTest, DomainWithoutCapacityIsSkippedUntilItsRetryDelayEnds)
 {
     CapacityOrders orders(4000ms);
     CapacityOrder north { "s", "north", EngineKind::Spot, 6 };
@@ -264,7 +264,7 @@
     EXPECT_EQ(orders.next(both, 1, s_start + 2s)->order, north);
 }
 
-TEST(CapacityOrdersTest, ANumberThatTheListDoesNotReachIsOrderedAgain)
+TEST(CapacityOrdersTest, NumberThatTheUpstreamListDoesNotReachIsOrderedAgain)
 {
     CapacityOrders orders(4000ms);
     orders.record({ "s", "north", EngineKind::Spot, 6 }, 1, CapacityOrders::Outcome::Accepted, s_start);
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -337,7 +337,7 @@
 } // namespace
 
 // 113,111 states in four seconds; 13 steps, once by hand: 992,057 states in 44 s, and nothing found.
-TEST(DutyModelTest, NoInterleavingBreaksARuleWithOneLostOrLateAnswer)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWithOneLostOrLateResponse)
 {
     auto outcome = explore({}, { 10, 3, 1 });
     EXPECT_EQ(outcome.violation, "");
@@ -347,21 +347,21 @@
 }
 
 // Deep enough for a holder that is followed, and whose follower gives the lease back.
-TEST(DutyModelTest, NoInterleavingBreaksARuleWhileAllAnswersArrive)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenAllResponsesArrive)
 {
     auto outcome = explore({}, { 16, 3, 0 });
     EXPECT_EQ(outcome.violation, "");
     EXPECT_EQ(outcome.depth, 16U);
 }
 
-TEST(DutyModelTest, NoInterleavingBreaksARuleWhenTheStoreComesBackFromACopy)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenTheStoreIsRestored)
 {
     auto outcome = explore({}, { 11, 3, 0, 1 });
     EXPECT_EQ(outcome.violation, "");
     EXPECT_GT(outcome.states, 10'000U);
 }
 
-TEST(DutyModelTest, WithoutErasTwoHoldAtOnceOrOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutErasTwoHoldersActAtOnceOrShareAToken)
 {
     Guards guards;
     guards.tracksEras = false;
@@ -369,28 +369,28 @@
     EXPECT_TRUE(violation == "two holders at once" || violation == "one token of two holders") << violation;
 }
 
-TEST(DutyModelTest, WithoutTheConditionOfAnAppendOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutConditionalAppendsTwoHoldersShareAToken)
 {
     Guards guards;
     guards.appendsConditionally = false;
     EXPECT_EQ(explore(guards, { 9, 1, 0 }).violation, "one token of two holders");
 }
 
-TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendTwoHoldersShareAToken)
 {
     Guards guards;
     guards.readsAfterUncertainAppend = false;
     EXPECT_EQ(explore(guards, { 9, 1, 1 }).violation, "one token of two holders");
 }
 
-TEST(DutyModelTest, WithoutStayingAwayHoldersChangeBackAndForth)
+TEST(DutyModelTest, WithoutAReclaimDelayTheLeaseAlternatesBetweenHolders)
 {
     Guards guards;
     guards.delaysReclaim = false;
     EXPECT_EQ(explore(guards, { 16, 3, 0 }).violation, "holders A, B, A within a lease");
 }
 
-TEST(DutyModelTest, WithoutWritingCountsFirstTwoReportsDiffer)
+TEST(DutyModelTest, WithoutLoggingCountsFirstReportsOfOneWindowDiffer)
 {
     Guards guards;
     guards.writesBeforeSending = false;
--- a/Source/UnitTests/RouteServing/Duties/DutyRecordTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyRecordTest.cpp
@@ -7,7 +7,7 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-TEST(DutyRecordTest, RecordsAreReadAsTheyWereWritten)
+TEST(DutyRecordTest, EncodedRecordsDecodeToTheSameValue)
 {
     const std::vector<DutyRecord> records { LeaseRecord { "edge-1", ~0ULL, 12, false, 353 },
         LeaseRecord { "edge-1", 7, 12, true, 353 }, WindowRecord { 12, 353'445'120, { { "blue", 4 }, { "red", 0 } } },
@@ -16,13 +16,13 @@
         EXPECT_EQ(decode(keyOf(record), encode(record)), record);
 }
 
-TEST(DutyRecordTest, AWindowTakesThePlaceOfAnOlderOne)
+TEST(DutyRecordTest, WindowReusesTheKeyOfAnOlderWindow)
 {
     EXPECT_EQ(keyOf(WindowRecord { 1, 5, {} }), keyOf(WindowRecord { 1, 5 + maxLoggedWindows, {} }));
     EXPECT_NE(keyOf(WindowRecord { 1, 5, {} }), keyOf(WindowRecord { 1, 6, {} }));
 }
 
-TEST(DutyRecordTest, OtherWritersBytesAreNoRecords)
+TEST(DutyRecordTest, MalformedRecordsAreRejected)
 {
     for (const char* text : { "", "null", "[]", "{}", "7", "\xff\xfe", R"({"holder":"a"})",
              R"({"holder":7,"incarnation":1,"token":1,"first_unreported":0})",
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST(LeaseTest, TheFirstOfAllRoutersClaimsAtOnceAndOneOfTwoWins)
+TEST(LeaseTest, UnheldLeaseIsClaimedAtOnceAndOneOfTwoClaimsSucceeds)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -70,7 +70,7 @@
     EXPECT_EQ(b.nextStep(s_candidate, s_start), Step::Read);
 }
 
-TEST(LeaseTest, TheHolderRenewsInTimeAndStopsActingBeforeItsLeaseEnds)
+TEST(LeaseTest, HolderRenewsInTimeAndStopsActingBeforeItsLeaseExpires)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -85,7 +85,7 @@
     EXPECT_EQ(a.token(s_start + 5s), 1U);
 }
 
-TEST(LeaseTest, OthersTakeOverOnlyWhenTheySawNothingForTheWholeLease)
+TEST(LeaseTest, TakeoverRequiresAFullLeaseDurationWithoutRecords)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -109,7 +109,7 @@
     EXPECT_FALSE(a.isHolder());
 }
 
-TEST(LeaseTest, AHolderThatWasFollowedDoesNotComeBackSoon)
+TEST(LeaseTest, SupersededHolderWaitsBeforeItReclaims)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -126,7 +126,7 @@
     EXPECT_EQ(a.nextStep(s_candidate, s_start + 6s), Step::Claim);
 }
 
-TEST(LeaseTest, APlannedStopHandsOverAtOnceButNotToARouterThatHasJustStarted)
+TEST(LeaseTest, ReleasedLeaseIsClaimableAtOnceExceptByARouterThatJustStarted)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -145,7 +145,7 @@
     EXPECT_EQ(b.nextStep(s_candidate, stop), Step::Claim);
 }
 
-TEST(LeaseTest, AnAppendWithoutAnAnswerHoldsFromBeforeItWasSent)
+TEST(LeaseTest, UnansweredAppendIsValidFromItsSendTime)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -163,7 +163,7 @@
     EXPECT_FALSE(a.token(s_start + 2700ms)) << "counted from the read, it would act beyond its lease";
 }
 
-TEST(LeaseTest, AnotherProcessOfTheSameInstanceGoesOnAtOnceWithANewToken)
+TEST(LeaseTest, RestartedInstanceReclaimsAtOnceWithANewToken)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -190,7 +190,7 @@
     EXPECT_EQ(a.nextStep(s_candidate, s_start), Step::Wait);
 }
 
-TEST(LeaseTest, AHolderThatMayNotHoldAnyMoreGivesTheLeaseBack)
+TEST(LeaseTest, HolderThatIsNoLongerACandidateReleasesTheLease)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -199,7 +199,7 @@
     EXPECT_EQ(a.nextStep({ false, false }, s_start + 1s), Step::Release);
 }
 
-TEST(LeaseTest, ForeignBytesInTheLogChangeNothing)
+TEST(LeaseTest, ForeignRecordsDoNotChangeTheHolder)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -218,7 +218,7 @@
 }
 
 // The copy lacks the claim of the one that holds the duties, or names one before it.
-TEST(LeaseTest, AHolderWhoseClaimTheStoreHasLostClaimsAnewBeforeItActs)
+TEST(LeaseTest, HolderWhoseClaimTheStoreLostReclaimsBeforeItActs)
 {
     for (size_t copyEnd : { 0, 1, 2 }) {
         Log log;
@@ -245,7 +245,7 @@
 }
 
 // What the copy says of others may be over: they wait for the holder that it does not know of.
-TEST(LeaseTest, InANewEraOthersWaitForAsLongAsALeaseLasts)
+TEST(LeaseTest, InANewEraOtherRoutersWaitOneLeaseDuration)
 {
     for (size_t copyEnd : { 0, 1 }) {
         Log log;
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST(UsageLedgerTest, CountsOfAllRoutersAreAddedUpByWindowAndWorkspace)
+TEST(UsageLedgerTest, CountsOfAllRoutersAreSummedByWindowAndWorkspace)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
@@ -38,7 +38,7 @@
     EXPECT_EQ(a.total(s_window + 2), (WorkspaceCounts { { "red", 1 } }));
 }
 
-TEST(UsageLedgerTest, AWindowIsFinalWhenAllThatWereUpSaySo)
+TEST(UsageLedgerTest, WindowIsFinalOnceAllProcessesThatWereUpHaveFinishedIt)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
@@ -57,7 +57,7 @@
     EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a planned stop makes all windows final";
 }
 
-TEST(UsageLedgerTest, ARouterThatStartedLaterIsNotWaitedFor)
+TEST(UsageLedgerTest, RouterThatStartedAfterTheWindowDoesNotDelayIt)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger later({ "b", 1 }, s_window + 3);
@@ -67,7 +67,7 @@
     EXPECT_FALSE(a.isFinal(s_window + 3));
 }
 
-TEST(UsageLedgerTest, OldWindowsAndTheirRoutersAreForgotten)
+TEST(UsageLedgerTest, OldWindowsAndTheirProcessesAreEvicted)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
@@ -89,7 +89,7 @@
 }
 
 // Messages are lost, doubled, late and arrive by two ways: what arrives in the end is what was counted.
-TEST(UsageLedgerTest, MergingIsTheSameInAnyOrderAndAnyNumberOfTimes)
+TEST(UsageLedgerTest, MergeIsCommutativeAndIdempotent)
 {
     EXPECT_TRUE(rc::check([] {
         UsageLedger source({ "a", 1 }, s_window);
@@ -113,7 +113,7 @@
 }
 
 // A ledger that is sent in parts, each once the one before has arrived, arrives whole.
-TEST(UsageLedgerTest, PartsOfAnySizeAddUpToTheWhole)
+TEST(UsageLedgerTest, PartialUpdatesOfAnySizeYieldTheCompleteLedger)
 {
     EXPECT_TRUE(rc::check([] {
         UsageLedger source({ "a", 1 }, s_window);
@@ -154,7 +154,7 @@
     EXPECT_EQ(reports.written(s_window)->counts.at("blue"), 1U) << "the first record of a window stands";
 }
 
-TEST(UsageReportsTest, ARouterThatIsCutOffIsWaitedForUntilTheReportIsNearlyDue)
+TEST(UsageReportsTest, UnreachableRouterDelaysAReportUntilItIsNearlyDue)
 {
     UsageLedger ledger({ "a", 1 }, s_window - 1);
     UsageLedger cutOff({ "b", 1 }, s_window - 1);
@@ -166,7 +166,7 @@
     EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::Write);
 }
 
-TEST(UsageReportsTest, AWindowThatNobodyCountedWholeIsNotSent)
+TEST(UsageReportsTest, WindowThatNoRouterCountedCompletelyIsNotSent)
 {
     UsageLedger ledger({ "a", 1 }, s_window);
     ledger.count("blue", s_window);
@@ -177,7 +177,7 @@
     EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::GiveUp);
 }
 
-TEST(UsageStartTest, WhatUpstreamsBeganIsCountedAlsoWhenNothingCameOfIt)
+TEST(UsageStartTest, StartedRequestsCountEvenWithoutAResponse)
 {
     using Outcome = Routing::AttemptOutcome;
     EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Answered, false, 10ms, std::nullopt }));
@@ -192,7 +192,7 @@
         EXPECT_FALSE(hadStartedAtUpstream({ outcome, false, 10s, 1ms }));
 }
 
-TEST(FleetClockTest, AJumpOfTheTimeOfDayIsNotFollowedUnlessItLasts)
+TEST(FleetClockTest, ClockJumpIsAdoptedOnlyIfItPersists)
 {
     FleetClock clock(1'000'000ms, s_start);
     clock.observeSystem(1'012'000ms, s_start + 10s);
@@ -204,7 +204,7 @@
     EXPECT_EQ(clock.agreed(s_start + 90s), 1'092'000ms) << "it has lasted for a minute";
 }
 
-TEST(FleetClockTest, AHubTakesTheMiddleOfItsSubscribersAndTheyFollowIt)
+TEST(FleetClockTest, HubUsesTheMedianTimeAndSubscribersFollowIt)
 {
     FleetClock hub(5'002'000ms, s_start);
     for (const char* id : { "a", "b", "c" })
