--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -134,7 +134,7 @@
     if (!m_lease.isHolder())
         return;
     if (order)
-        m_orders.at(order->service).record(*order, m_heldToken, CapacityOrders::Outcome::NoneToBeHad, Common::now());
+        m_orders.at(order->service).record(*order, m_heldToken, CapacityOrders::Outcome::NoCapacity, Common::now());
     else
         m_lease.requireNewToken();
 }
@@ -149,7 +149,7 @@
         noteLease();
         return true;
     }
-    m_lease.recordUnsure();
+    m_lease.recordAppendUncertain();
     // The read that follows may succeed where appends do not.
     if (isError(appended))
         Common::sleepFor(backoffAfter(++m_appendFailures));
@@ -172,7 +172,7 @@
 {
     Common::log(LogLevel::Info, "gateway", "duties.conflict", { { "call", call }, { "token", token } });
     m_conflictIsOpen = true;
-    m_lease.recordUnsure();
+    m_lease.recordAppendUncertain();
 }
 
 // Usage
@@ -183,7 +183,7 @@
     if (!m_settings.reportsUsage || Common::now() < m_usageNotBefore)
         return false;
     auto [next, window] = m_parts.usage.inspect([&](const auto& ledger, Milliseconds wall) {
-        auto first = Duties::UsageReports::firstPossible(m_settings.usage.windowAt(wall));
+        auto first = Duties::UsageReports::firstReportableWindow(m_settings.usage.windowAt(wall));
         auto window = std::max(m_firstUnreported, first);
         return std::pair(m_reports.next(window, ledger, wall), window);
     });
@@ -215,9 +215,9 @@
     if (!by)
         return false;
     Duties::WindowRecord record { by->token, window, {} };
-    auto missing = m_parts.usage.inspect([&](const auto& ledger, Milliseconds) {
+    auto unfinishedProcesses = m_parts.usage.inspect([&](const auto& ledger, Milliseconds) {
         record.counts = ledger.total(window);
-        return ledger.missing(window);
+        return ledger.unfinishedProcesses(window);
     });
     if (!append(record))
         return true;
@@ -226,7 +226,8 @@
     for (const auto& [workspace, count] : record.counts)
         total += count;
     Common::log(LogLevel::Info, "gateway", "usage.written",
-        { { "window", window }, { "total", total }, { "token", by->token }, { "missing_routers", missing } });
+        { { "window", window }, { "total", total }, { "token", by->token },
+            { "missing_routers", unfinishedProcesses } });
     return true;
 }
 
@@ -277,12 +278,12 @@
 
 void DutyRunner::observeDemand(const ServiceCapacity& service, TimePoint now)
 {
-    unsigned standing = 0;
+    unsigned servingEngines = 0;
     for (const auto& domain : service.domains)
-        standing += domain.onDemand + domain.spot;
+        servingEngines += domain.onDemand + domain.spot;
     auto& demand = m_demands.try_emplace(service.service, service.terms.spotPrice).first->second;
-    demand.observe(service.load, standing, now);
-    DutyMetrics::capacity(service.service, standing, demand.need(now));
+    demand.observe(service.load, servingEngines, now);
+    DutyMetrics::capacity(service.service, servingEngines, demand.need(now));
 }
 
 bool DutyRunner::orderCapacity(const ServiceCapacity& service, TimePoint now)
@@ -292,7 +293,7 @@
         return false;
     auto& orders = m_orders.try_emplace(service.service, service.terms.boot).first->second;
     auto domains = service.domains;
-    orders.describe(service.service, domains, now);
+    orders.setOrderedNumbers(service.service, domains, now);
     Duties::CapacityPlan plan(service.terms);
     auto targets = plan.targets(domains, *need);
     auto next = orders.next(plan.orders(service.service, domains, targets), m_heldToken, now);
@@ -311,9 +312,9 @@
     case DutyCallOutcome::Accepted:
         return CapacityOrders::Outcome::Accepted;
     case DutyCallOutcome::NoResponse:
-        return CapacityOrders::Outcome::NoAnswer;
+        return CapacityOrders::Outcome::NoResponse;
     default:
-        return CapacityOrders::Outcome::NotDone;
+        return CapacityOrders::Outcome::Rejected;
     }
 }
 
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -66,7 +66,7 @@
     }
     void end() { m_socket.close(); }
     // Takes a little at a time, so that the connection is never without progress, until it ends or `stop` is set.
-    void takeLittle(const std::atomic<bool>& stop)
+    void readSlowly(const std::atomic<bool>& stop)
     {
         boost::system::error_code error;
         std::array<char, 64> piece {};
@@ -77,7 +77,7 @@
     }
 
     // Whether a new connection arrives in time.
-    bool isConnectedAgain()
+    bool awaitReconnect()
     {
         bool connected = false;
         m_acceptor.async_accept([&](boost::system::error_code error, const tcp::socket&) { connected = !error; });
@@ -147,7 +147,7 @@
 
 } // namespace
 
-TEST(MeshConnectionTest, WhatIsSentAfterTheOwnerWasNotifiedGoesToANewConnection)
+TEST(MeshConnectionTest, ItemsSentAfterDisconnectNotificationUseANewConnection)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -162,10 +162,10 @@
     sender.mesh().send("b", numberedItem(1));
     peer.end();
     ASSERT_TRUE(sender.awaitEvent("disconnected b"));
-    EXPECT_TRUE(peer.isConnectedAgain());
+    EXPECT_TRUE(peer.awaitReconnect());
 }
 
-TEST(MeshConnectionTest, TheEndOfAReplacedPeerIsNotifiedBeforeItsSuccessorIsConnected)
+TEST(MeshConnectionTest, ReplacedPeerIsReportedDisconnectedBeforeItsSuccessorConnects)
 {
     StalledPeer old;
     auto& sender = *new RecordingNode("a");
@@ -182,7 +182,7 @@
     EXPECT_EQ(successor.events(), std::vector<std::string> { "item 2" }) << "messages to the old one are not repeated";
 }
 
-TEST(MeshConnectionTest, WhatWaitsForAPeerThatTakesLittleIsBounded)
+TEST(MeshConnectionTest, BacklogForASlowPeerIsBounded)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -190,7 +190,7 @@
     sender.mesh().send("b", largeItem());
     peer.acceptAndStall();
     std::atomic<bool> stop = false;
-    std::thread reader([&] { peer.takeLittle(stop); });
+    std::thread reader([&] { peer.readSlowly(stop); });
     sender.mesh().send("b", largeItem());
     sender.mesh().send("b", largeItem());
     EXPECT_TRUE(sender.awaitEvent("disconnected b"));
@@ -211,7 +211,7 @@
     EXPECT_EQ(sender.events(), std::vector<std::string> { "connected b" });
 }
 
-TEST(MeshConnectionTest, EachConnectionIsNotifiedOnceWhenItEndsDuringAWrite)
+TEST(MeshConnectionTest, ConnectionThatEndsDuringAWriteIsReportedOnce)
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
@@ -230,7 +230,7 @@
 }
 
 // A stopped process: its kernel accepts and acknowledges, and nothing else comes of it.
-TEST(MeshConnectionTest, APeerThatTakesNothingIsNotifiedAsDisconnected)
+TEST(MeshConnectionTest, PeerThatReadsNothingIsReportedDisconnected)
 {
     boost::asio::io_context io;
     tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
@@ -244,7 +244,7 @@
     EXPECT_TRUE(sender.awaitEvent("disconnected b"));
 }
 
-TEST(MeshConnectionTest, APeerThatIsRemovedAndAddedAgainIsNotifiedInOrder)
+TEST(MeshConnectionTest, HooksRunInOrderWhenAPeerIsRemovedAndAddedAgain)
 {
     for (size_t busyThread : { 0U, 1U }) {
         auto& runtime = Common::FiberRuntime::start(2);
@@ -268,7 +268,7 @@
 }
 
 // Beside a connect that fails, with more behind it than may wait: one fiber goes on sending, over one connection.
-TEST(MeshConnectionTest, MuchThatWaitsForAFailingConnectLeadsToOneConnection)
+TEST(MeshConnectionTest, LargeBacklogDuringAFailingConnectOpensOneConnection)
 {
     auto& runtime = Common::FiberRuntime::start(1);
     boost::asio::io_context io;
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -15,7 +15,7 @@
 {
     auto& sender = *new MeshNode("a", "key");
     auto& receiver = *new MeshNode("b", "key");
-    sender.knows(receiver, "b");
+    sender.connectTo(receiver, "b");
     static constexpr uint64_t count = 5000;
     for (uint64_t sequence = 0; sequence < count; ++sequence)
         sender.send("b", sequence);
@@ -25,23 +25,23 @@
         EXPECT_EQ(got[sequence], sequence);
 }
 
-TEST(MeshTest, PeerWithoutTheFleetsKeyIsRefusedAndNothingOfItIsTaken)
+TEST(MeshTest, PeerWithoutTheFleetKeyIsRefusedAndItsItemsAreDropped)
 {
-    auto& stranger = *new MeshNode("x", "another key");
+    auto& unauthorizedNode = *new MeshNode("x", "another key");
     auto& receiver = *new MeshNode("b", "key");
-    stranger.knows(receiver, "b");
-    stranger.send("b", 1);
-    EXPECT_TRUE(stranger.awaitDisconnected("b"));
-    auto& friendly = *new MeshNode("a", "key");
-    friendly.knows(receiver, "b");
-    friendly.send("b", 2);
+    unauthorizedNode.connectTo(receiver, "b");
+    unauthorizedNode.send("b", 1);
+    EXPECT_TRUE(unauthorizedNode.awaitDisconnected("b"));
+    auto& authorizedNode = *new MeshNode("a", "key");
+    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.send("b", 2);
     ASSERT_TRUE(receiver.awaitCount(1));
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
 }
 
 // Found beside load: a router crashed when a peer was killed while a message to it was being written and another one
 // waited.
-TEST(MeshTest, AConnectionThatEndsDuringAWriteDoesNotHarmTheSender)
+TEST(MeshTest, SenderSurvivesAConnectionThatEndsDuringAWrite)
 {
     using boost::asio::ip::tcp;
     auto& sender = *new MeshNode("a", "key");
@@ -72,7 +72,7 @@
         while (!error)
             socket.read_some(boost::asio::buffer(received), error);
     });
-    sender.knows(port.get_future().get(), "b");
+    sender.connectTo(port.get_future().get(), "b");
     sender.sendLarge("b", 15 * 1024 * 1024);
     isWriting.get_future().wait();
     sender.send("b", 1);
@@ -80,13 +80,13 @@
     EXPECT_TRUE(sender.awaitDisconnected("b"));
     peer.join();
     auto& receiver = *new MeshNode("b", "key");
-    sender.knows(receiver, "b");
+    sender.connectTo(receiver, "b");
     sender.send("b", 2);
     EXPECT_TRUE(receiver.awaitCount(1)) << "the sender goes on";
 }
 
 // A peer that breaks the protocol without ending its side: what it sent then was read and dropped without a word.
-TEST(MeshTest, AnErrorOfTheProtocolEndsTheConnection)
+TEST(MeshTest, ProtocolErrorClosesTheConnection)
 {
     using boost::asio::ip::tcp;
     auto& receiver = *new MeshNode("b", "key");
@@ -107,7 +107,7 @@
     peer.shutdown(tcp::socket::shutdown_both);
 }
 
-TEST(MeshTest, GarbageEndsItsOwnConnectionOnly)
+TEST(MeshTest, MalformedInputClosesOnlyItsOwnConnection)
 {
     auto& receiver = *new MeshNode("b", "key");
     for (const std::string& garbage : { std::string("GET / HTTP/1.1\r\n\r\n"), std::string(4096, '\xff'),
@@ -129,9 +129,9 @@
         });
         EXPECT_NE(closed, boost::beast::error::timeout);
     }
-    auto& friendly = *new MeshNode("a", "key");
-    friendly.knows(receiver, "b");
-    friendly.send("b", 3);
+    auto& authorizedNode = *new MeshNode("a", "key");
+    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.send("b", 3);
     EXPECT_TRUE(receiver.awaitCount(1));
 }
 
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -19,7 +19,7 @@
 
 ScalingTerms terms() { return { 1, 40, 4000ms, 0.15, { { "north", 0.85 }, { "south", 1.2 }, { "west", 1.0 } } }; }
 
-std::vector<DomainCapacity> three(unsigned onDemand, unsigned spot)
+std::vector<DomainCapacity> threeDomains(unsigned onDemand, unsigned spot)
 {
     std::vector<DomainCapacity> domains;
     for (const char* name : { "north", "south", "west" })
@@ -47,8 +47,8 @@
                 continue;
             bool isSpot = order.kind == EngineKind::Spot;
             (isSpot ? domain.orderedSpot : domain.orderedOnDemand) = order.desired;
-            auto& standing = isSpot ? domain.spot : domain.onDemand;
-            standing = std::min(standing, order.desired);
+            auto& servingEngines = isSpot ? domain.spot : domain.onDemand;
+            servingEngines = std::min(servingEngines, order.desired);
         }
     }
     void boot()
@@ -69,10 +69,10 @@
 
 } // namespace
 
-TEST(CapacityPlanTest, SpotEnginesCarryTheLoadAlsoWithoutOneDomain)
+TEST(CapacityPlanTest, SpotEnginesCarryTheLoadAfterTheLossOfOneDomain)
 {
     CapacityPlan plan(terms());
-    auto targets = plan.targets(three(20, 30), { 60, 60 });
+    auto targets = plan.targets(threeDomains(20, 30), { 60, 60 });
     for (const auto& target : targets)
         EXPECT_EQ(target.spot, 30U);
     EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "the floor";
@@ -81,14 +81,14 @@
 TEST(CapacityPlanTest, OnDemandEnginesStayUntilSpotEnginesServe)
 {
     CapacityPlan plan(terms());
-    EXPECT_EQ(sum(plan.targets(three(20, 0), { 60, 60 }), &Target::onDemand), 60U);
-    EXPECT_EQ(sum(plan.targets(three(20, 10), { 60, 60 }), &Target::onDemand), 30U);
+    EXPECT_EQ(sum(plan.targets(threeDomains(20, 0), { 60, 60 }), &Target::onDemand), 60U);
+    EXPECT_EQ(sum(plan.targets(threeDomains(20, 10), { 60, 60 }), &Target::onDemand), 30U);
 }
 
-TEST(CapacityPlanTest, WhenADomainsSpotEnginesAreTakenAwayTheCheapestDomainsFillIn)
+TEST(CapacityPlanTest, OnDemandEnginesOfTheCheapestDomainsReplaceLostSpotEngines)
 {
     CapacityPlan plan(terms());
-    auto domains = three(1, 30);
+    auto domains = threeDomains(1, 30);
     domains[2].spot = 0;
     auto targets = plan.targets(domains, { 80, 80 });
     EXPECT_EQ(sum(targets, &Target::onDemand), 20U);
@@ -97,18 +97,18 @@
     EXPECT_EQ(targets[2].onDemand, 9U);
 }
 
-TEST(CapacityDemandTest, NothingIsOrderedBeforeWhatStandsIsSettledAndThenItIsHeld)
+TEST(CapacityDemandTest, NeedIsUnknownUntilTheServingCountIsStableAndThenEqualsIt)
 {
     CapacityDemand demand(0.15);
-    unsigned standing = 0;
+    unsigned servingEngines = 0;
     auto now = s_start;
     // A list that fills while engines announce themselves.
-    for (; standing < 60; standing += 6, now += 500ms) {
-        demand.observe({}, standing, now);
+    for (; servingEngines < 60; servingEngines += 6, now += 500ms) {
+        demand.observe({}, servingEngines, now);
         EXPECT_FALSE(demand.need(now));
     }
     for (int step = 0; step < 5; ++step, now += 500ms)
-        demand.observe({}, standing, now);
+        demand.observe({}, servingEngines, now);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 60, 60 }));
     // What was ordered meanwhile does not count as needed.
     demand.observe({}, 120, now + 5s);
@@ -123,45 +123,45 @@
     auto load = [](double tokens) { return EngineLoad { 32, tokens, 0.0176, 64, 300ms }; };
     EXPECT_NEAR(CapacityDemand::enginesFor(load(100'000)), 24.5, 0.1);
     auto now = s_start;
-    auto play = [&](double tokens, Common::Milliseconds time) {
+    auto observeFor = [&](double tokens, Common::Milliseconds time) {
         for (auto end = now + time; now < end; now += 500ms)
             demand.observe(load(tokens), 60, now);
     };
-    play(100'000, 15s);
+    observeFor(100'000, 15s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 60 })) << "what stood is held";
-    play(100'000, 61s);
+    observeFor(100'000, 61s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
-    play(300'000, 2s);
-    EXPECT_GE(demand.need(now)->ahead, 2 * 60U);
-    play(300'000, 6s);
+    observeFor(300'000, 2s);
+    EXPECT_GE(demand.need(now)->withHeadroom, 2 * 60U);
+    observeFor(300'000, 6s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 143 }));
-    play(100'000, 10s);
+    observeFor(100'000, 10s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 143 }));
-    play(100'000, 60s);
+    observeFor(100'000, 60s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
-    play(300'000, 15s);
-    EXPECT_EQ(demand.need(now)->lasting, 72U) << "a load that lasts";
+    observeFor(300'000, 15s);
+    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a load that lasts";
 }
 
 // Whatever is needed and whatever stands or was ordered: no order leaves the bounds, alone or with those before it.
-TEST(CapacityPlanTest, NoOrderLeavesItsBounds)
+TEST(CapacityPlanTest, OrdersStayWithinMax)
 {
     EXPECT_TRUE(rc::check([] {
-        ScalingTerms any;
-        any.max = *rc::gen::inRange(1U, 50U);
-        any.min = *rc::gen::inRange(0U, any.max + 1);
-        any.spotPrice = *rc::gen::element(0.0, 0.15, 1.0, 2.0);
+        ScalingTerms randomTerms;
+        randomTerms.max = *rc::gen::inRange(1U, 50U);
+        randomTerms.min = *rc::gen::inRange(0U, randomTerms.max + 1);
+        randomTerms.spotPrice = *rc::gen::element(0.0, 0.15, 1.0, 2.0);
         Platform platform;
         for (const char* name : { "a", "b", "c", "d" }) {
-            auto onDemand = *rc::gen::inRange(0U, any.max + 1);
-            auto spot = *rc::gen::inRange(0U, any.max + 1 - onDemand);
+            auto onDemand = *rc::gen::inRange(0U, randomTerms.max + 1);
+            auto spot = *rc::gen::inRange(0U, randomTerms.max + 1 - onDemand);
             platform.domains.push_back({ name, onDemand, spot, std::nullopt, std::nullopt });
         }
-        CapacityPlan plan(any);
+        CapacityPlan plan(randomTerms);
         for (int round = 0; round < 6; ++round) {
             auto needed = *rc::gen::inRange(0U, 400U);
-            auto ahead = *rc::gen::inRange(0U, 400U);
-            auto targets = plan.targets(platform.domains, { needed, ahead });
+            auto withHeadroom = *rc::gen::inRange(0U, 400U);
+            auto targets = plan.targets(platform.domains, { needed, withHeadroom });
             for (const auto& order : plan.orders("s", platform.domains, targets)) {
                 if (!*rc::gen::arbitrary<bool>())
                     continue;
@@ -170,8 +170,8 @@
                     if (!domain.orderedOnDemand || !domain.orderedSpot)
                         continue;
                     auto total = *domain.orderedOnDemand + *domain.orderedSpot;
-                    RC_ASSERT(total <= any.max);
-                    RC_ASSERT(*domain.orderedOnDemand <= any.max && *domain.orderedSpot <= any.max);
+                    RC_ASSERT(total <= randomTerms.max);
+                    RC_ASSERT(*domain.orderedOnDemand <= randomTerms.max && *domain.orderedSpot <= randomTerms.max);
                 }
             }
             platform.boot();
@@ -180,10 +180,10 @@
 }
 
 // Under a load that does not change, the plan comes to rest, and never serves with fewer than needed on the way.
-TEST(CapacityPlanTest, ComesToRestWithoutServingWithFewer)
+TEST(CapacityPlanTest, ConvergesWithoutDroppingBelowTheNeed)
 {
     CapacityPlan plan(terms());
-    Platform platform { three(20, 0) };
+    Platform platform { threeDomains(20, 0) };
     size_t ordersInLastRound = 1;
     for (int round = 0; round < 8; ++round) {
         auto orders = plan.orders("s", platform.domains, plan.targets(platform.domains, { 60, 60 }));
@@ -199,10 +199,10 @@
 }
 
 // A need that varies by a tenth around 60, for ten minutes: nothing is ordered after the first rounds.
-TEST(CapacityPlanTest, ANeedThatVariesALittleOrdersNothing)
+TEST(CapacityPlanTest, SmallVariationsOfTheNeedCauseNoOrders)
 {
     CapacityPlan plan(terms());
-    Platform platform { three(20, 0) };
+    Platform platform { threeDomains(20, 0) };
     size_t orders = 0;
     for (unsigned round = 0; round < 1200; ++round) {
         CapacityNeed need { 50 + round % 3, 57 + round * 7 % 6 };
@@ -220,7 +220,7 @@
     auto large = terms();
     large.max = 2000;
     CapacityPlan plan(large);
-    Platform platform { three(1000, 0) };
+    Platform platform { threeDomains(1000, 0) };
     auto before = platform.domains;
     for (int round = 0; round < 60; ++round) {
         for (const auto& order : plan.orders("s", platform.domains, plan.targets(platform.domains, { 3000, 3000 })))
@@ -237,13 +237,13 @@
     EXPECT_EQ(platform.domains[0].onDemand, 1U);
 }
 
-TEST(CapacityOrdersTest, AfterAnOrderWithoutAnswerADifferentOneNeedsANewToken)
+TEST(CapacityOrdersTest, DifferentOrderAfterAnUnansweredOneNeedsANewToken)
 {
     CapacityOrders orders(4000ms);
     CapacityOrder six { "s", "north", EngineKind::Spot, 6 };
     CapacityOrder nine { "s", "north", EngineKind::Spot, 9 };
     EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)->needsNewToken);
-    orders.record(six, 5, CapacityOrders::Outcome::NoAnswer, s_start);
+    orders.record(six, 5, CapacityOrders::Outcome::NoResponse, s_start);
     EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)) << "not at once";
     auto later = s_start + 1s;
     EXPECT_FALSE(orders.next(std::array { six }, 5, later)->needsNewToken) << "the same may be repeated";
@@ -253,28 +253,28 @@
     EXPECT_FALSE(orders.next(std::array { six }, 6, later)->needsNewToken) << "the late one is refused now";
 }
 
-TEST(CapacityOrdersTest, WhereNoneAreToBeHadOthersGoFirst)
+TEST(CapacityOrdersTest, DomainWithoutCapacityIsSkippedUntilItsRetryDelayEnds)
 {
     CapacityOrders orders(4000ms);
     CapacityOrder north { "s", "north", EngineKind::Spot, 6 };
     CapacityOrder south { "s", "south", EngineKind::Spot, 6 };
-    orders.record(north, 1, CapacityOrders::Outcome::NoneToBeHad, s_start);
+    orders.record(north, 1, CapacityOrders::Outcome::NoCapacity, s_start);
     const std::array both { north, south };
     EXPECT_EQ(orders.next(both, 1, s_start + 1s)->order, south);
     EXPECT_EQ(orders.next(both, 1, s_start + 2s)->order, north);
 }
 
-TEST(CapacityOrdersTest, ANumberThatTheListDoesNotReachIsOrderedAgain)
+TEST(CapacityOrdersTest, NumberThatTheUpstreamListDoesNotReachIsOrderedAgain)
 {
     CapacityOrders orders(4000ms);
     orders.record({ "s", "north", EngineKind::Spot, 6 }, 1, CapacityOrders::Outcome::Accepted, s_start);
     std::vector<DomainCapacity> domains { { "north", 0, 5, std::nullopt, std::nullopt } };
-    orders.describe("s", domains, s_start + 7s);
+    orders.setOrderedNumbers("s", domains, s_start + 7s);
     EXPECT_EQ(domains[0].orderedSpot, 6U);
-    orders.describe("s", domains, s_start + 7001ms);
+    orders.setOrderedNumbers("s", domains, s_start + 7001ms);
     EXPECT_FALSE(domains[0].orderedSpot);
     domains[0].spot = 6;
-    orders.describe("s", domains, s_start + 8s);
+    orders.setOrderedNumbers("s", domains, s_start + 8s);
     EXPECT_EQ(domains[0].orderedSpot, 6U);
 }
 
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -26,11 +26,11 @@
 constexpr uint64_t s_window = 7;
 
 struct Guards {
-    bool appendsOnCondition { true };
-    bool readsWhenUnsure { true };
-    bool staysAwayWhenFollowed { true };
+    bool appendsConditionally { true };
+    bool readsAfterUncertainAppend { true };
+    bool delaysReclaim { true };
     bool writesBeforeSending { true };
-    bool knowsEras { true };
+    bool tracksEras { true };
 };
 
 struct Limits {
@@ -48,9 +48,9 @@
     explicit Model(const Guards& guards)
         : m_guards(guards)
     {
-        auto times = LeaseTimes::within(3000ms, 300ms);
-        if (!guards.staysAwayWhenFollowed)
-            times.comeback = 0ms;
+        auto times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
+        if (!guards.delaysReclaim)
+            times.reclaimDelay = 0ms;
         // Both have been up for a while.
         m_routers.push_back({ Lease(times, "a", 1, s_start - 1min), false, std::nullopt });
         m_routers.push_back({ Lease(times, "b", 2, s_start - 1min), false, std::nullopt });
@@ -78,7 +78,7 @@
             }
         }
         for (size_t copyEnd = 0; m_era < limits.eras && copyEnd < m_log.size(); ++copyEnd)
-            add([&](Model& state) { return state.comeBack(copyEnd); });
+            add([&](Model& state) { return state.restoreFromCopy(copyEnd); });
         for (size_t index = 0; index < m_lateAppends.size(); ++index)
             add([&](Model& state) { return state.carryOutAppend(index); });
         for (size_t index = 0; index < m_lateCalls.size(); ++index)
@@ -98,9 +98,10 @@
         for (const auto& router : m_routers) {
             const auto& state = router.lease.state();
             out << '|' << router.isStopping << state.end.era << ' ' << state.end.offset << ' '
-                << (state.eraSeen ? ticksOf(*state.eraSeen) : -1) << state.mustClaimAnew << ' ' << state.mustRead
-                << ticksOf(state.newestSeen) << ' ' << ticksOf(state.readStarted) << ' ' << ticksOf(state.validFrom)
-                << ' ' << (state.sent ? ticksOf(*state.sent) : -1) << ' '
+                << (state.eraFirstReadAt ? ticksOf(*state.eraFirstReadAt) : -1) << state.mustReclaim << ' '
+                << state.mustRead << ticksOf(state.newestSeen) << ' ' << ticksOf(state.readStarted) << ' '
+                << ticksOf(state.validFrom) << ' '
+                << (state.unresolvedAppendAt ? ticksOf(*state.unresolvedAppendAt) : -1) << ' '
                 << (state.lastHeld ? ticksOf(*state.lastHeld) : -1) << ' '
                 << (state.newest ? describe(*state.newest) : "") << (router.written ? *router.written : 0);
         }
@@ -162,7 +163,7 @@
 
     bool read(Router& router)
     {
-        auto era = m_guards.knowsEras ? m_era : 0;
+        auto era = m_guards.tracksEras ? m_era : 0;
         bool isWhole = router.lease.state().end.era != era;
         auto from = isWhole ? 0 : std::min<size_t>(router.lease.end(), m_log.size());
         auto before = key();
@@ -191,18 +192,18 @@
             m_lateAppends.push_back({ index, record, at });
         bool isDone = fate != Fate::Late && store(record, at);
         // The answer names the era.
-        isLost |= m_guards.knowsEras && m_era != router.lease.state().end.era;
-        if ((isDone && !isLost) || (isLost && !m_guards.readsWhenUnsure)) {
+        isLost |= m_guards.tracksEras && m_era != router.lease.state().end.era;
+        if ((isDone && !isLost) || (isLost && !m_guards.readsAfterUncertainAppend)) {
             router.lease.recordAppended(record);
             noteWritten(router, record);
         } else {
-            router.lease.recordUnsure();
+            router.lease.recordAppendUncertain();
         }
         return true;
     }
 
     // The store comes back from a copy that ends there; what was sent to it before is gone.
-    bool comeBack(size_t copyEnd)
+    bool restoreFromCopy(size_t copyEnd)
     {
         ++m_era;
         m_log.resize(copyEnd);
@@ -214,7 +215,7 @@
 
     bool store(const DutyRecord& record, uint64_t at)
     {
-        if (m_guards.appendsOnCondition && at != m_log.size())
+        if (m_guards.appendsConditionally && at != m_log.size())
             return false;
         m_log.push_back({ m_log.size(), record });
         return true;
@@ -336,7 +337,7 @@
 } // namespace
 
 // 113,111 states in four seconds; 13 steps, once by hand: 992,057 states in 44 s, and nothing found.
-TEST(DutyModelTest, NoInterleavingBreaksARuleWithOneLostOrLateAnswer)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWithOneLostOrLateResponse)
 {
     auto outcome = explore({}, { 10, 3, 1 });
     EXPECT_EQ(outcome.violation, "");
@@ -346,50 +347,50 @@
 }
 
 // Deep enough for a holder that is followed, and whose follower gives the lease back.
-TEST(DutyModelTest, NoInterleavingBreaksARuleWhileAllAnswersArrive)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenAllResponsesArrive)
 {
     auto outcome = explore({}, { 16, 3, 0 });
     EXPECT_EQ(outcome.violation, "");
     EXPECT_EQ(outcome.depth, 16U);
 }
 
-TEST(DutyModelTest, NoInterleavingBreaksARuleWhenTheStoreComesBackFromACopy)
+TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenTheStoreIsRestored)
 {
     auto outcome = explore({}, { 11, 3, 0, 1 });
     EXPECT_EQ(outcome.violation, "");
     EXPECT_GT(outcome.states, 10'000U);
 }
 
-TEST(DutyModelTest, WithoutErasTwoHoldAtOnceOrOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutErasTwoHoldersActAtOnceOrShareAToken)
 {
     Guards guards;
-    guards.knowsEras = false;
+    guards.tracksEras = false;
     auto violation = explore(guards, { 11, 3, 0, 1 }).violation;
     EXPECT_TRUE(violation == "two holders at once" || violation == "one token of two holders") << violation;
 }
 
-TEST(DutyModelTest, WithoutTheConditionOfAnAppendOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutConditionalAppendsTwoHoldersShareAToken)
 {
     Guards guards;
-    guards.appendsOnCondition = false;
+    guards.appendsConditionally = false;
     EXPECT_EQ(explore(guards, { 9, 1, 0 }).violation, "one token of two holders");
 }
 
-TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendOneTokenHasTwoHolders)
+TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendTwoHoldersShareAToken)
 {
     Guards guards;
-    guards.readsWhenUnsure = false;
+    guards.readsAfterUncertainAppend = false;
     EXPECT_EQ(explore(guards, { 9, 1, 1 }).violation, "one token of two holders");
 }
 
-TEST(DutyModelTest, WithoutStayingAwayHoldersChangeBackAndForth)
+TEST(DutyModelTest, WithoutAReclaimDelayTheLeaseAlternatesBetweenHolders)
 {
     Guards guards;
-    guards.staysAwayWhenFollowed = false;
+    guards.delaysReclaim = false;
     EXPECT_EQ(explore(guards, { 16, 3, 0 }).violation, "holders A, B, A within a lease");
 }
 
-TEST(DutyModelTest, WithoutWritingCountsFirstTwoReportsDiffer)
+TEST(DutyModelTest, WithoutLoggingCountsFirstReportsOfOneWindowDiffer)
 {
     Guards guards;
     guards.writesBeforeSending = false;
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -14,7 +14,7 @@
 
 constexpr Common::TimePoint s_start(1h);
 constexpr Lease::Situation s_candidate { true, false };
-const auto s_times = LeaseTimes::within(3000ms, 300ms);
+const auto s_times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
 
 // The log, as a store keeps it, and routers that read and append to it.
 struct Log {
@@ -30,7 +30,7 @@
         lease.recordRead(std::span(records).subspan(from), { era, end() }, started, now);
     }
     // The store comes back from a copy that ends there.
-    void comeBack(size_t copyEnd)
+    void restoreFromCopy(size_t copyEnd)
     {
         records.resize(copyEnd);
         ++era;
@@ -41,7 +41,7 @@
         auto record = lease.recordFor(step);
         lease.recordSent(now);
         if (lease.end() != end()) {
-            lease.recordUnsure();
+            lease.recordAppendUncertain();
             return false;
         }
         records.push_back({ end(), record });
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST(LeaseTest, TheFirstOfAllRoutersClaimsAtOnceAndOneOfTwoWins)
+TEST(LeaseTest, UnheldLeaseIsClaimedAtOnceAndOneOfTwoClaimsSucceeds)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -70,7 +70,7 @@
     EXPECT_EQ(b.nextStep(s_candidate, s_start), Step::Read);
 }
 
-TEST(LeaseTest, TheHolderRenewsInTimeAndStopsActingBeforeItsLeaseEnds)
+TEST(LeaseTest, HolderRenewsInTimeAndStopsActingBeforeItsLeaseExpires)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -85,7 +85,7 @@
     EXPECT_EQ(a.token(s_start + 5s), 1U);
 }
 
-TEST(LeaseTest, OthersTakeOverOnlyWhenTheySawNothingForTheWholeLease)
+TEST(LeaseTest, TakeoverRequiresAFullLeaseDurationWithoutRecords)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -109,7 +109,7 @@
     EXPECT_FALSE(a.isHolder());
 }
 
-TEST(LeaseTest, AHolderThatWasFollowedDoesNotComeBackSoon)
+TEST(LeaseTest, SupersededHolderWaitsBeforeItReclaims)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -126,7 +126,7 @@
     EXPECT_EQ(a.nextStep(s_candidate, s_start + 6s), Step::Claim);
 }
 
-TEST(LeaseTest, APlannedStopHandsOverAtOnceButNotToARouterThatHasJustStarted)
+TEST(LeaseTest, ReleasedLeaseIsClaimableAtOnceExceptByARouterThatJustStarted)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -145,14 +145,14 @@
     EXPECT_EQ(b.nextStep(s_candidate, stop), Step::Claim);
 }
 
-TEST(LeaseTest, AnAppendWithoutAnAnswerHoldsFromBeforeItWasSent)
+TEST(LeaseTest, UnansweredAppendIsValidFromItsSendTime)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
     log.read(a, s_start);
     auto record = a.recordFor(Step::Claim);
     a.recordSent(s_start);
-    a.recordUnsure();
+    a.recordAppendUncertain();
     EXPECT_EQ(a.nextStep(s_candidate, s_start), Step::Read);
     log.read(a, s_start + 1s);
     EXPECT_FALSE(a.isHolder()) << "not done yet";
@@ -163,7 +163,7 @@
     EXPECT_FALSE(a.token(s_start + 2700ms)) << "counted from the read, it would act beyond its lease";
 }
 
-TEST(LeaseTest, AnotherProcessOfTheSameInstanceGoesOnAtOnceWithANewToken)
+TEST(LeaseTest, RestartedInstanceReclaimsAtOnceWithANewToken)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -190,7 +190,7 @@
     EXPECT_EQ(a.nextStep(s_candidate, s_start), Step::Wait);
 }
 
-TEST(LeaseTest, AHolderThatMayNotHoldAnyMoreGivesTheLeaseBack)
+TEST(LeaseTest, HolderThatIsNoLongerACandidateReleasesTheLease)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -199,7 +199,7 @@
     EXPECT_EQ(a.nextStep({ false, false }, s_start + 1s), Step::Release);
 }
 
-TEST(LeaseTest, ForeignBytesInTheLogChangeNothing)
+TEST(LeaseTest, ForeignRecordsDoNotChangeTheHolder)
 {
     Log log;
     Lease a(s_times, "a", 1, s_start);
@@ -218,7 +218,7 @@
 }
 
 // The copy lacks the claim of the one that holds the duties, or names one before it.
-TEST(LeaseTest, AHolderWhoseClaimTheStoreHasLostClaimsAnewBeforeItActs)
+TEST(LeaseTest, HolderWhoseClaimTheStoreLostReclaimsBeforeItActs)
 {
     for (size_t copyEnd : { 0, 1, 2 }) {
         Log log;
@@ -233,7 +233,7 @@
         log.read(b, s_start);
         log.append(b, Step::Claim, s_start + 1s);
         auto token = *b.token(s_start + 1s);
-        log.comeBack(copyEnd);
+        log.restoreFromCopy(copyEnd);
         log.read(b, s_start + 2s);
         EXPECT_FALSE(b.token(s_start + 2s));
         EXPECT_EQ(b.nextStep(s_candidate, s_start + 2s), Step::Claim);
@@ -245,7 +245,7 @@
 }
 
 // What the copy says of others may be over: they wait for the holder that it does not know of.
-TEST(LeaseTest, InANewEraOthersWaitForAsLongAsALeaseLasts)
+TEST(LeaseTest, InANewEraOtherRoutersWaitOneLeaseDuration)
 {
     for (size_t copyEnd : { 0, 1 }) {
         Log log;
@@ -255,7 +255,7 @@
         log.read(a, s_start - 10s);
         log.read(a, s_start);
         log.append(a, Step::Claim, s_start);
-        log.comeBack(copyEnd);
+        log.restoreFromCopy(copyEnd);
         log.read(fresh, s_start);
         EXPECT_EQ(fresh.nextStep(s_candidate, s_start), Step::Read);
         EXPECT_GT(fresh.readWait(s_start), 2900ms);
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -20,11 +20,11 @@
 constexpr uint64_t s_window = 100;
 
 // Passes everything that `from` knows on.
-void passOn(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
+void forwardAll(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
 
 } // namespace
 
-TEST(UsageLedgerTest, CountsOfAllRoutersAreAddedUpByWindowAndWorkspace)
+TEST(UsageLedgerTest, CountsOfAllRoutersAreSummedByWindowAndWorkspace)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
@@ -33,49 +33,49 @@
     b.count("blue", s_window + 1);
     b.count("red", s_window + 1);
     a.count("red", s_window + 2);
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_EQ(a.total(s_window + 1), (WorkspaceCounts { { "blue", 3 }, { "red", 1 } }));
     EXPECT_EQ(a.total(s_window + 2), (WorkspaceCounts { { "red", 1 } }));
 }
 
-TEST(UsageLedgerTest, AWindowIsFinalWhenAllThatWereUpSaySo)
+TEST(UsageLedgerTest, WindowIsFinalOnceAllProcessesThatWereUpHaveFinishedIt)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
-    passOn(b, a);
+    forwardAll(b, a);
     a.advance(s_window + 1);
     EXPECT_FALSE(a.isFinal(s_window)) << "b has not come to its end";
     b.advance(s_window + 1);
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_TRUE(a.isFinal(s_window));
-    EXPECT_FALSE(a.isCovered(s_window)) << "both started in it";
+    EXPECT_FALSE(a.isFullyCounted(s_window)) << "both started in it";
     a.advance(s_window + 2);
-    EXPECT_TRUE(a.isCovered(s_window + 1));
-    EXPECT_EQ(a.missing(s_window + 1), 1U);
+    EXPECT_TRUE(a.isFullyCounted(s_window + 1));
+    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 1U);
     b.finish();
-    passOn(b, a);
-    EXPECT_EQ(a.missing(s_window + 1), 0U) << "a planned stop makes all windows final";
+    forwardAll(b, a);
+    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a planned stop makes all windows final";
 }
 
-TEST(UsageLedgerTest, ARouterThatStartedLaterIsNotWaitedFor)
+TEST(UsageLedgerTest, RouterThatStartedAfterTheWindowDoesNotDelayIt)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger later({ "b", 1 }, s_window + 3);
     a.advance(s_window + 3);
-    passOn(later, a);
+    forwardAll(later, a);
     EXPECT_TRUE(a.isFinal(s_window + 1));
     EXPECT_FALSE(a.isFinal(s_window + 3));
 }
 
-TEST(UsageLedgerTest, OldWindowsAndTheirRoutersAreForgotten)
+TEST(UsageLedgerTest, OldWindowsAndTheirProcessesAreEvicted)
 {
     UsageLedger a({ "a", 1 }, s_window);
     UsageLedger b({ "b", 1 }, s_window);
     b.count("blue", s_window);
     b.finish();
-    passOn(b, a);
+    forwardAll(b, a);
     EXPECT_EQ(a.total(s_window).size(), 1U);
-    a.advance(s_window + UsageLedger::keptWindows);
+    a.advance(s_window + UsageLedger::retainedWindows);
     EXPECT_TRUE(a.total(s_window).empty());
     EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only itself";
 }
@@ -89,7 +89,7 @@
 }
 
 // Messages are lost, doubled, late and arrive by two ways: what arrives in the end is what was counted.
-TEST(UsageLedgerTest, MergingIsTheSameInAnyOrderAndAnyNumberOfTimes)
+TEST(UsageLedgerTest, MergeIsCommutativeAndIdempotent)
 {
     EXPECT_TRUE(rc::check([] {
         UsageLedger source({ "a", 1 }, s_window);
@@ -104,16 +104,16 @@
             auto index = *rc::gen::inRange<size_t>(0, messages.size());
             (*rc::gen::arbitrary<bool>() ? hub : holder).merge(messages[index]);
         }
-        passOn(source, hub);
-        passOn(hub, holder);
-        passOn(hub, holder);
+        forwardAll(source, hub);
+        forwardAll(hub, holder);
+        forwardAll(hub, holder);
         for (uint64_t window = s_window; window < s_window + 3; ++window)
             RC_ASSERT(holder.total(window) == source.total(window));
     }));
 }
 
 // A ledger that is sent in parts, each once the one before has arrived, arrives whole.
-TEST(UsageLedgerTest, PartsOfAnySizeAddUpToTheWhole)
+TEST(UsageLedgerTest, PartialUpdatesOfAnySizeYieldTheCompleteLedger)
 {
     EXPECT_TRUE(rc::check([] {
         UsageLedger source({ "a", 1 }, s_window);
@@ -121,7 +121,7 @@
         UsageLedger holder({ "z", 1 }, s_window);
         for (int step = *rc::gen::inRange(1, 40); step > 0; --step)
             (step % 3 ? source : other).count("w" + std::to_string(*rc::gen::inRange(0, 9)), s_window);
-        passOn(other, source);
+        forwardAll(other, source);
         uint64_t position = 0;
         while (position < source.revision()) {
             auto most = *rc::gen::inRange<size_t>(1, 10);
@@ -154,11 +154,11 @@
     EXPECT_EQ(reports.written(s_window)->counts.at("blue"), 1U) << "the first record of a window stands";
 }
 
-TEST(UsageReportsTest, ARouterThatIsCutOffIsWaitedForUntilTheReportIsNearlyDue)
+TEST(UsageReportsTest, UnreachableRouterDelaysAReportUntilItIsNearlyDue)
 {
     UsageLedger ledger({ "a", 1 }, s_window - 1);
     UsageLedger cutOff({ "b", 1 }, s_window - 1);
-    passOn(cutOff, ledger);
+    forwardAll(cutOff, ledger);
     ledger.advance(s_window + 1);
     UsageReports reports(s_times);
     auto end = s_times.endOf(s_window);
@@ -166,7 +166,7 @@
     EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::Write);
 }
 
-TEST(UsageReportsTest, AWindowThatNobodyCountedWholeIsNotSent)
+TEST(UsageReportsTest, WindowThatNoRouterCountedCompletelyIsNotSent)
 {
     UsageLedger ledger({ "a", 1 }, s_window);
     ledger.count("blue", s_window);
@@ -177,22 +177,22 @@
     EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::GiveUp);
 }
 
-TEST(UsageStartTest, WhatUpstreamsBeganIsCountedAlsoWhenNothingCameOfIt)
+TEST(UsageStartTest, StartedRequestsCountEvenWithoutAResponse)
 {
     using Outcome = Routing::AttemptOutcome;
-    EXPECT_TRUE(hadBegun({ Outcome::Answered, false, 10ms, std::nullopt }));
-    EXPECT_FALSE(hadBegun({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
-    EXPECT_TRUE(hadBegun({ Outcome::ServerError, true, 10ms, 100ms }));
-    EXPECT_TRUE(hadBegun({ Outcome::Interrupted, true, 100ms, 100ms }));
-    EXPECT_FALSE(hadBegun({ Outcome::Interrupted, true, 99ms, 100ms })) << "it waited for its turn";
-    EXPECT_FALSE(hadBegun({ Outcome::Interrupted, true, 10s, std::nullopt }));
-    EXPECT_TRUE(hadBegun({ Outcome::Interrupted, false, 1ms, std::nullopt }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Answered, false, 10ms, std::nullopt }));
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::ServerError, true, 10ms, 100ms }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, true, 100ms, 100ms }));
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 99ms, 100ms })) << "it waited for its turn";
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 10s, std::nullopt }));
+    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, false, 1ms, std::nullopt }));
     for (auto outcome : { Outcome::NotExecuted, Outcome::ConnectFailed, Outcome::CancelledBeforeSending,
              Outcome::CancelledAfterSending })
-        EXPECT_FALSE(hadBegun({ outcome, false, 10s, 1ms }));
+        EXPECT_FALSE(hadStartedAtUpstream({ outcome, false, 10s, 1ms }));
 }
 
-TEST(FleetClockTest, AJumpOfTheTimeOfDayIsNotFollowedUnlessItLasts)
+TEST(FleetClockTest, ClockJumpIsAdoptedOnlyIfItPersists)
 {
     FleetClock clock(1'000'000ms, s_start);
     clock.observeSystem(1'012'000ms, s_start + 10s);
@@ -204,7 +204,7 @@
     EXPECT_EQ(clock.agreed(s_start + 90s), 1'092'000ms) << "it has lasted for a minute";
 }
 
-TEST(FleetClockTest, AHubTakesTheMiddleOfItsSubscribersAndTheyFollowIt)
+TEST(FleetClockTest, HubUsesTheMedianTimeAndSubscribersFollowIt)
 {
     FleetClock hub(5'002'000ms, s_start);
     for (const char* id : { "a", "b", "c" })
