--- a/Source/RouteServing/Gateway/CapacityView.cpp
+++ b/Source/RouteServing/Gateway/CapacityView.cpp
@@ -7,7 +7,7 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // The failure domains that have a price, and those where engines stand.
-static std::vector<Duties::DomainCapacity> domainsOf(
+static std::vector<Duties::DomainCapacity> domainCapacities(
     const Routing::Service& service, std::span<const Routing::UpstreamRecord> upstreams)
 {
     std::map<std::string, Duties::DomainCapacity> domains;
@@ -32,29 +32,29 @@
 {
     auto shortest = Common::Milliseconds::max();
     table.forEachRoute([&](const Routing::Route& route) {
-        bool leadsThere = std::any_of(
+        bool leadsToService = std::any_of(
             route.shares.begin(), route.shares.end(), [&](const auto& share) { return share.service == service; });
-        if (leadsThere && route.objective.count() > 0)
+        if (leadsToService && route.objective.count() > 0)
             shortest = std::min(shortest, route.objective);
     });
     return shortest;
 }
 
-static Duties::EngineLoad loadOf(const Routing::Service& service, const Routing::RouteTable& table,
-    const Routing::UpstreamRegistry& registry, double unheard, Common::TimePoint now)
+static Duties::EngineLoad engineLoad(const Routing::Service& service, const Routing::RouteTable& table,
+    const Routing::UpstreamRegistry& registry, double loadFactor, Common::TimePoint now)
 {
     auto outstanding = registry.outstandingOf(service.name);
     Duties::EngineLoad load;
-    load.decodeHeavy = unheard * outstanding.decodeHeavy;
-    load.prefillTokens = unheard * static_cast<double>(outstanding.prefillTokens);
+    load.decodeHeavy = loadFactor * outstanding.decodeHeavy;
+    load.prefillTokens = loadFactor * static_cast<double>(outstanding.prefillTokens);
     load.millisecondsPerToken = registry.firstEventEstimate(service.name, now).millisecondsPerToken;
     load.batch = service.engine ? service.engine->batch : 1;
     load.objective = shortestObjective(table, service.name);
     return load;
 }
 
-std::vector<ServiceCapacity> capacityOfServices(
-    const PlatformWatcher& watcher, const Routing::UpstreamRegistry& registry, double unheard, Common::TimePoint now)
+std::vector<ServiceCapacity> collectServiceCapacities(
+    const PlatformWatcher& watcher, const Routing::UpstreamRegistry& registry, double loadFactor, Common::TimePoint now)
 {
     std::vector<ServiceCapacity> services;
     auto configuration = watcher.configuration();
@@ -64,8 +64,8 @@
     auto upstreams = registry.upstreams();
     for (const auto& [name, service] : table.services()) {
         if (service.scaling)
-            services.push_back({ name, *service.scaling, domainsOf(service, upstreams),
-                loadOf(service, table, registry, unheard, now) });
+            services.push_back({ name, *service.scaling, domainCapacities(service, upstreams),
+                engineLoad(service, table, registry, loadFactor, now) });
     }
     return services;
 }
--- a/Source/RouteServing/Gateway/DutyMetrics.cpp
+++ b/Source/RouteServing/Gateway/DutyMetrics.cpp
@@ -61,7 +61,7 @@
         .Increment();
 }
 
-void windowEnded(std::string_view how)
+void usageWindowClosed(std::string_view how)
 {
     counter("brassladder_usage_windows_total", "Usage windows that this router reported or gave up",
         { { "how", std::string(how) } })
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -19,7 +19,7 @@
 // `brassladder_duties_calls_total{call,outcome}`; `call`: usage or capacity.
 void callEnded(std::string_view call, DutyCallOutcome);
 // `brassladder_usage_windows_total{how}`; `how`: accepted, rejected or unknown.
-void windowEnded(std::string_view how);
+void usageWindowClosed(std::string_view how);
 
 // `brassladder_capacity_engines{service,what}`; `what`: standing, lasting (needed) or ahead (with headroom).
 void capacity(const std::string& service, unsigned standing, const std::optional<Duties::CapacityNeed>&);
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -21,7 +21,7 @@
 static constexpr Milliseconds planInterval = 500ms;
 // A read of the log by a router that waits for the lease returns with a record or after this at the latest. Chosen, not
 // measured.
-static constexpr Milliseconds longestReadWait = 10'000ms;
+static constexpr Milliseconds maxReadWait = 10'000ms;
 // After the first failed call, and the bound of its doubling: at most two calls a second while the store or the
 // platform is away, and all windows that are due caught up within seconds. Chosen, not measured.
 static constexpr Milliseconds initialBackoff = 200ms;
@@ -73,14 +73,14 @@
 
 Milliseconds DutyRunner::read(TimePoint now)
 {
-    auto changes = m_parts.log.read(std::min(m_lease.readWait(now), longestReadWait));
+    auto changes = m_parts.log.read(std::min(m_lease.readWait(now), maxReadWait));
     if (isError(changes)) {
-        if (!m_failures++)
+        if (!m_readFailures++)
             Common::log(
                 LogLevel::Warning, "gateway", "duties.log_unavailable", { { "error", errorOf(changes).message } });
-        return backoffAfter(m_failures);
+        return backoffAfter(m_readFailures);
     }
-    m_failures = 0;
+    m_readFailures = 0;
     recordChanges(valueOf(changes), now);
     return 0ms;
 }
@@ -94,19 +94,20 @@
     }
     if (m_lease.newest())
         m_firstUnreported = std::max(m_firstUnreported, m_lease.newest()->firstUnreported);
-    noteLease();
-    settleConflict();
+    handleLeaseChange();
+    resolveConflict();
 }
 
 // Says who holds the duties when that has changed.
-void DutyRunner::noteLease()
+void DutyRunner::handleLeaseChange()
 {
     const auto& newest = m_lease.newest();
-    if (newest == m_noted || !newest)
+    if (newest == m_lastLoggedLease || !newest)
         return;
-    bool isOther = !m_noted || m_noted->token != newest->token || m_noted->isReleased != newest->isReleased;
-    m_noted = newest;
-    if (!isOther)
+    bool holderHasChanged = !m_lastLoggedLease || m_lastLoggedLease->token != newest->token
+        || m_lastLoggedLease->isReleased != newest->isReleased;
+    m_lastLoggedLease = newest;
+    if (!holderHasChanged)
         return;
     bool wasHeld = m_heldToken;
     m_heldToken = m_lease.isHolder() ? newest->token : 0;
@@ -119,17 +120,17 @@
         return;
     m_orders.clear();
     m_demands.clear();
-    bool gaveBack = newest->isReleased && newest->holder == m_parts.usage.self().id;
-    DutyMetrics::leaseChanged(gaveBack ? DutyMetrics::LeaseChange::Released : DutyMetrics::LeaseChange::Lost);
+    bool wasReleased = newest->isReleased && newest->holder == m_parts.usage.self().id;
+    DutyMetrics::leaseChanged(wasReleased ? DutyMetrics::LeaseChange::Released : DutyMetrics::LeaseChange::Lost);
 }
 
 // The log was read since a call met a conflict. When nobody has followed this holder, the conflict was not about the
 // lease: an order of capacity cannot be met now; anything else needs a token above all that were seen.
-void DutyRunner::settleConflict()
+void DutyRunner::resolveConflict()
 {
-    if (!m_conflictIsOpen)
+    if (!m_hasUnresolvedConflict)
         return;
-    m_conflictIsOpen = false;
+    m_hasUnresolvedConflict = false;
     auto order = std::exchange(m_conflictingOrder, std::nullopt);
     if (!m_lease.isHolder())
         return;
@@ -146,7 +147,7 @@
     if (!isError(appended) && valueOf(appended)) {
         m_appendFailures = 0;
         m_lease.recordAppended(record);
-        noteLease();
+        handleLeaseChange();
         return true;
     }
     m_lease.recordUnsure();
@@ -168,10 +169,10 @@
     return token ? std::optional(DutyCaller { m_parts.usage.self().id, *token }) : std::nullopt;
 }
 
-void DutyRunner::noteConflict(std::string_view call, uint64_t token)
+void DutyRunner::recordConflict(std::string_view call, uint64_t token)
 {
     Common::log(LogLevel::Info, "gateway", "duties.conflict", { { "call", call }, { "token", token } });
-    m_conflictIsOpen = true;
+    m_hasUnresolvedConflict = true;
     m_lease.recordUnsure();
 }
 
@@ -180,7 +181,7 @@
 bool DutyRunner::reportUsage()
 {
     using UsageStep = Duties::UsageReports::Step;
-    if (!m_settings.reportsUsage || Common::now() < m_usageNotBefore)
+    if (!m_settings.reportsUsage || Common::now() < m_nextUsageReportAt)
         return false;
     auto [next, window] = m_parts.usage.inspect([&](const auto& ledger, Milliseconds wall) {
         auto first = Duties::UsageReports::firstPossible(m_settings.usage.windowAt(wall));
@@ -191,7 +192,7 @@
     case UsageStep::Wait:
         return false;
     case UsageStep::GiveUp:
-        endWindow(window, "unknown");
+        closeWindow(window, "unknown");
         return true;
     case UsageStep::Write:
         return writeWindow(window);
@@ -201,20 +202,20 @@
     return false;
 }
 
-void DutyRunner::endWindow(uint64_t window, std::string_view how)
+void DutyRunner::closeWindow(uint64_t window, std::string_view how)
 {
     m_firstUnreported = window + 1;
-    DutyMetrics::windowEnded(how);
+    DutyMetrics::usageWindowClosed(how);
     if (how != "accepted")
         Common::log(LogLevel::Warning, "gateway", "usage.not_reported", { { "window", window }, { "why", how } });
 }
 
 bool DutyRunner::writeWindow(uint64_t window)
 {
-    auto by = caller();
-    if (!by)
+    auto dutyCaller = caller();
+    if (!dutyCaller)
         return false;
-    Duties::WindowRecord record { by->token, window, {} };
+    Duties::WindowRecord record { dutyCaller->token, window, {} };
     auto missing = m_parts.usage.inspect([&](const auto& ledger, Milliseconds) {
         record.counts = ledger.total(window);
         return ledger.missing(window);
@@ -226,35 +227,35 @@
     for (const auto& [workspace, count] : record.counts)
         total += count;
     Common::log(LogLevel::Info, "gateway", "usage.written",
-        { { "window", window }, { "total", total }, { "token", by->token }, { "missing_routers", missing } });
+        { { "window", window }, { "total", total }, { "token", dutyCaller->token }, { "missing_routers", missing } });
     return true;
 }
 
 bool DutyRunner::sendWindow(const Duties::WindowRecord& record)
 {
-    auto by = caller();
-    if (!by)
+    auto dutyCaller = caller();
+    if (!dutyCaller)
         return false;
-    auto outcome = m_parts.calls.reportUsage(*by, record);
+    auto outcome = m_parts.calls.reportUsage(*dutyCaller, record);
     DutyMetrics::callEnded("usage", outcome);
     switch (outcome) {
     case DutyCallOutcome::Accepted:
-        Common::log(
-            LogLevel::Info, "gateway", "usage.reported", { { "window", record.window }, { "token", by->token } });
+        Common::log(LogLevel::Info, "gateway", "usage.reported",
+            { { "window", record.window }, { "token", dutyCaller->token } });
         m_usageFailures = 0;
-        endWindow(record.window, "accepted");
+        closeWindow(record.window, "accepted");
         return true;
     case DutyCallOutcome::Rejected:
-        endWindow(record.window, "rejected");
+        closeWindow(record.window, "rejected");
         return true;
     case DutyCallOutcome::Conflict:
-        noteConflict("usage", by->token);
+        recordConflict("usage", dutyCaller->token);
         return true;
     case DutyCallOutcome::Busy:
     case DutyCallOutcome::NoResponse:
         break;
     }
-    m_usageNotBefore = Common::now() + backoffAfter(++m_usageFailures);
+    m_nextUsageReportAt = Common::now() + backoffAfter(++m_usageFailures);
     return true;
 }
 
@@ -263,16 +264,16 @@
 bool DutyRunner::orderCapacity()
 {
     auto now = Common::now();
-    if (!m_settings.ordersCapacity || now < m_capacityNotBefore)
+    if (!m_settings.ordersCapacity || now < m_nextCapacityPlanAt)
         return false;
-    m_capacityNotBefore = now + planInterval;
+    m_nextCapacityPlanAt = now + planInterval;
     for (const auto& service : m_parts.capacity()) {
         observeDemand(service, now);
         // The next order follows at once.
         if (orderCapacity(service, now))
-            m_capacityNotBefore = now;
+            m_nextCapacityPlanAt = now;
     }
-    return m_capacityNotBefore == now;
+    return m_nextCapacityPlanAt == now;
 }
 
 void DutyRunner::observeDemand(const ServiceCapacity& service, TimePoint now)
@@ -319,21 +320,21 @@
 
 bool DutyRunner::sendOrder(const Duties::CapacityOrder& order)
 {
-    auto by = caller();
-    if (!by)
+    auto dutyCaller = caller();
+    if (!dutyCaller)
         return false;
-    auto outcome = m_parts.calls.orderCapacity(*by, order);
+    auto outcome = m_parts.calls.orderCapacity(*dutyCaller, order);
     DutyMetrics::callEnded("capacity", outcome);
     Common::log(LogLevel::Info, "gateway", "capacity.ordered",
         { { "service", order.service }, { "failure_domain", order.domain },
-            { "spot", order.kind == Duties::EngineKind::Spot }, { "desired", order.desired }, { "token", by->token },
-            { "outcome", DutyMetrics::label(outcome) } });
+            { "spot", order.kind == Duties::EngineKind::Spot }, { "desired", order.desired },
+            { "token", dutyCaller->token }, { "outcome", DutyMetrics::label(outcome) } });
     if (outcome == DutyCallOutcome::Conflict) {
         m_conflictingOrder = order;
-        noteConflict("capacity", by->token);
+        recordConflict("capacity", dutyCaller->token);
         return true;
     }
-    m_orders.at(order.service).record(order, by->token, orderOutcome(outcome), Common::now());
+    m_orders.at(order.service).record(order, dutyCaller->token, orderOutcome(outcome), Common::now());
     return true;
 }
 
--- a/Source/RouteServing/Gateway/DutyRunner.h
+++ b/Source/RouteServing/Gateway/DutyRunner.h
@@ -63,8 +63,8 @@
     Common::Milliseconds step();
     Common::Milliseconds read(Common::TimePoint now);
     void recordChanges(const DutyLogSource::Changes&, Common::TimePoint started);
-    void noteLease();
-    void settleConflict();
+    void handleLeaseChange();
+    void resolveConflict();
     // Whether the record is on the log.
     bool append(const Duties::DutyRecord&);
     void appendLease(Step);
@@ -74,13 +74,13 @@
     bool reportUsage();
     bool writeWindow(uint64_t window);
     bool sendWindow(const Duties::WindowRecord&);
-    void endWindow(uint64_t window, std::string_view how);
+    void closeWindow(uint64_t window, std::string_view how);
 
     bool orderCapacity();
     bool orderCapacity(const ServiceCapacity&, Common::TimePoint now);
     void observeDemand(const ServiceCapacity&, Common::TimePoint now);
     bool sendOrder(const Duties::CapacityOrder&);
-    void noteConflict(std::string_view call, uint64_t token);
+    void recordConflict(std::string_view call, uint64_t token);
     void publish();
 
     Parts m_parts;
@@ -89,15 +89,15 @@
     Duties::UsageReports m_reports;
     std::map<std::string, Duties::CapacityOrders> m_orders; // By service, as the next.
     std::map<std::string, Duties::CapacityDemand> m_demands;
-    std::optional<Duties::LeaseRecord> m_noted; // The newest lease that was logged.
+    std::optional<Duties::LeaseRecord> m_lastLoggedLease; // The newest lease that was logged.
     uint64_t m_firstUnreported { 0 }; // Usage window; goes into the lease's next record.
     uint64_t m_heldToken { 0 }; // Of the lease that this process holds; 0: none.
-    unsigned m_failures { 0 }; // Of reads, in a row.
+    unsigned m_readFailures { 0 }; // Of reads, in a row.
     unsigned m_appendFailures { 0 };
     unsigned m_usageFailures { 0 }; // Of reports, in a row.
-    Common::TimePoint m_usageNotBefore {};
-    Common::TimePoint m_capacityNotBefore {};
-    bool m_conflictIsOpen { false }; // A call met a conflict that the log has not explained yet.
+    Common::TimePoint m_nextUsageReportAt {};
+    Common::TimePoint m_nextCapacityPlanAt {};
+    bool m_hasUnresolvedConflict { false }; // A call met a conflict that the log has not explained yet.
     std::optional<Duties::CapacityOrder> m_conflictingOrder;
     mutable std::mutex m_mutex; // Guards the next.
     View m_view;
--- a/Source/RouteServing/Gateway/PlatformSources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -60,10 +60,10 @@
         uint64_t end { 0 }; // Of the log: where the next record goes.
     };
     std::function<Common::Result<Contents>()> read;
-    // Writes a suspect, or drops it, provided that the log ends at `at`; whether it did. After an error it may have
-    // been done all the same.
-    std::function<Common::Result<bool>(const StoredSuspect&, uint64_t at)> append;
-    std::function<Common::Result<bool>(const Routing::RequestIdentity&, uint64_t at)> drop;
+    // Writes a suspect, or drops it, provided that the log ends at `expectedEnd`; whether it did. After an error it may
+    // have been done all the same.
+    std::function<Common::Result<bool>(const StoredSuspect&, uint64_t expectedEnd)> append;
+    std::function<Common::Result<bool>(const Routing::RequestIdentity&, uint64_t expectedEnd)> drop;
 };
 
 // The log of the fleet's duties (Duties/DutyRecord.h).
@@ -75,9 +75,9 @@
     // What was written since the last call, or at the first one and in a new era the newest record of each key; waits
     // up to `wait` for something.
     std::function<Common::Result<Changes>(Common::Milliseconds wait)> read;
-    // Appends a record, provided that the log ends at `at`; whether it did. After an error the record may be there all
-    // the same, or be appended later on the same condition.
-    std::function<Common::Result<bool>(const Duties::DutyRecord&, uint64_t at)> append;
+    // Appends a record, provided that the log ends at `expectedEnd`; whether it did. After an error the record may be
+    // there all the same, or be appended later on the same condition.
+    std::function<Common::Result<bool>(const Duties::DutyRecord&, uint64_t expectedEnd)> append;
 };
 
 // In whose name a duty is done.
