--- a/Source/RouteServing/Gateway/CapacityView.cpp
+++ b/Source/RouteServing/Gateway/CapacityView.cpp
@@ -58,7 +58,7 @@
 {
     std::vector<ServiceCapacity> services;
     auto configuration = watcher.configuration();
-    if (!configuration || !watcher.knowsUpstreams())
+    if (!configuration || !watcher.hasUpstreamList())
         return services;
     const auto& table = configuration->table;
     auto upstreams = registry.upstreams();
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -168,7 +168,7 @@
 void Gateway::serveMetrics(Common::HttpExchange& exchange) const
 {
     auto now = Common::now();
-    GatewayMetrics::fleetState({ m_peers.isHub(), m_peers.readsStore(), m_watcher.versionInForce(), m_lease.age(now),
+    GatewayMetrics::fleetState({ m_peers.isHub(), m_peers.readsStore(), m_watcher.activeVersion(), m_lease.age(now),
         m_watcher.upstreamsAge(now), m_peers.fleetSize().value_or(0) });
     GatewayMetrics::restingUpstreams(m_registry.restingCount(now));
     GatewayMetrics::limits(m_registry.quotas().summary());
@@ -182,7 +182,7 @@
 
 bool Gateway::isReady() const
 {
-    return !m_draining && m_watcher.configuration() && m_watcher.knowsUpstreams() && m_lease.isFresh(Common::now());
+    return !m_draining && m_watcher.configuration() && m_watcher.hasUpstreamList() && m_lease.isFresh(Common::now());
 }
 
 void Gateway::serveReadiness(Common::HttpExchange& exchange) const
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -102,9 +102,9 @@
 {
     addRoster(decodeRoster(part.packed()));
     Routing::FleetMember::RosterRange range { part.after(), part.revision(), part.is_whole() };
-    bool isNews = locked([&](auto& member) { return member.recordRosterPart(from.id, from.incarnation, range); });
+    bool isNew = locked([&](auto& member) { return member.recordRosterPart(from.id, from.incarnation, range); });
     // The hub is known now.
-    if (isNews)
+    if (isNew)
         Common::FiberRuntime::spawnHere([this] { step(); });
 }
 
@@ -192,7 +192,7 @@
 
 // Adds what names a request and says how much of the target's roster is known. False when the target has changed
 // meanwhile: a step on another thread has chosen another one. The caller holds the lock.
-bool PeerExchange::stamp(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk& request)
+bool PeerExchange::addRequestHeader(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk& request)
 {
     auto nonce = m_member.outstanding().add(target, asHub, Common::now());
     if (!nonce)
@@ -212,7 +212,7 @@
     request.set_only_roster(true);
     {
         std::lock_guard lock(m_mutex);
-        if (!stamp(seed, false, request))
+        if (!addRequestHeader(seed, false, request))
             return;
     }
     m_mesh.send(seed, std::move(item));
@@ -222,10 +222,10 @@
 {
     Item item;
     auto& request = *item.mutable_knowledge_ask();
-    request.set_configuration_version(m_parts.watcher.versionInForce());
+    request.set_configuration_version(m_parts.watcher.activeVersion());
     request.set_reads_packed(true);
     request.set_reads_packed_upstreams(true);
-    request.set_upstreams_digest(m_parts.watcher.knowsUpstreams() ? m_parts.registry.digest() : 0);
+    request.set_upstreams_digest(m_parts.watcher.hasUpstreamList() ? m_parts.registry.digest() : 0);
     request.set_is_hub(asHub);
     Routing::LoadsByUpstream loads;
     // Hubs send their loads to all hubs instead; here they would be counted twice.
@@ -236,7 +236,7 @@
         auto now = Common::now();
         if (!asHub)
             loads = m_loads.withSubscribers(std::move(loads), now, hub);
-        if (!stamp(hub, asHub, request))
+        if (!addRequestHeader(hub, asHub, request))
             return;
     }
     encodeLoads(loads, *request.mutable_loads());
@@ -298,7 +298,7 @@
     }
     for (const auto& [subscriber, knownVersion] : knownVersions) {
         Item item;
-        *item.mutable_knowledge() = m_snapshots.news(subscriber, knownVersion);
+        *item.mutable_knowledge() = m_snapshots.buildNotification(subscriber, knownVersion);
         m_mesh.send(subscriber, std::move(item));
     }
 }
@@ -334,7 +334,7 @@
 {
     addContact(sender.id, request.endpoint());
     Item item;
-    *item.mutable_knowledge() = m_snapshots.respond(sender, request);
+    *item.mutable_knowledge() = m_snapshots.buildResponse(sender, request);
     m_mesh.send(sender.id, std::move(item));
 }
 
@@ -352,56 +352,56 @@
         outstanding.take(seed->id, snapshot.nonce());
         return std::nullopt;
     }
-    auto requested = outstanding.take(from, snapshot.nonce());
-    if (!requested)
+    auto requestedAt = outstanding.take(from, snapshot.nonce());
+    if (!requestedAt)
         return std::nullopt;
     m_member.recordStoreOf(from, !snapshot.store_unavailable(), now);
     if (snapshot.leaving())
         m_member.peers().state(from).backoff.recordLeaving(now);
     if (!outstanding.asHub())
         m_loads.recordHub(from, decodeLoads(snapshot.loads()), snapshot.routers(), now);
-    return requested;
+    return requestedAt;
 }
 
 void PeerExchange::onSnapshot(const Inner::Mesh::Sender& sender, const Inner::Wire::Knowledge& snapshot)
 {
     const auto& from = sender.id;
-    auto requested = recordSnapshot(from, snapshot);
+    auto requestedAt = recordSnapshot(from, snapshot);
     if (snapshot.has_roster())
         onRosterPart(sender, snapshot.roster());
     // Ages count back from the moment when we sent our request. A notification may have been in flight for any time, so
     // it confirms nothing.
     auto confirmedBy
-        = [&](uint32_t ageMs) { return requested ? decodeAge(ageMs, *requested) : Common::TimePoint::min(); };
+        = [&](uint32_t ageMs) { return requestedAt ? decodeAge(ageMs, *requestedAt) : Common::TimePoint::min(); };
     onConfiguration(from, snapshot, confirmedBy(snapshot.configuration_age_ms()));
     bool isNotification = snapshot.nonce() == 0;
     if (isNotification)
         return Common::FiberRuntime::spawnHere([this] { step(); });
-    if (!requested)
+    if (!requestedAt)
         return;
     if (m_suspects)
         m_suspects->receive(sender, snapshot);
-    m_quotas.receive(sender, snapshot, *requested);
+    m_quotas.receive(sender, snapshot, *requestedAt);
     m_parts.watcher.updateUpstreamsFromPeer(decodeUpstreams(snapshot), confirmedBy(snapshot.upstreams_age_ms()));
     if (m_parts.usage) {
         m_parts.usage->acknowledge(from, snapshot.usage_received());
-        m_parts.usage->recordHubTime(snapshot.agreed_time_ms(), *requested);
+        m_parts.usage->recordHubTime(snapshot.agreed_time_ms(), *requestedAt);
     }
 }
 
 void PeerExchange::onConfiguration(
-    const std::string& from, const Inner::Wire::Knowledge& snapshot, Common::TimePoint confirmed)
+    const std::string& from, const Inner::Wire::Knowledge& snapshot, Common::TimePoint confirmedAt)
 {
     auto version = snapshot.configuration_version();
     // Nothing is said of a configuration: neither is there one nor an age of that knowledge.
     if (!version && !snapshot.configuration_age_ms())
         return;
-    bool isNews = version > m_parts.watcher.versionInForce();
-    auto text = isNews ? decodeConfiguration(snapshot) : std::string();
+    bool isNew = version > m_parts.watcher.activeVersion();
+    auto text = isNew ? decodeConfiguration(snapshot) : std::string();
     if (isError(text))
         return Common::log(LogLevel::Warning, "gateway", "configuration.unreadable",
             { { "peer", from }, { "version", version }, { "error", errorOf(text).message } });
-    m_parts.watcher.updateConfigurationFromPeer(version, valueOf(text), confirmed);
+    m_parts.watcher.updateConfigurationFromPeer(version, valueOf(text), confirmedAt);
 }
 
 void PeerExchange::onHubLoads(const Inner::Mesh::Sender& sender, const Inner::Wire::HubLoads& report)
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -79,7 +79,7 @@
     void onDisconnected(const std::string& peer);
     void onSnapshotRequest(const Inner::Mesh::Sender& from, const Inner::Wire::KnowledgeAsk&);
     void onSnapshot(const Inner::Mesh::Sender& from, const Inner::Wire::Knowledge&);
-    void onConfiguration(const std::string& from, const Inner::Wire::Knowledge&, Common::TimePoint confirmed);
+    void onConfiguration(const std::string& from, const Inner::Wire::Knowledge&, Common::TimePoint confirmedAt);
     void onHubLoads(const Inner::Mesh::Sender& from, const Inner::Wire::HubLoads&);
     // When our own request was sent that the snapshot answers; none for notifications and late responses.
     std::optional<Common::TimePoint> recordSnapshot(const std::string& from, const Inner::Wire::Knowledge&);
@@ -87,7 +87,7 @@
     // What is sent
     void step();
     Routing::FleetMember::Target updateTarget();
-    bool stamp(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk&);
+    bool addRequestHeader(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk&);
     void requestRoster(const std::string& seed);
     void requestSnapshot(const std::string& hub, bool asHub);
     void sendLoadsToHubs(const std::vector<std::string>& hubs);
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -44,7 +44,7 @@
     failures = 0;
 }
 
-bool PlatformWatcher::backOffAfter(const std::optional<Common::Error>& error, Dependency& dependency)
+bool PlatformWatcher::backOffOnError(const std::optional<Common::Error>& error, Dependency& dependency)
 {
     m_onStoreRead(!error);
     if (!error) {
@@ -68,7 +68,7 @@
 
 Milliseconds PlatformWatcher::checkInterval() const
 {
-    return versionInForce() && knowsUpstreams() ? staleCheckInterval : firstStateCheckInterval;
+    return activeVersion() && hasUpstreamList() ? staleCheckInterval : firstStateCheckInterval;
 }
 
 // Configuration
@@ -84,7 +84,7 @@
         }
         // A router that only bridges a gap needs a confirmation now, not a long poll.
         auto read = m_sources.configuration.read(m_isStoreReader() ? m_intervals.configurationLongPoll : 0ms);
-        if (backOffAfter(errorIn(read), dependency))
+        if (backOffOnError(errorIn(read), dependency))
             continue;
         // The lease stands for the table that requests see: confirmed only after the new version is in force.
         if (valueOf(read))
@@ -109,24 +109,25 @@
     m_onChange();
 }
 
-uint64_t PlatformWatcher::versionInForce() const
+uint64_t PlatformWatcher::activeVersion() const
 {
     auto current = m_configuration.load();
     return current ? current->table.version() : 0;
 }
 
-void PlatformWatcher::updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmed)
+void PlatformWatcher::updateConfigurationFromPeer(
+    uint64_t version, std::string_view text, Common::TimePoint confirmedAt)
 {
     // Decoding is most of the work of a change, so what is in force already is not decoded again.
-    if (!text.empty() && version > versionInForce()) {
+    if (!text.empty() && version > activeVersion()) {
         auto next = m_sources.configuration.parse(text);
         if (!next)
             return Common::log(LogLevel::Warning, "gateway", "configuration.unreadable", { { "version", version } });
         adopt(next, "peer");
     }
     // Also that there is none yet.
-    if (versionInForce() >= version)
-        m_lease.confirm(confirmed);
+    if (activeVersion() >= version)
+        m_lease.confirm(confirmedAt);
 }
 
 // Upstreams
@@ -141,7 +142,7 @@
             continue;
         }
         auto read = m_sources.upstreams.read();
-        if (backOffAfter(errorIn(read), dependency))
+        if (backOffOnError(errorIn(read), dependency))
             continue;
         setUpstreams(valueOf(read), started);
         auto untilNext = m_intervals.upstreamInterval - (Common::now() - started);
@@ -151,26 +152,26 @@
 }
 
 void PlatformWatcher::updateUpstreamsFromPeer(
-    std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmed)
+    std::optional<std::vector<Routing::UpstreamRecord>> list, Common::TimePoint confirmedAt)
 {
     setUpstreams(
-        list ? std::make_shared<const std::vector<Routing::UpstreamRecord>>(std::move(*list)) : nullptr, confirmed);
+        list ? std::make_shared<const std::vector<Routing::UpstreamRecord>>(std::move(*list)) : nullptr, confirmedAt);
 }
 
-void PlatformWatcher::setUpstreams(const UpstreamListPtr& list, Common::TimePoint confirmed)
+void PlatformWatcher::setUpstreams(const UpstreamListPtr& list, Common::TimePoint confirmedAt)
 {
     bool hasChanged = false;
     {
         // Held from the comparison to the change: a read of the store takes its time, and meanwhile a peer's list that
         // was confirmed later may have come into force.
         std::lock_guard lock(m_mutex);
-        if (confirmed <= m_upstreamsConfirmed)
+        if (confirmedAt <= m_upstreamsConfirmedAt)
             return;
         // A peer may leave out a list that it takes to be on its way here: that confirms nothing when there is none.
         if (!list && !m_upstreams)
             return;
         hasChanged = replaceUpstreams(list);
-        m_upstreamsConfirmed = confirmed;
+        m_upstreamsConfirmedAt = confirmedAt;
     }
     if (hasChanged)
         m_onChange();
@@ -184,15 +185,15 @@
     m_upstreams = list;
     auto before = m_registry.digest();
     m_registry.setUpstreams(*list);
-    m_knowsUpstreams = true;
+    m_hasUpstreamList = true;
     return m_registry.digest() != before;
 }
 
 Milliseconds PlatformWatcher::upstreamsAge(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    bool isConfirmed = m_upstreamsConfirmed > Common::TimePoint {};
-    return isConfirmed ? Common::toMilliseconds(now - m_upstreamsConfirmed) : Milliseconds::max();
+    bool isConfirmed = m_upstreamsConfirmedAt > Common::TimePoint {};
+    return isConfirmed ? Common::toMilliseconds(now - m_upstreamsConfirmedAt) : Milliseconds::max();
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/PlatformWatcher.h
+++ b/Source/RouteServing/Gateway/PlatformWatcher.h
@@ -40,16 +40,16 @@
     void watchConfiguration();
     void watchUpstreams();
 
-    // State from another router. `confirmed`: the moment, on our clock, up to which it is known to be the newest. The
+    // State from another router. `confirmedAt`: the moment, on our clock, up to which it is known to be the newest. The
     // text may be empty when the version is in force already.
-    void updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmed);
-    void updateUpstreamsFromPeer(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmed);
+    void updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmedAt);
+    void updateUpstreamsFromPeer(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmedAt);
 
     // Null until the first version is known.
     ConfigurationPtr configuration() const { return m_configuration.load(); }
     // 0 until then.
-    uint64_t versionInForce() const;
-    bool knowsUpstreams() const { return m_knowsUpstreams.load(); }
+    uint64_t activeVersion() const;
+    bool hasUpstreamList() const { return m_hasUpstreamList.load(); }
     // Since the list was confirmed; the longest there is when it never was.
     Common::Milliseconds upstreamsAge(Common::TimePoint now) const;
 
@@ -65,10 +65,10 @@
     // Puts a version in force unless a newer one is. `from`: "store" or "peer", for the log.
     void adopt(const ConfigurationPtr&, std::string_view from);
     // Puts a list in force unless the one in force was confirmed later. Null: the one in force is the newest.
-    void setUpstreams(const UpstreamListPtr&, Common::TimePoint confirmed);
+    void setUpstreams(const UpstreamListPtr&, Common::TimePoint confirmedAt);
     bool replaceUpstreams(const UpstreamListPtr&);
     // Whether a read gave no state; then it waits before the next one.
-    bool backOffAfter(const std::optional<Common::Error>&, Dependency&);
+    bool backOffOnError(const std::optional<Common::Error>&, Dependency&);
     // Whether this router can leave the store alone for now, with a state that was confirmed so long ago.
     bool reliesOnPeers(Common::Milliseconds age, Common::Milliseconds staleAfter) const;
     Common::Milliseconds checkInterval() const;
@@ -82,10 +82,10 @@
     std::function<void(bool)> m_onStoreRead { [](bool) {} };
     std::function<void()> m_onChange { [] {} };
     Common::RcuCell<Configuration> m_configuration { nullptr };
-    std::atomic<bool> m_knowsUpstreams { false };
+    std::atomic<bool> m_hasUpstreamList { false };
     mutable std::mutex m_mutex;
     UpstreamListPtr m_upstreams; // The list in force, in the registry as well. Guarded by m_mutex, as the next.
-    Common::TimePoint m_upstreamsConfirmed {};
+    Common::TimePoint m_upstreamsConfirmedAt {};
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -54,7 +54,7 @@
 
 bool RequestHandler::admit()
 {
-    Routing::RouterState state { m_services.isStopping, m_table, m_services.watcher.knowsUpstreams(),
+    Routing::RouterState state { m_services.isStopping, m_table, m_services.watcher.hasUpstreamList(),
         m_keysWereConfirmed };
     Routing::RequestTarget target { m_exchange.header("Host"), m_exchange.path(), key() };
     auto admission = Routing::admit(state, target);
--- a/Source/RouteServing/Gateway/SnapshotBuilder.cpp
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.cpp
@@ -8,19 +8,19 @@
 
 // The text of a configuration, packed once for all peers: it says much the same of each route, so that little is left
 // of it.
-std::shared_ptr<const std::string> SnapshotBuilder::packed(const Configuration& configuration)
+std::shared_ptr<const std::string> SnapshotBuilder::packedConfiguration(const Configuration& configuration)
 {
     auto version = configuration.table.version();
     {
         std::lock_guard lock(m_packedMutex);
-        if (m_packed && m_packedVersion == version)
-            return m_packed;
+        if (m_packedConfiguration && m_packedConfigurationVersion == version)
+            return m_packedConfiguration;
     }
     // Not under the lock: it takes some milliseconds.
     auto packed = std::make_shared<const std::string>(Common::deflate(configuration.text));
     std::lock_guard lock(m_packedMutex);
-    m_packedVersion = version;
-    m_packed = packed;
+    m_packedConfigurationVersion = version;
+    m_packedConfiguration = packed;
     return packed;
 }
 
@@ -44,7 +44,7 @@
         readsPacked = state.readsPacked;
     }
     if (readsPacked)
-        snapshot.set_packed_configuration(*packed(*configuration));
+        snapshot.set_packed_configuration(*packedConfiguration(*configuration));
     else
         snapshot.set_configuration(configuration->text);
 }
@@ -55,12 +55,12 @@
 {
     {
         std::lock_guard lock(m_packedMutex);
-        if (m_packedUpstreams && m_packedDigest == digest)
+        if (m_packedUpstreams && m_packedUpstreamsDigest == digest)
             return m_packedUpstreams;
     }
     auto packed = std::make_shared<const std::string>(packUpstreams(m_parts.registry.upstreams()));
     std::lock_guard lock(m_packedMutex);
-    m_packedDigest = digest;
+    m_packedUpstreamsDigest = digest;
     m_packedUpstreams = packed;
     return packed;
 }
@@ -71,7 +71,7 @@
     auto now = Common::now();
     snapshot.set_upstreams_age_ms(encodeAge(m_parts.watcher.upstreamsAge(now)));
     auto digest = m_parts.registry.digest();
-    if (!m_parts.watcher.knowsUpstreams() || digest == request.upstreams_digest())
+    if (!m_parts.watcher.hasUpstreamList() || digest == request.upstreams_digest())
         return;
     {
         std::lock_guard lock(m_parts.mutex);
@@ -169,7 +169,8 @@
     m_parts.quotas.addTo(snapshot, to, Common::now());
 }
 
-Inner::Wire::Knowledge SnapshotBuilder::respond(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk& request)
+Inner::Wire::Knowledge SnapshotBuilder::buildResponse(
+    const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk& request)
 {
     Inner::Wire::Knowledge snapshot;
     snapshot.set_nonce(request.nonce());
@@ -186,7 +187,7 @@
     return snapshot;
 }
 
-Inner::Wire::Knowledge SnapshotBuilder::news(const std::string& subscriber, uint64_t knownVersion)
+Inner::Wire::Knowledge SnapshotBuilder::buildNotification(const std::string& subscriber, uint64_t knownVersion)
 {
     Inner::Wire::Knowledge snapshot;
     addConfiguration(subscriber, knownVersion, snapshot);
--- a/Source/RouteServing/Gateway/SnapshotBuilder.h
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.h
@@ -43,10 +43,10 @@
     }
 
     // The response to a request, whose loads are recorded.
-    Inner::Wire::Knowledge respond(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&);
+    Inner::Wire::Knowledge buildResponse(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&);
     // What a subscriber should hear before it asks: that there is news, and the configuration if it lacks that.
     // `knownVersion`: what it said last.
-    Inner::Wire::Knowledge news(const std::string& subscriber, uint64_t knownVersion);
+    Inner::Wire::Knowledge buildNotification(const std::string& subscriber, uint64_t knownVersion);
     // Part of a planned stop: subscribers are told to request snapshots elsewhere.
     void leave() { m_isLeaving = true; }
 
@@ -63,15 +63,15 @@
     void addSuspects(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
     // Hubs tell each other instead.
     void addQuotas(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
-    std::shared_ptr<const std::string> packed(const Configuration&);
+    std::shared_ptr<const std::string> packedConfiguration(const Configuration&);
 
     Parts m_parts;
     const uint64_t m_incarnation; // Of this router's process.
     std::atomic<bool> m_isLeaving { false };
     std::mutex m_packedMutex; // Guards the next four.
-    uint64_t m_packedVersion { 0 }; // Of the configuration in `m_packed`.
-    std::shared_ptr<const std::string> m_packed;
-    uint64_t m_packedDigest { 0 }; // Of the list in `m_packedUpstreams`.
+    uint64_t m_packedConfigurationVersion { 0 }; // Of the configuration in `m_packedConfiguration`.
+    std::shared_ptr<const std::string> m_packedConfiguration;
+    uint64_t m_packedUpstreamsDigest { 0 }; // Of the list in `m_packedUpstreams`.
     std::shared_ptr<const std::string> m_packedUpstreams;
 };
 
--- a/Source/RouteServing/Gateway/SnapshotCodec.cpp
+++ b/Source/RouteServing/Gateway/SnapshotCodec.cpp
@@ -10,16 +10,16 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-static constexpr uint32_t longestAge = std::numeric_limits<uint32_t>::max();
+static constexpr uint32_t maxEncodedAgeMs = std::numeric_limits<uint32_t>::max();
 
 uint32_t encodeAge(Common::Milliseconds age)
 {
-    return static_cast<uint32_t>(std::clamp<int64_t>(age.count(), 0, longestAge));
+    return static_cast<uint32_t>(std::clamp<int64_t>(age.count(), 0, maxEncodedAgeMs));
 }
 
 Common::TimePoint decodeAge(uint32_t ageMs, Common::TimePoint now)
 {
-    return ageMs == longestAge ? Common::TimePoint::min() : now - Common::Milliseconds(ageMs);
+    return ageMs == maxEncodedAgeMs ? Common::TimePoint::min() : now - Common::Milliseconds(ageMs);
 }
 
 void encodeLoads(const Routing::LoadsByUpstream& loads, Inner::Wire::LoadTable& table)
--- a/Source/RouteServing/Gateway/UsageExchange.cpp
+++ b/Source/RouteServing/Gateway/UsageExchange.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-Milliseconds UsageExchange::update()
+Milliseconds UsageExchange::advanceClock()
 {
     auto now = Common::now();
     m_clock.observeSystem(m_systemClock(), now);
@@ -28,7 +28,7 @@
 void UsageExchange::count(std::string_view workspace)
 {
     std::lock_guard lock(m_mutex);
-    m_ledger.count(workspace, m_times.windowAt(update()));
+    m_ledger.count(workspace, m_times.windowAt(advanceClock()));
 }
 
 void UsageExchange::finish()
@@ -40,7 +40,7 @@
 bool UsageExchange::addChanges(const std::string& peer, Inner::Wire::UsageTable& table)
 {
     std::lock_guard lock(m_mutex);
-    update();
+    advanceClock();
     auto now = Common::now();
     auto& cursor = m_sent[peer];
     auto after = cursor.next(now);
@@ -60,7 +60,7 @@
         return;
     auto usages = decodeUsage(table);
     std::lock_guard lock(m_mutex);
-    update();
+    advanceClock();
     m_ledger.merge(usages);
     m_received[from.id].advance(from.incarnation, table.after(), table.revision());
 }
@@ -104,12 +104,12 @@
     m_clock.recordSubscriber(peer, Milliseconds(own), Common::now());
 }
 
-void UsageExchange::recordHubTime(uint64_t agreed, Common::TimePoint requested)
+void UsageExchange::recordHubTime(uint64_t agreed, Common::TimePoint requestedAt)
 {
     if (!agreed)
         return;
     std::lock_guard lock(m_mutex);
-    m_clock.recordHub(Milliseconds(agreed), requested, Common::now());
+    m_clock.recordHub(Milliseconds(agreed), requestedAt, Common::now());
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/UsageExchange.h
+++ b/Source/RouteServing/Gateway/UsageExchange.h
@@ -44,19 +44,19 @@
     uint64_t ownTime() const;
     uint64_t agreedTime() const;
     void recordSubscriberTime(const std::string& peer, uint64_t own);
-    void recordHubTime(uint64_t agreed, Common::TimePoint requested);
+    void recordHubTime(uint64_t agreed, Common::TimePoint requestedAt);
 
     // Calls the function with the ledger and the agreed time, under the lock.
     template <typename Function> auto inspect(const Function& function)
     {
         std::lock_guard lock(m_mutex);
-        auto now = update();
+        auto now = advanceClock();
         return function(std::as_const(m_ledger), now);
     }
 
 private:
     // Follows the clock. The caller holds the lock.
-    Common::Milliseconds update();
+    Common::Milliseconds advanceClock();
 
     const Duties::RouterProcess m_self;
     const Duties::UsageTimes m_times;
--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -279,9 +279,9 @@
     plain.set_configuration_version(2);
     plain.set_configuration(textOf(2));
     peer.notify(plain);
-    EXPECT_TRUE(eventually([&] { return hub.watcher.versionInForce() == 2; }));
+    EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 2; }));
     peer.notify(packedNews(3, Common::deflate(textOf(3))));
-    EXPECT_TRUE(eventually([&] { return hub.watcher.versionInForce() == 3; }));
+    EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 3; }));
 }
 
 // Neither damaged bytes nor few ones that would fill the memory replace what is in force, or end the exchange.
@@ -292,7 +292,7 @@
     peer.notify(packedNews(8, "damaged"));
     peer.notify(packedNews(9, Common::deflate(textOf(9) + std::string(Inner::maxFrameBytes, 'x'))));
     peer.notify(packedNews(7, Common::deflate(textOf(7))));
-    EXPECT_TRUE(eventually([&] { return hub.watcher.versionInForce() == 7; }));
+    EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 7; }));
 }
 
 } // namespace Brassladder::RouteServing::Gateway
