--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -18,34 +18,34 @@
 // A hub that was not heard for so long assigns no limits: ten steps of the exchange.
 static constexpr Common::Milliseconds hubTimeout = 1000ms;
 // A step that comes so late comes after a pause.
-static constexpr Common::Milliseconds longestStep = 500ms;
+static constexpr Common::Milliseconds maxStepGap = 500ms;
 // What a message between routers takes at most unless one of them is paused or cut off. Subtracted from times that come
 // with a message: passed on in a circle they would otherwise rise on and on.
-static constexpr Common::Milliseconds longestTransit = 250ms;
-static constexpr double limitUnits = 1000; // In one request a second; see roundedLimit.
+static constexpr Common::Milliseconds maxTransitTime = 250ms;
+static constexpr double limitUnitsPerRequestPerSecond = 1000; // In one request a second; see roundedLimit.
 
 // Hubs
 
 void QuotaExchange::updateHubs(std::span<const std::string> hubs, Common::TimePoint now)
 {
-    std::vector<std::string> heard { m_self };
+    std::vector<std::string> reachable { m_self };
     for (const auto& hub : hubs) {
-        auto found = m_hubsHeard.find(hub);
-        if (found != m_hubsHeard.end() && now - found->second.heard < hubTimeout)
-            heard.push_back(hub);
+        auto found = m_hubContacts.find(hub);
+        if (found != m_hubContacts.end() && now - found->second.lastReceived < hubTimeout)
+            reachable.push_back(hub);
     }
-    if (heard != m_hubs) {
-        m_hubs = std::move(heard);
+    if (reachable != m_reachableHubs) {
+        m_reachableHubs = std::move(reachable);
         m_since.hubs = now;
     }
-    if (!m_lastStep || now - *m_lastStep > longestStep)
+    if (!m_lastStep || now - *m_lastStep > maxStepGap)
         m_since = { now, now };
     m_lastStep = now;
 }
 
 std::string_view QuotaExchange::ownerOf(Key key) const
 {
-    return *std::max_element(m_hubs.begin(), m_hubs.end(),
+    return *std::max_element(m_reachableHubs.begin(), m_reachableHubs.end(),
         [&](const auto& a, const auto& b) { return Common::stableHash(a, key) < Common::stableHash(b, key); });
 }
 
@@ -54,10 +54,10 @@
     m_quotas.forgetOld(now);
     std::lock_guard lock(m_mutex);
     updateHubs(hubs, now);
-    if (!hasRows())
-        return m_atHub.clear();
+    if (!hasKnownLimits())
+        return m_limitStates.clear();
     auto known = m_quotas.known(now);
-    std::erase_if(m_atHub, [&](const auto& each) {
+    std::erase_if(m_limitStates, [&](const auto& each) {
         return std::none_of(known.begin(), known.end(), [&](const auto& one) { return one.key == each.first; });
     });
     for (const auto& each : known) {
@@ -68,50 +68,50 @@
 
 void QuotaExchange::stepAsHub(const SendQuotas::Known& known, double heardShare, Common::TimePoint now)
 {
-    auto& atHub = m_atHub[known.key];
-    atHub.owner = ownerOf(known.key);
-    bool assigns = atHub.ownership.update(atHub.owner, m_self, m_since, now);
+    auto& state = m_limitStates[known.key];
+    state.owner = ownerOf(known.key);
+    bool assigns = state.ownership.update(state.owner, m_self, m_since, now);
     auto& own = m_received[m_self];
     own.incarnation = m_incarnation;
-    atHub.routers.record(m_self, { m_incarnation, known.wanted, own.counts[known.key] }, now);
+    state.routerAssigner.record(m_self, { m_incarnation, known.wanted, own.counts[known.key] }, now);
     if (assigns)
-        assignOwn(atHub, known.limit, heardShare, now);
-    passOn(known.key, atHub, now);
+        assignLimit(state, known.limit, heardShare, now);
+    distributePool(known.key, state, now);
 }
 
 // Gives out what the limit allows to the hubs that ask; this hub asks itself.
-void QuotaExchange::assignOwn(
-    AtHub& atHub, const Routing::UpstreamLimit& limit, double heardShare, Common::TimePoint now)
+void QuotaExchange::assignLimit(
+    HubLimitState& state, const Routing::UpstreamLimit& limit, double heardShare, Common::TimePoint now)
 {
-    auto wanted = atHub.routers.wanted(now);
-    auto inPool = atHub.pool.size(now);
-    auto before = atHub.hubs.granted(m_self, m_incarnation);
-    atHub.hubs.record(m_self, { m_incarnation, wanted - std::min(wanted, inPool), before }, now);
-    atHub.source.refill(limit.requestsPerSecond, heardShare, now);
-    atHub.source.spend(atHub.hubs.assign(atHub.source.available(), now));
-    atHub.pool.add(static_cast<unsigned>(atHub.hubs.granted(m_self, m_incarnation) - before), now);
+    auto wanted = state.routerAssigner.wanted(now);
+    auto inPool = state.pool.size(now);
+    auto before = state.hubAssigner.granted(m_self, m_incarnation);
+    state.hubAssigner.record(m_self, { m_incarnation, wanted - std::min(wanted, inPool), before }, now);
+    state.source.refill(limit.requestsPerSecond, heardShare, now);
+    state.source.spend(state.hubAssigner.assign(state.source.available(), now));
+    state.pool.add(static_cast<unsigned>(state.hubAssigner.granted(m_self, m_incarnation) - before), now);
 }
 
 // Divides what this hub was given; its own part is valid from now on.
-void QuotaExchange::passOn(Key key, AtHub& atHub, Common::TimePoint now)
+void QuotaExchange::distributePool(Key key, HubLimitState& state, Common::TimePoint now)
 {
     auto& received = m_received[m_self].counts[key];
-    atHub.pool.take(atHub.routers.assign(atHub.pool.size(now), now));
-    auto granted = atHub.routers.granted(m_self, m_incarnation);
+    state.pool.take(state.routerAssigner.assign(state.pool.size(now), now));
+    auto granted = state.routerAssigner.granted(m_self, m_incarnation);
     m_quotas.add(key, static_cast<unsigned>(granted - received), now + Routing::quotaValidity);
     received = granted;
 }
 
-bool QuotaExchange::wasPaused(Common::TimePoint now) const
+bool QuotaExchange::wasRecentlyPaused(Common::TimePoint now) const
 {
-    return !m_lastStep || now - *m_lastStep > longestStep || now - m_since.running < longestStep;
+    return !m_lastStep || now - *m_lastStep > maxStepGap || now - m_since.running < maxStepGap;
 }
 
 void QuotaExchange::stepAsSubscriber(Common::TimePoint now)
 {
     m_quotas.forgetOld(now);
     std::lock_guard lock(m_mutex);
-    m_atHub.clear();
+    m_limitStates.clear();
     m_lastStep.reset();
 }
 
@@ -133,7 +133,8 @@
 void QuotaExchange::addLimit(const SendQuotas::Known& known, QuotaTable& table, Common::TimePoint now)
 {
     table.add_upstreams(known.key);
-    table.add_limits(static_cast<uint32_t>(std::llround(known.limit.requestsPerSecond * limitUnits)));
+    table.add_limits(
+        static_cast<uint32_t>(std::llround(known.limit.requestsPerSecond * limitUnitsPerRequestPerSecond)));
     table.add_named_ages_ms(encodeTime(known.limit.namedAt, now));
     table.add_unnamed_ages_ms(encodeTime(known.limit.unnamedSince, now));
 }
@@ -147,7 +148,7 @@
     }
     for (int row = 0; row < rows; ++row)
         m_quotas.merge(table.upstreams(row),
-            { table.limits(row) / limitUnits, decodeTime(table.named_ages_ms(row), sent),
+            { table.limits(row) / limitUnitsPerRequestPerSecond, decodeTime(table.named_ages_ms(row), sent),
                 decodeTime(table.unnamed_ages_ms(row), sent) });
     return true;
 }
@@ -161,16 +162,16 @@
     return count == peer->second.counts.end() ? 0 : count->second;
 }
 
-unsigned QuotaExchange::takeGranted(const Inner::Mesh::Sender& from, const QuotaTable& table, int row)
+unsigned QuotaExchange::recordGranted(const Inner::Mesh::Sender& from, const QuotaTable& table, int row)
 {
     auto& received = m_received[from.id];
     if (received.incarnation != from.incarnation)
         received = { from.incarnation, {} };
     auto& count = received.counts[table.upstreams(row)];
     auto granted = table.granted(row);
-    auto isNew = granted - std::min(granted, count);
+    auto newRequests = granted - std::min(granted, count);
     count = std::max(count, granted);
-    return static_cast<unsigned>(isNew);
+    return static_cast<unsigned>(newRequests);
 }
 
 // What was received of an earlier process of this router says nothing of this one.
@@ -191,7 +192,7 @@
 
 void QuotaExchange::addTo(Inner::Wire::KnowledgeAsk& message, const std::string& hub, Common::TimePoint now)
 {
-    if (!hasRows())
+    if (!hasKnownLimits())
         return;
     std::lock_guard lock(m_mutex);
     auto table = tableFor(hub);
@@ -205,34 +206,34 @@
 
 void QuotaExchange::addTo(Inner::Wire::Knowledge& message, const Inner::Mesh::Sender& subscriber, Common::TimePoint now)
 {
-    if (!hasRows())
+    if (!hasKnownLimits())
         return;
     std::lock_guard lock(m_mutex);
     QuotaTable table;
     table.set_granted_to(subscriber.incarnation);
     for (const auto& each : m_quotas.known(now)) {
         addLimit(each, table, now);
-        table.add_granted(m_atHub[each.key].routers.granted(subscriber.id, subscriber.incarnation));
+        table.add_granted(m_limitStates[each.key].routerAssigner.granted(subscriber.id, subscriber.incarnation));
     }
     *message.mutable_quotas() = std::move(table);
 }
 
 void QuotaExchange::addTo(Inner::Wire::HubLoads& message, const std::string& hub, Common::TimePoint now)
 {
-    if (!hasRows())
+    if (!hasKnownLimits())
         return;
     std::lock_guard lock(m_mutex);
     auto table = tableFor(hub);
-    auto incarnation = m_hubsHeard[hub].incarnation;
+    auto incarnation = m_hubContacts[hub].incarnation;
     table.set_granted_to(incarnation);
     for (const auto& each : m_quotas.known(now)) {
-        auto& atHub = m_atHub[each.key];
-        auto wanted = atHub.routers.wanted(now);
-        auto inPool = atHub.pool.size(now);
+        auto& state = m_limitStates[each.key];
+        auto wanted = state.routerAssigner.wanted(now);
+        auto inPool = state.pool.size(now);
         addLimit(each, table, now);
-        table.add_wanted(atHub.owner == hub ? wanted - std::min(wanted, inPool) : 0);
+        table.add_wanted(state.owner == hub ? wanted - std::min(wanted, inPool) : 0);
         table.add_received(received(hub, each.key));
-        table.add_granted(atHub.hubs.granted(hub, incarnation));
+        table.add_granted(state.hubAssigner.granted(hub, incarnation));
     }
     *message.mutable_quotas() = std::move(table);
 }
@@ -241,47 +242,47 @@
     const Inner::Mesh::Sender& from, const Inner::Wire::KnowledgeAsk& message, Common::TimePoint now)
 {
     const auto& table = message.quotas();
-    if (!message.has_quotas() || !mergeLimits(table, now - longestTransit))
+    if (!message.has_quotas() || !mergeLimits(table, now - maxTransitTime))
         return;
     if (table.wanted_size() != table.upstreams_size() || table.received_size() != table.upstreams_size())
         return;
     std::lock_guard lock(m_mutex);
     for (int row = 0; row < table.upstreams_size(); ++row)
-        m_atHub[table.upstreams(row)].routers.record(from.id, demandOf(from, table, row), now);
+        m_limitStates[table.upstreams(row)].routerAssigner.record(from.id, demandOf(from, table, row), now);
 }
 
 void QuotaExchange::receive(
-    const Inner::Mesh::Sender& from, const Inner::Wire::Knowledge& message, Common::TimePoint requested)
+    const Inner::Mesh::Sender& from, const Inner::Wire::Knowledge& message, Common::TimePoint requestedAt)
 {
     const auto& table = message.quotas();
-    if (!message.has_quotas() || !mergeLimits(table, requested))
+    if (!message.has_quotas() || !mergeLimits(table, requestedAt))
         return;
     if (table.granted_size() != table.upstreams_size() || table.granted_to() != m_incarnation)
         return;
     std::lock_guard lock(m_mutex);
     for (int row = 0; row < table.upstreams_size(); ++row)
-        m_quotas.add(table.upstreams(row), takeGranted(from, table, row), requested + Routing::quotaValidity);
+        m_quotas.add(table.upstreams(row), recordGranted(from, table, row), requestedAt + Routing::quotaValidity);
 }
 
 void QuotaExchange::receive(
     const Inner::Mesh::Sender& from, const Inner::Wire::HubLoads& message, Common::TimePoint now)
 {
     std::lock_guard lock(m_mutex);
-    m_hubsHeard[from.id] = { from.incarnation, now };
+    m_hubContacts[from.id] = { from.incarnation, now };
     const auto& table = message.quotas();
-    if (!message.has_quotas() || !mergeLimits(table, now - longestTransit))
+    if (!message.has_quotas() || !mergeLimits(table, now - maxTransitTime))
         return;
     auto rows = table.upstreams_size();
     if (table.wanted_size() != rows || table.received_size() != rows || table.granted_size() != rows)
         return;
     for (int row = 0; row < rows; ++row) {
-        auto& atHub = m_atHub[table.upstreams(row)];
-        atHub.hubs.record(from.id, demandOf(from, table, row), now);
+        auto& state = m_limitStates[table.upstreams(row)];
+        state.hubAssigner.record(from.id, demandOf(from, table, row), now);
         if (table.granted_to() != m_incarnation)
             continue;
-        auto granted = takeGranted(from, table, row);
-        if (!wasPaused(now))
-            atHub.pool.add(granted, now);
+        auto granted = recordGranted(from, table, row);
+        if (!wasRecentlyPaused(now))
+            state.pool.add(granted, now);
     }
 }
 
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -38,8 +38,8 @@
     void addTo(Inner::Wire::Knowledge&, const Inner::Mesh::Sender& subscriber, Common::TimePoint now);
     void addTo(Inner::Wire::HubLoads&, const std::string& hub, Common::TimePoint now);
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::KnowledgeAsk&, Common::TimePoint now);
-    // `requested`: when the request was sent that this answers.
-    void receive(const Inner::Mesh::Sender&, const Inner::Wire::Knowledge&, Common::TimePoint requested);
+    // `requestedAt`: when the request was sent that this answers.
+    void receive(const Inner::Mesh::Sender&, const Inner::Wire::Knowledge&, Common::TimePoint requestedAt);
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::HubLoads&, Common::TimePoint now);
 
 private:
@@ -50,29 +50,29 @@
         std::map<Key, uint64_t> counts;
     };
     // One upstream's limit at a hub.
-    struct AtHub {
+    struct HubLimitState {
         Routing::QuotaOwnership ownership;
         std::string owner; // The hub that assigns the limit, as far as this one knows.
         Routing::QuotaSource source;
-        Routing::QuotaAssigner hubs; // To whom the owner gives.
+        Routing::QuotaAssigner hubAssigner; // To whom the owner gives.
         Routing::QuotaPool pool; // Given to this hub.
-        Routing::QuotaAssigner routers; // To whom this hub gives: its subscribers and itself.
+        Routing::QuotaAssigner routerAssigner; // To whom this hub gives: its subscribers and itself.
     };
 
     // Another hub.
-    struct Hub {
+    struct HubContact {
         uint64_t incarnation { 0 };
-        Common::TimePoint heard {}; // Last.
+        Common::TimePoint lastReceived {}; // Last.
     };
 
-    bool hasRows() const { return m_quotas.isActive(); }
+    bool hasKnownLimits() const { return m_quotas.isActive(); }
     void updateHubs(std::span<const std::string> hubs, Common::TimePoint now);
     std::string_view ownerOf(Key) const;
     void stepAsHub(const Routing::SendQuotas::Known&, double heardShare, Common::TimePoint now);
-    void assignOwn(AtHub&, const Routing::UpstreamLimit&, double heardShare, Common::TimePoint now);
-    void passOn(Key, AtHub&, Common::TimePoint now);
+    void assignLimit(HubLimitState&, const Routing::UpstreamLimit&, double heardShare, Common::TimePoint now);
+    void distributePool(Key, HubLimitState&, Common::TimePoint now);
     // Whether this router was not at work lately: what was given to it meanwhile may be too old.
-    bool wasPaused(Common::TimePoint now) const;
+    bool wasRecentlyPaused(Common::TimePoint now) const;
 
     Inner::Wire::QuotaTable tableFor(const std::string& receiver) const;
     static void addLimit(const Routing::SendQuotas::Known&, Inner::Wire::QuotaTable&, Common::TimePoint now);
@@ -80,17 +80,17 @@
     bool mergeLimits(const Inner::Wire::QuotaTable&, Common::TimePoint sent);
     uint64_t received(const std::string& from, Key) const;
     // The requests of a row that are new to this router.
-    unsigned takeGranted(const Inner::Mesh::Sender&, const Inner::Wire::QuotaTable&, int row);
+    unsigned recordGranted(const Inner::Mesh::Sender&, const Inner::Wire::QuotaTable&, int row);
     Routing::QuotaAssigner::Demand demandOf(const Inner::Mesh::Sender&, const Inner::Wire::QuotaTable&, int row) const;
 
     Routing::SendQuotas& m_quotas;
     const std::string m_self;
     const uint64_t m_incarnation;
     std::mutex m_mutex; // Guards the rest.
-    std::map<Key, AtHub> m_atHub; // Empty on other routers.
+    std::map<Key, HubLimitState> m_limitStates; // Empty on other routers.
     std::map<std::string, Received> m_received; // By the peer that gave.
-    std::map<std::string, Hub> m_hubsHeard;
-    std::vector<std::string> m_hubs; // That this hub hears, itself included.
+    std::map<std::string, HubContact> m_hubContacts;
+    std::vector<std::string> m_reachableHubs; // That this hub hears, itself included.
     Routing::QuotaOwnership::Since m_since;
     std::optional<Common::TimePoint> m_lastStep;
 };
