--- a/Source/Benchmarks/LimitWays.cpp
+++ b/Source/Benchmarks/LimitWays.cpp
@@ -75,7 +75,7 @@
         options.demands.push_back(router % 10 == 3 ? 4 * demand : demand);
     auto buckets = bucketsOf(way, options.demands, limit);
     if (way != Way::Assigned)
-        options.otherWay = [&](size_t router, Common::TimePoint now) { return buckets[router].take(now); };
+        options.admissionOverride = [&](size_t router, Common::TimePoint now) { return buckets[router].take(now); };
     QuotaFleet fleet(options);
     fleet.runFor(3s);
     fleet.setLimit(limit);
@@ -90,7 +90,7 @@
         fleet.arrivals().begin(), fleet.arrivals().end(), [&](const auto& each) { return each.at >= from; });
     auto seconds = Common::toSeconds(Common::Duration(length));
     std::printf("%-17s %4zu %6.2f %-9s %6zu %6.0f %8.2f %9.0f\n", wayNames[static_cast<size_t>(way)], routers, limit,
-        freezes ? "a third" : "none", fleet.mostInWindow(named), std::floor(6 * limit) + 5,
+        freezes ? "a third" : "none", fleet.maxArrivalsInWindow(named), std::floor(6 * limit) + 5,
         static_cast<double>(used) / (limit * seconds),
         way == Way::Assigned ? static_cast<double>(fleet.bytes() - bytes) / seconds / static_cast<double>(routers) : 0);
 }
--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -32,7 +32,10 @@
 }
 
 // A configuration's text is its version, with enough behind it to be found in a stream of bytes.
-std::string textOf(uint64_t version) { return std::to_string(version) + " is the version of this configuration"; }
+std::string configurationText(uint64_t version)
+{
+    return std::to_string(version) + " is the version of this configuration";
+}
 
 ConfigurationPtr parse(std::string_view text)
 {
@@ -53,14 +56,15 @@
         : exchange(testRuntime(), { {}, watcher, lease, registry }, "hub", "key")
         , endpoint { "127.0.0.1", valueOf(exchange.listen({ "127.0.0.1", 0 })) }
     {
-        learn(version);
+        setVersion(version);
         watcher.updateUpstreamsFromPeer(upstreams("w0"), Common::now());
     }
-    void learn(uint64_t version)
+    void setVersion(uint64_t version)
     {
-        testRuntime().call([&] { watcher.updateConfigurationFromPeer(version, textOf(version), Common::now()); });
+        testRuntime().call(
+            [&] { watcher.updateConfigurationFromPeer(version, configurationText(version), Common::now()); });
     }
-    void learnUpstream(const std::string& id)
+    void setUpstream(const std::string& id)
     {
         testRuntime().call([&] { watcher.updateUpstreamsFromPeer(upstreams(id), Common::now()); });
     }
@@ -100,10 +104,10 @@
         request.set_reads_packed(readsPacked);
         m_mesh.send("hub", std::move(item));
     }
-    void notify(Knowledge news)
+    void notify(Knowledge notification)
     {
         Inner::Wire::Item item;
-        *item.mutable_knowledge() = std::move(news);
+        *item.mutable_knowledge() = std::move(notification);
         m_mesh.send("hub", std::move(item));
     }
     bool isAnswered()
@@ -122,13 +126,14 @@
     }
     size_t copies(uint64_t version)
     {
-        return count([&](const auto& snapshot) { return snapshot.configuration() == textOf(version); });
+        return count([&](const auto& snapshot) { return snapshot.configuration() == configurationText(version); });
     }
 
     size_t packedCopies(uint64_t version)
     {
-        return count(
-            [&](const auto& snapshot) { return snapshot.packed_configuration() == Common::deflate(textOf(version)); });
+        return count([&](const auto& snapshot) {
+            return snapshot.packed_configuration() == Common::deflate(configurationText(version));
+        });
     }
 
     bool readsPacked { false };
@@ -163,14 +168,14 @@
         m_received.clear();
         return eventually([&] {
             subscriber.request(0);
-            takeBytes();
+            readAvailableBytes();
             return m_received.find(text) != std::string::npos;
         });
     }
-    void end() { m_socket.reset(); }
+    void closeConnection() { m_socket.reset(); }
 
 private:
-    void takeBytes()
+    void readAvailableBytes()
     {
         boost::system::error_code error;
         if (!m_socket) {
@@ -192,12 +197,12 @@
     std::string m_received;
 };
 
-Knowledge packedNews(uint64_t version, const std::string& packed)
+Knowledge packedNotification(uint64_t version, const std::string& packed)
 {
-    Knowledge news;
-    news.set_configuration_version(version);
-    news.set_packed_configuration(packed);
-    return news;
+    Knowledge notification;
+    notification.set_configuration_version(version);
+    notification.set_packed_configuration(packed);
+    return notification;
 }
 
 } // namespace
@@ -212,7 +217,7 @@
     ASSERT_TRUE(eventually([&, step = 0]() mutable {
         // As routers do, it goes on requesting, and so it stays a subscriber.
         peer.request(1);
-        hub.learnUpstream("w" + std::to_string(++step));
+        hub.setUpstream("w" + std::to_string(++step));
         return peer.notifications() >= 3;
     })) << "it hears that there is news";
     EXPECT_EQ(peer.copies(1), 0U) << "which is not the configuration";
@@ -224,23 +229,23 @@
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
     ASSERT_TRUE(peer.requestAndWait(1));
-    hub.learn(2);
+    hub.setVersion(2);
     for (int times = 0; times < 3; ++times)
         ASSERT_TRUE(peer.requestAndWait(1));
     EXPECT_EQ(peer.copies(2), 1U);
     EXPECT_EQ(peer.copies(1), 0U);
 }
 
-TEST(PeerExchangeSnapshotTest, APeerThatStartedAgainIsSentTheConfigurationAtOnce)
+TEST(PeerExchangeSnapshotTest, ARestartedPeerIsSentTheConfigurationAtOnce)
 {
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
     ASSERT_TRUE(peer.requestAndWait(0));
     ASSERT_TRUE(peer.requestAndWait(0));
     EXPECT_EQ(peer.copies(1), 1U) << "the first copy is on its way";
-    auto& nextLife = *new Subscriber(hub, 2);
-    nextLife.endpoint = peer.endpoint;
-    nextLife.request(0);
+    auto& restartedPeer = *new Subscriber(hub, 2);
+    restartedPeer.endpoint = peer.endpoint;
+    restartedPeer.request(0);
     EXPECT_TRUE(eventually([&] { return peer.copies(1) == 2; })) << "what another life was sent is gone";
 }
 
@@ -251,13 +256,13 @@
     auto& peer = *new Subscriber(hub);
     RawPeer raw;
     peer.endpoint = raw.endpoint();
-    ASSERT_TRUE(raw.receives(peer, textOf(1)));
-    raw.end();
-    EXPECT_TRUE(raw.receives(peer, textOf(1)));
+    ASSERT_TRUE(raw.receives(peer, configurationText(1)));
+    raw.closeConnection();
+    EXPECT_TRUE(raw.receives(peer, configurationText(1)));
 }
 
 // Routers of two releases work beside each other during an update.
-TEST(PeerExchangeSnapshotTest, TheConfigurationIsPackedOnlyForThoseThatReadIt)
+TEST(PeerExchangeSnapshotTest, TheConfigurationIsPackedOnlyForPeersThatSupportIt)
 {
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
@@ -271,27 +276,27 @@
     EXPECT_EQ(updated.packedCopies(1), 1U);
 }
 
-TEST(PeerExchangeSnapshotTest, AConfigurationIsTakenPlainOrPacked)
+TEST(PeerExchangeSnapshotTest, PlainAndPackedConfigurationsAreAccepted)
 {
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
     Knowledge plain;
     plain.set_configuration_version(2);
-    plain.set_configuration(textOf(2));
+    plain.set_configuration(configurationText(2));
     peer.notify(plain);
     EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 2; }));
-    peer.notify(packedNews(3, Common::deflate(textOf(3))));
+    peer.notify(packedNotification(3, Common::deflate(configurationText(3))));
     EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 3; }));
 }
 
 // Neither damaged bytes nor few ones that would fill the memory replace what is in force, or end the exchange.
-TEST(PeerExchangeSnapshotTest, AnUnreadableConfigurationIsPassedOver)
+TEST(PeerExchangeSnapshotTest, AnUnreadableConfigurationIsIgnored)
 {
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
-    peer.notify(packedNews(8, "damaged"));
-    peer.notify(packedNews(9, Common::deflate(textOf(9) + std::string(Inner::maxFrameBytes, 'x'))));
-    peer.notify(packedNews(7, Common::deflate(textOf(7))));
+    peer.notify(packedNotification(8, "damaged"));
+    peer.notify(packedNotification(9, Common::deflate(configurationText(9) + std::string(Inner::maxFrameBytes, 'x'))));
+    peer.notify(packedNotification(7, Common::deflate(configurationText(7))));
     EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 7; }));
 }
 
--- a/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A watcher that nobody runs, and how many texts it has decoded. A text is just its version.
-struct Watched {
+struct WatcherFixture {
     static ConfigurationPtr decode(std::string_view text)
     {
         Routing::RouteTable::Builder builder;
@@ -38,30 +38,30 @@
 // A peer may send the version in force again: after a lost request, or beside another peer that sent it first.
 TEST(PlatformWatcherVersionTest, OnlyANewerConfigurationIsDecoded)
 {
-    Watched watched;
-    watched.watcher.setOnChange([&] { ++watched.changes; });
+    WatcherFixture fixture;
+    fixture.watcher.setOnChange([&] { ++fixture.changes; });
     auto confirmed = Common::now();
-    watched.watcher.updateConfigurationFromPeer(7, "7", confirmed);
-    EXPECT_EQ(watched.watcher.configuration()->table.version(), 7U);
-    EXPECT_EQ(watched.decoded, 1U);
-    watched.watcher.updateConfigurationFromPeer(7, "7", confirmed);
-    watched.watcher.updateConfigurationFromPeer(5, "5", confirmed);
-    EXPECT_EQ(watched.decoded, 1U) << "they are in force, or older";
-    EXPECT_EQ(watched.changes, 1U);
-    watched.watcher.updateConfigurationFromPeer(9, "9", confirmed);
-    EXPECT_EQ(watched.watcher.configuration()->table.version(), 9U);
-    EXPECT_EQ(watched.decoded, 2U);
+    fixture.watcher.updateConfigurationFromPeer(7, "7", confirmed);
+    EXPECT_EQ(fixture.watcher.configuration()->table.version(), 7U);
+    EXPECT_EQ(fixture.decoded, 1U);
+    fixture.watcher.updateConfigurationFromPeer(7, "7", confirmed);
+    fixture.watcher.updateConfigurationFromPeer(5, "5", confirmed);
+    EXPECT_EQ(fixture.decoded, 1U) << "they are in force, or older";
+    EXPECT_EQ(fixture.changes, 1U);
+    fixture.watcher.updateConfigurationFromPeer(9, "9", confirmed);
+    EXPECT_EQ(fixture.watcher.configuration()->table.version(), 9U);
+    EXPECT_EQ(fixture.decoded, 2U);
 }
 
 // The bytes that say nothing new still confirm what is in force.
 TEST(PlatformWatcherVersionTest, AVersionThatIsKnownIsConfirmedWithoutDecoding)
 {
-    Watched watched;
-    watched.watcher.updateConfigurationFromPeer(7, "7", Common::now() - 50s);
-    EXPECT_GE(watched.lease.age(Common::now()), 50s);
-    watched.watcher.updateConfigurationFromPeer(7, "7", Common::now());
-    EXPECT_LT(watched.lease.age(Common::now()), 50s);
-    EXPECT_EQ(watched.decoded, 1U);
+    WatcherFixture fixture;
+    fixture.watcher.updateConfigurationFromPeer(7, "7", Common::now() - 50s);
+    EXPECT_GE(fixture.lease.age(Common::now()), 50s);
+    fixture.watcher.updateConfigurationFromPeer(7, "7", Common::now());
+    EXPECT_LT(fixture.lease.age(Common::now()), 50s);
+    EXPECT_EQ(fixture.decoded, 1U);
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -14,15 +14,15 @@
 
 static constexpr auto stepInterval = 100ms;
 // How often a router without requests looks whether there are some.
-static constexpr auto idlePoll = 20ms;
+static constexpr auto idlePollInterval = 20ms;
 // How long an answer of the upstream takes.
 static constexpr auto serviceTime = 20ms;
 // Until routers notice that another one does not answer.
-static constexpr auto noticeTime = 600ms;
+static constexpr auto failureDetectionTime = 600ms;
 // The users' rule: for how long a fault excuses a router, and from when on an answer counts.
-static constexpr auto faultExcuses = 3000ms;
-static constexpr auto toldFrom = 500ms;
-static constexpr auto window = 4000ms;
+static constexpr auto faultGracePeriod = 3000ms;
+static constexpr auto limitGracePeriod = 500ms;
+static constexpr auto countingWindow = 4000ms;
 
 static Routing::UpstreamRecord upstream()
 {
@@ -50,20 +50,21 @@
     router.exchange.reset();
     router.quotas = std::make_unique<Routing::SendQuotas>();
     router.exchange = std::make_unique<QuotaExchange>(*router.quotas, router.id, router.incarnation);
-    router.told.reset();
-    atRouter(index, m_now + std::chrono::duration_cast<Common::Duration>(Common::Duration(stepInterval) * draw()),
+    router.limitReceivedAt.reset();
+    scheduleAtRouter(index,
+        m_now + std::chrono::duration_cast<Common::Duration>(Common::Duration(stepInterval) * uniformRandom()),
         [this, index] { step(index); });
-    atRouter(index, m_now, [this, index] { requestOnAndOn(index); });
+    scheduleAtRouter(index, m_now, [this, index] { generateRequests(index); });
 }
 
-void QuotaFleet::atRouter(size_t index, TimePoint when, Event event)
+void QuotaFleet::scheduleAtRouter(size_t index, TimePoint when, Event event)
 {
-    at(when, [this, index, incarnation = m_routers[index].incarnation, event = std::move(event)] {
+    schedule(when, [this, index, incarnation = m_routers[index].incarnation, event = std::move(event)] {
         const auto& router = m_routers[index];
         if (router.incarnation != incarnation)
             return;
         if (router.frozenUntil > m_now)
-            return atRouter(index, router.frozenUntil, event);
+            return scheduleAtRouter(index, router.frozenUntil, event);
         event();
     });
 }
@@ -92,23 +93,23 @@
     start(router);
 }
 
-void QuotaFleet::cut(std::span<const size_t> routers, Common::Milliseconds time)
+void QuotaFleet::partition(std::span<const size_t> routers, Common::Milliseconds time)
 {
     for (auto router : routers) {
-        m_routers[router].cutUntil = m_now + time;
+        m_routers[router].partitionedUntil = m_now + time;
         m_routers[router].lastFault = std::max<TimePoint>(m_routers[router].lastFault, m_now + time);
     }
 }
 
 bool QuotaFleet::isConnected(size_t a, size_t b) const
 {
-    return (m_routers[a].cutUntil > m_now) == (m_routers[b].cutUntil > m_now);
+    return (m_routers[a].partitionedUntil > m_now) == (m_routers[b].partitionedUntil > m_now);
 }
 
 bool QuotaFleet::isAlive(size_t router, size_t seenBy) const
 {
     const auto& other = m_routers[router];
-    bool isFrozen = other.frozenUntil > m_now + noticeTime;
+    bool isFrozen = other.frozenUntil > m_now + failureDetectionTime;
     return router == seenBy || (!isFrozen && isConnected(router, seenBy));
 }
 
@@ -135,7 +136,7 @@
 void QuotaFleet::step(size_t index)
 {
     auto& router = m_routers[index];
-    atRouter(index, m_now + stepInterval, [this, index] { step(index); });
+    scheduleAtRouter(index, m_now + stepInterval, [this, index] { step(index); });
     auto ranking = rankingOf(index);
     Inner::Mesh::Sender self { router.id, router.incarnation };
     if (!ranking.isHub()) {
@@ -146,16 +147,16 @@
         m_bytes += ask.ByteSizeLong();
         if (!isConnected(index, hub))
             return;
-        atRouter(hub, m_now + latency(), [this, index, hub, self, ask, requested = m_now] {
+        scheduleAtRouter(hub, m_now + latency(), [this, index, hub, self, ask, requestedAt = m_now] {
             m_routers[hub].exchange->receive(self, ask, m_now);
-            Inner::Wire::Knowledge answer;
-            m_routers[hub].exchange->addTo(answer, self, m_now);
-            m_bytes += answer.ByteSizeLong();
+            Inner::Wire::Knowledge response;
+            m_routers[hub].exchange->addTo(response, self, m_now);
+            m_bytes += response.ByteSizeLong();
             if (!isConnected(index, hub))
                 return;
             Inner::Mesh::Sender from { m_routers[hub].id, m_routers[hub].incarnation };
-            atRouter(index, m_now + latency(), [this, index, from, answer, requested] {
-                m_routers[index].exchange->receive(from, answer, requested);
+            scheduleAtRouter(index, m_now + latency(), [this, index, from, response, requestedAt] {
+                m_routers[index].exchange->receive(from, response, requestedAt);
             });
         });
         return;
@@ -167,21 +168,21 @@
         router.exchange->addTo(loads, id, m_now);
         m_bytes += loads.ByteSizeLong();
         if (isConnected(index, hub))
-            atRouter(hub, m_now + latency(),
+            scheduleAtRouter(hub, m_now + latency(),
                 [this, hub, self, loads] { m_routers[hub].exchange->receive(self, loads, m_now); });
     }
 }
 
 void QuotaFleet::setDemand(double requestsPerSecond) { m_options.demands.assign(m_routers.size(), requestsPerSecond); }
 
-void QuotaFleet::requestOnAndOn(size_t index)
+void QuotaFleet::generateRequests(size_t index)
 {
     auto demand = m_options.demands.empty() ? m_options.requestsPerSecond : m_options.demands[index];
     if (!demand)
-        return atRouter(index, m_now + idlePoll, [this, index] { requestOnAndOn(index); });
+        return scheduleAtRouter(index, m_now + idlePollInterval, [this, index] { generateRequests(index); });
     auto gap = std::exponential_distribution<double>(demand)(m_random);
-    atRouter(
-        index, m_now + Common::Duration(static_cast<int64_t>(gap * 1e9)), [this, index] { requestOnAndOn(index); });
+    scheduleAtRouter(
+        index, m_now + Common::Duration(static_cast<int64_t>(gap * 1e9)), [this, index] { generateRequests(index); });
     request(index);
 }
 
@@ -191,42 +192,42 @@
     auto& router = m_routers[index];
     bool isLimited = router.quotas->isLimited(s_key);
     router.quotas->recordDemand(s_key, m_now);
-    bool mayBeSent
-        = m_options.otherWay && isLimited ? m_options.otherWay(index, m_now) : router.quotas->take(s_key, 0, m_now);
+    bool mayBeSent = m_options.admissionOverride && isLimited ? m_options.admissionOverride(index, m_now)
+                                                              : router.quotas->take(s_key, 0, m_now);
     if (!mayBeSent)
         return;
-    bool wasTold = router.told && m_now >= *router.told + toldFrom;
-    m_arrivals.push_back({ m_now, index, wasTold, m_now < router.lastFault + faultExcuses });
-    answer(index, m_now);
+    bool limitWasKnown = router.limitReceivedAt && m_now >= *router.limitReceivedAt + limitGracePeriod;
+    m_arrivals.push_back({ m_now, index, limitWasKnown, m_now < router.lastFault + faultGracePeriod });
+    scheduleResponse(index, m_now);
 }
 
-void QuotaFleet::answer(size_t index, TimePoint sent)
+void QuotaFleet::scheduleResponse(size_t index, TimePoint sent)
 {
-    at(sent + serviceTime, [this, index, sent, incarnation = m_routers[index].incarnation] {
+    schedule(sent + serviceTime, [this, index, sent, incarnation = m_routers[index].incarnation] {
         // Named when the answer is written; it takes a while to come.
         auto limit = m_limit;
         if (m_routers[index].incarnation != incarnation)
             return;
-        atRouter(index, m_now + latency(), [this, index, sent, limit] {
+        scheduleAtRouter(index, m_now + latency(), [this, index, sent, limit] {
             auto& router = m_routers[index];
-            if (limit && !router.told)
-                router.told = m_now;
+            if (limit && !router.limitReceivedAt)
+                router.limitReceivedAt = m_now;
             router.quotas->recordStatement(upstream(), { limit }, sent, m_now);
         });
     });
 }
 
-size_t QuotaFleet::mostInWindow(TimePoint from, Counted which) const
+size_t QuotaFleet::maxArrivalsInWindow(TimePoint from, Counted which) const
 {
     std::vector<TimePoint> counted;
     for (const auto& arrival : m_arrivals) {
-        bool isCounted = which == Counted::All || (arrival.wasTold && !arrival.isExcused);
+        bool isCounted = which == Counted::All || (arrival.limitWasKnown && !arrival.hadRecentFault);
         if (arrival.at >= from && isCounted)
             counted.push_back(arrival.at);
     }
     size_t most = 0;
     for (size_t first = 0, last = 0; last < counted.size(); ++last) {
-        while (counted[last] - counted[first] >= window)
+        while (counted[last] - counted[first] >= countingWindow)
             ++first;
         most = std::max(most, last - first + 1);
     }
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
@@ -24,7 +24,7 @@
         unsigned seed { 1 };
         std::vector<double> demands; // By router, in place of `requestsPerSecond`.
         // In place of the product's way, for comparisons: may this router send now?
-        std::function<bool(size_t router, Common::TimePoint now)> otherWay;
+        std::function<bool(size_t router, Common::TimePoint now)> admissionOverride;
     };
 
     explicit QuotaFleet(Options);
@@ -44,18 +44,18 @@
     // It ends at once, and another one with its id starts.
     void restart(size_t router);
     // Messages between the two groups are lost.
-    void cut(std::span<const size_t> routers, Common::Milliseconds);
+    void partition(std::span<const size_t> routers, Common::Milliseconds);
 
     struct Arrival {
         Common::TimePoint at;
         size_t router { 0 };
-        bool wasTold { false }; // Half a second before, the router had passed on an answer that names a limit.
-        bool isExcused { false }; // The router was restarted, frozen or cut off lately.
+        bool limitWasKnown { false }; // Half a second before, the router had passed on an answer that names a limit.
+        bool hadRecentFault { false }; // The router was restarted, frozen or cut off lately.
     };
     const std::vector<Arrival>& arrivals() const { return m_arrivals; }
     // The most arrivals in 4 s, of those from `from` on: that the users' rule counts, or all.
     enum class Counted : uint8_t { ByRule, All };
-    size_t mostInWindow(Common::TimePoint from, Counted counted = Counted::ByRule) const;
+    size_t maxArrivalsInWindow(Common::TimePoint from, Counted counted = Counted::ByRule) const;
     size_t limitedRouters() const;
     // The values that routers take the limit for.
     std::set<double> knownLimits() const;
@@ -69,21 +69,21 @@
         std::unique_ptr<Routing::SendQuotas> quotas;
         std::unique_ptr<QuotaExchange> exchange;
         Common::TimePoint frozenUntil {};
-        Common::TimePoint cutUntil {};
+        Common::TimePoint partitionedUntil {};
         Common::TimePoint lastFault {};
-        std::optional<Common::TimePoint> told;
+        std::optional<Common::TimePoint> limitReceivedAt;
     };
     using Event = std::function<void()>;
 
-    void at(Common::TimePoint when, Event event) { m_events.emplace(when, std::move(event)); }
+    void schedule(Common::TimePoint when, Event event) { m_events.emplace(when, std::move(event)); }
     // Does it now, or when the router is awake again; not at all when its process has ended meanwhile.
-    void atRouter(size_t router, Common::TimePoint when, Event);
-    double draw() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
+    void scheduleAtRouter(size_t router, Common::TimePoint when, Event);
+    double uniformRandom() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     Common::Duration latency() { return std::chrono::microseconds(300 + m_random() % 3000); }
     void start(size_t router);
     void step(size_t router);
-    void requestOnAndOn(size_t router);
-    void answer(size_t router, Common::TimePoint sent);
+    void generateRequests(size_t router);
+    void scheduleResponse(size_t router, Common::TimePoint sent);
     bool isConnected(size_t a, size_t b) const;
     bool isAlive(size_t router, size_t seenBy) const;
     Routing::HubRanking rankingOf(size_t router) const;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -17,13 +17,13 @@
 // The users' rule: in any 4 s, one and a half times what the limit allows and five requests.
 size_t allowedInWindow(double requestsPerSecond) { return static_cast<size_t>(1.5 * 4 * requestsPerSecond) + 5; }
 // Their bound for routers in touch.
-constexpr auto contactTime = 3s;
+constexpr auto settlingTime = 3s;
 
-struct Size {
+struct FleetSize {
     size_t routers;
     double requestsPerSecond; // Of each router.
 };
-constexpr Size sizes[] { { 1, 20 }, { 2, 10 }, { 7, 6 }, { 88, 2 }, { 300, 2 } };
+constexpr FleetSize fleetSizes[] { { 1, 20 }, { 2, 10 }, { 7, 6 }, { 88, 2 }, { 300, 2 } };
 constexpr double limits[] { 0.25, 0.5, 1, 4, 30 };
 
 size_t arrivalsAfter(const QuotaFleet& fleet, Common::TimePoint from)
@@ -33,7 +33,7 @@
         std::count_if(arrivals.begin(), arrivals.end(), [&](const auto& each) { return each.at >= from; }));
 }
 
-std::vector<size_t> someRouters(size_t first, size_t count)
+std::vector<size_t> routerRange(size_t first, size_t count)
 {
     std::vector<size_t> routers(count);
     std::iota(routers.begin(), routers.end(), first);
@@ -44,22 +44,23 @@
 
 TEST(QuotaFleetTest, NoWindowExceedsALimitAtAnySize)
 {
-    for (const auto& size : sizes) {
+    for (const auto& size : fleetSizes) {
         for (double limit : limits) {
             QuotaFleet fleet({ size.routers, size.requestsPerSecond, 1 });
             fleet.runFor(3s);
             fleet.setLimit(limit);
             auto named = fleet.now();
             fleet.runFor(12s);
-            EXPECT_LE(fleet.mostInWindow(named), allowedInWindow(limit)) << size.routers << " routers, " << limit;
+            EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(limit))
+                << size.routers << " routers, " << limit;
         }
     }
 }
 
 // What an upstream takes is used: it would rather not stand idle, and callers would rather be served.
-TEST(QuotaFleetTest, ALimitIsUsed)
+TEST(QuotaFleetTest, TheFleetUsesMostOfALimit)
 {
-    for (const auto& size : sizes) {
+    for (const auto& size : fleetSizes) {
         for (double limit : { 1.0, 10.0 / 3, 30.0 }) {
             QuotaFleet fleet({ size.routers, size.requestsPerSecond, 1 });
             fleet.runFor(3s);
@@ -94,7 +95,7 @@
 }
 
 // Whether it was told by the upstream or by a peer: two values would void each other's quotas again and again.
-TEST(QuotaFleetTest, AllRoutersTakeALimitForTheSameValue)
+TEST(QuotaFleetTest, AllRoutersStoreTheSameLimitValue)
 {
     for (double limit : { 10.0 / 3, 0.29, 0.0004, 12.3456789, 1e9 }) {
         QuotaFleet fleet({ 7, 20, 1 });
@@ -106,7 +107,7 @@
 }
 
 // Each router is allowed a request, has none, and then all have many at once.
-TEST(QuotaFleetTest, WhatRoutersWereAllowedAndDidNotUseIsNotSavedUp)
+TEST(QuotaFleetTest, UnusedQuotasDoNotAccumulate)
 {
     QuotaFleet fleet({ 88, 4, 1 });
     fleet.runFor(3s);
@@ -123,27 +124,27 @@
     }
     fleet.setDemand(50);
     fleet.runFor(5s);
-    EXPECT_LE(fleet.mostInWindow(named), allowedInWindow(30));
+    EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(30));
 }
 
 // Both parts have a hub that assigns the limit: each its share of it.
-TEST(QuotaFleetTest, AFleetInTwoPartsKeepsTheLimit)
+TEST(QuotaFleetTest, APartitionedFleetKeepsTheLimit)
 {
-    for (size_t cutOff : { 1, 3, 4 }) {
+    for (size_t isolatedRouters : { 1, 3, 4 }) {
         QuotaFleet fleet({ 7, 20, 1 });
         fleet.runFor(3s);
         fleet.setLimit(30);
         fleet.runFor(4s);
         auto named = fleet.now();
-        fleet.cut(someRouters(0, cutOff), 6s);
+        fleet.partition(routerRange(0, isolatedRouters), 6s);
         fleet.runFor(10s);
-        EXPECT_LE(fleet.mostInWindow(named, QuotaFleet::Counted::All), allowedInWindow(30))
+        EXPECT_LE(fleet.maxArrivalsInWindow(named, QuotaFleet::Counted::All), allowedInWindow(30))
             << "those that are cut off counted as well";
     }
 }
 
 // Routers that freeze, end and start, fleets that fall into parts, limits that rise, fall and end.
-TEST(QuotaFleetTest, NoWindowExceedsALimitInRandomHistories)
+TEST(QuotaFleetTest, NoWindowExceedsALimitUnderRandomFaults)
 {
     bool holds = rc::check("limits hold", [] {
         QuotaFleet::Options options;
@@ -155,23 +156,23 @@
         auto limit = *rc::gen::element(0.0, 0.25, 1.0, 4.0, 30.0);
         fleet.setLimit(limit);
         auto named = fleet.now();
-        auto someRouter = [&] { return *rc::gen::inRange<size_t>(0, options.routers); };
+        auto randomRouter = [&] { return *rc::gen::inRange<size_t>(0, options.routers); };
         for (int turn = 0; turn < 25; ++turn) {
             switch (*rc::gen::inRange(0, 6)) {
             case 0:
-                fleet.freeze(someRouter(), Common::Milliseconds(*rc::gen::inRange(50, 6000)));
+                fleet.freeze(randomRouter(), Common::Milliseconds(*rc::gen::inRange(50, 6000)));
                 break;
             case 1:
-                fleet.restart(someRouter());
+                fleet.restart(randomRouter());
                 break;
             case 2: {
                 auto count = *rc::gen::inRange<size_t>(1, 1 + options.routers / 2);
-                fleet.cut(someRouters(0, count), Common::Milliseconds(*rc::gen::inRange(100, 5000)));
+                fleet.partition(routerRange(0, count), Common::Milliseconds(*rc::gen::inRange(100, 5000)));
                 break;
             }
             case 3:
                 if (*rc::gen::inRange(0, 6) == 0) {
-                    RC_ASSERT(fleet.mostInWindow(named + contactTime) <= allowedInWindow(limit));
+                    RC_ASSERT(fleet.maxArrivalsInWindow(named + settlingTime) <= allowedInWindow(limit));
                     limit = *rc::gen::element(0.0, 0.25, 1.0, 4.0, 30.0);
                     fleet.setLimit(limit);
                     named = fleet.now();
@@ -182,13 +183,13 @@
             }
             fleet.runFor(Common::Milliseconds(*rc::gen::inRange(50, 1500)));
         }
-        RC_ASSERT(fleet.mostInWindow(named + contactTime) <= allowedInWindow(limit));
+        RC_ASSERT(fleet.maxArrivalsInWindow(named + settlingTime) <= allowedInWindow(limit));
     });
     EXPECT_TRUE(holds);
 }
 
 // Nothing is added to any message while no limit is named.
-TEST(QuotaFleetTest, WithoutALimitNothingIsSent)
+TEST(QuotaFleetTest, WithoutALimitNoQuotaDataIsSent)
 {
     QuotaFleet fleet({ 88, 2, 1 });
     fleet.runFor(3s);
--- a/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 
 // Found on reading: with an uptime of over 49 days, a lease that was never confirmed would have been told as fresh.
-TEST(SnapshotCodecTest, AnAgeThatDoesNotFitStaysOld)
+TEST(SnapshotCodecTest, AnAgeOutOfRangeIsClamped)
 {
     EXPECT_EQ(encodeAge(1234ms), 1234U);
     EXPECT_EQ(encodeAge(24h * 60), std::numeric_limits<uint32_t>::max());
@@ -42,7 +42,7 @@
 }
 
 // 3,000 entries as the users' platform names them: 300 KB plain.
-TEST(SnapshotCodecTest, APackedListIsReadAsItWasWrittenAndIsShort)
+TEST(SnapshotCodecTest, APackedUpstreamListRoundTripsAndIsCompact)
 {
     std::vector<Routing::UpstreamRecord> records;
     for (uint64_t index = 0; index < 3000; ++index) {
@@ -62,7 +62,7 @@
     EXPECT_EQ(decodeUpstreams(message)->size(), 0U);
 }
 
-TEST(SnapshotCodecTest, AConfigurationIsReadPlainOrPacked)
+TEST(SnapshotCodecTest, PlainAndPackedConfigurationsAreDecoded)
 {
     Inner::Wire::Knowledge message;
     EXPECT_EQ(valueOf(decodeConfiguration(message)), "") << "it carries none";
@@ -78,14 +78,14 @@
 }
 
 // A router that took it for a confirmation of long ago read the store at once, instead of waiting for its hub.
-TEST(SnapshotCodecTest, WhatWasNeverConfirmedIsNotConfirmedLongAgo)
+TEST(SnapshotCodecTest, ANeverConfirmedAgeDecodesToTheEarliestTime)
 {
     Common::TimePoint now(1h);
     EXPECT_EQ(decodeAge(encodeAge(1500ms), now), now - 1500ms);
     EXPECT_EQ(decodeAge(encodeAge(Routing::FreshnessLease(1s).age(now)), now), Common::TimePoint::min());
 }
 
-TEST(SnapshotCodecTest, TheRosterIsReadAsItWasWritten)
+TEST(SnapshotCodecTest, TheRosterRoundTrips)
 {
     std::vector<Routing::RosterEntry> entries { { "r1", { "127.0.0.1", 7 }, 3 }, { "r2", { "127.0.0.2", 8 }, 0 } };
     EXPECT_EQ(decodeRoster(encodeRoster(entries)), entries);
@@ -94,7 +94,7 @@
 }
 
 // Ids and addresses are much alike: a router that starts must not fill its seed's link.
-TEST(SnapshotCodecTest, ALargeRosterIsShort)
+TEST(SnapshotCodecTest, ALargeRosterIsEncodedCompactly)
 {
     std::vector<Routing::RosterEntry> entries;
     for (unsigned index = 0; index < 300; ++index)
