--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -73,7 +73,7 @@
 {
     const auto& settings = *m_settings.duties;
     DutyRunner::Parts parts { *sources.dutyLog, *sources.dutyCalls, *m_usage, [this] { return dutySituation(); },
-        [this] { return capacityOfServices(m_watcher, m_registry, m_peers.unreachableLoadFactor(), Common::now()); } };
+        [this] { return collectServiceCapacities(m_watcher, m_registry, m_peers.unreachableLoadFactor(), Common::now()); } };
     m_duties = std::make_unique<DutyRunner>(std::move(parts),
         DutyRunner::Settings { settings.lease, settings.usage, settings.reportsUsage, settings.ordersCapacity });
     m_peers.setDutyHolder([this] { return m_duties->view().holder; });
@@ -168,7 +168,7 @@
 void Gateway::serveMetrics(Common::HttpExchange& exchange) const
 {
     auto now = Common::now();
-    GatewayMetrics::fleetState({ m_peers.isHub(), m_peers.readsStore(), m_watcher.versionInForce(), m_lease.age(now),
+    GatewayMetrics::fleetState({ m_peers.isHub(), m_peers.readsStore(), m_watcher.activeVersion(), m_lease.age(now),
         m_watcher.upstreamsAge(now), m_peers.fleetSize().value_or(0) });
     GatewayMetrics::restingUpstreams(m_registry.cooldownCount(now));
     GatewayMetrics::limits(m_registry.quotas().summary());
@@ -182,7 +182,7 @@
 
 bool Gateway::isReady() const
 {
-    return !m_draining && m_watcher.configuration() && m_watcher.knowsUpstreams() && m_lease.isFresh(Common::now());
+    return !m_draining && m_watcher.configuration() && m_watcher.hasUpstreamList() && m_lease.isFresh(Common::now());
 }
 
 void Gateway::serveReadiness(Common::HttpExchange& exchange) const
