--- a/Source/RouteServing/Gateway/CrashWatch.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/CrashWatch.h"
+#include "RouteServing/Gateway/CrashDetector.h"
 
 #include "Common/FiberRuntime.h"
 #include "Common/HttpClient.h"
@@ -14,23 +14,23 @@
 
 // For how long attempts that end at one upstream count as ended together: in 27 crashes of engines all ended within
 // 2.4 ms, on seven routers (docs/incidents/crashing-request.md).
-static constexpr Milliseconds settleTime = 25ms;
+static constexpr Milliseconds groupingWindow = 25ms;
 // A process that is there accepts within this, one that is gone refuses: both take one way there and back, 3 ms within
 // a region. Chosen, not measured.
 static constexpr Milliseconds probeTimeout = 250ms;
 // Requests that one log line names. Chosen, not measured.
 static constexpr size_t maxLoggedRequests = 8;
 
-static std::string_view name(BreakCause cause)
+static std::string_view name(DisconnectCause cause)
 {
     switch (cause) {
-    case BreakCause::Crash:
+    case DisconnectCause::Crash:
         return "crash";
-    case BreakCause::PlannedEnd:
+    case DisconnectCause::PlannedEnd:
         return "planned_end";
-    case BreakCause::Alive:
+    case DisconnectCause::Alive:
         return "alive";
-    case BreakCause::Unknown:
+    case DisconnectCause::Unknown:
         return "unknown";
     }
     return "unknown";
@@ -48,29 +48,29 @@
             { "attempts", attempts.size() }, { "requests", std::move(requests) } });
 }
 
-BreakCause CrashWatch::probe(const Common::Endpoint& endpoint)
+DisconnectCause CrashDetector::probe(const Common::Endpoint& endpoint)
 {
     Common::HttpConnection connection;
     if (!isError(connection.connect(endpoint, probeTimeout)))
-        return BreakCause::Alive;
-    return connection.end() == ConnectionEnd::Refused ? BreakCause::Crash : BreakCause::Unknown;
+        return DisconnectCause::Alive;
+    return connection.end() == ConnectionEnd::Refused ? DisconnectCause::Crash : DisconnectCause::Unknown;
 }
 
-void CrashWatch::record(const Routing::UpstreamRecord& upstream, Routing::BrokenAttempt attempt)
+void CrashDetector::recordDisconnect(const Routing::UpstreamRecord& upstream, Routing::BrokenAttempt attempt)
 {
     if (!m_registry.isServing(upstream.id)) {
         Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
-            { { "upstream", upstream.id }, { "cause", name(BreakCause::PlannedEnd) } });
-        return GatewayMetrics::upstreamBroke(name(BreakCause::PlannedEnd));
+            { { "upstream", upstream.id }, { "cause", name(DisconnectCause::PlannedEnd) } });
+        return GatewayMetrics::upstreamBroke(name(DisconnectCause::PlannedEnd));
     }
     std::lock_guard lock(m_mutex);
     if (m_broken.add(upstream.start(), std::move(attempt)))
-        Common::FiberRuntime::spawnHere([this, upstream] { findCause(upstream); });
+        Common::FiberRuntime::spawnHere([this, upstream] { determineCause(upstream); });
 }
 
-void CrashWatch::findCause(const Routing::UpstreamRecord& upstream)
+void CrashDetector::determineCause(const Routing::UpstreamRecord& upstream)
 {
-    Common::sleepFor(settleTime);
+    Common::sleepFor(groupingWindow);
     auto cause = probe(upstream.endpoint);
     GatewayMetrics::upstreamBroke(name(cause));
     std::vector<Routing::BrokenAttempt> attempts;
@@ -78,7 +78,7 @@
         std::lock_guard lock(m_mutex);
         attempts = m_broken.take(upstream.start());
     }
-    if (cause != BreakCause::Crash)
+    if (cause != DisconnectCause::Crash)
         return Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
             { { "upstream", upstream.id }, { "cause", name(cause) }, { "attempts", attempts.size() } });
     logCrash(upstream, attempts);
--- a/Source/RouteServing/Gateway/CrashWatch.h
+++ b/Source/RouteServing/Gateway/CrashDetector.h
@@ -11,7 +11,7 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // Why attempts at an upstream ended.
-enum class BreakCause : uint8_t {
+enum class DisconnectCause : uint8_t {
     Crash, // Its process is gone, unannounced.
     PlannedEnd, // It was leaving, or not listed any more.
     Alive, // It takes connections: a reset, a lost answer, a connection that had been idle for too long.
@@ -21,16 +21,16 @@
 // Finds out whether an upstream has crashed when attempts there ended without a response: it connects once to the
 // address after a moment. Nothing but a refused connection is a crash: resets, cuts, stops and planned ends aren't, and
 // the end of this process leaves nothing behind. Safe to use from several threads.
-class CrashWatch {
+class CrashDetector {
 public:
     // The attempts of this router that were under way at the upstream when it crashed.
     using OnCrash
         = std::function<void(const Routing::UpstreamRecord&, std::span<const Routing::BrokenAttempt> attempts)>;
 
     // By then it is known whether the upstream has crashed.
-    static constexpr Common::Milliseconds longestSearch { 300 };
+    static constexpr Common::Milliseconds maxDetectionTime { 300 };
 
-    explicit CrashWatch(const Routing::UpstreamRegistry& registry)
+    explicit CrashDetector(const Routing::UpstreamRegistry& registry)
         : m_registry(registry)
     {
     }
@@ -38,11 +38,11 @@
     void setOnCrash(OnCrash hook) { m_onCrash = std::move(hook); }
 
     // An attempt ended because the upstream closed or reset the connection. Returns at once.
-    void record(const Routing::UpstreamRecord&, Routing::BrokenAttempt);
+    void recordDisconnect(const Routing::UpstreamRecord&, Routing::BrokenAttempt);
 
 private:
-    void findCause(const Routing::UpstreamRecord&);
-    static BreakCause probe(const Common::Endpoint&);
+    void determineCause(const Routing::UpstreamRecord&);
+    static DisconnectCause probe(const Common::Endpoint&);
 
     const Routing::UpstreamRegistry& m_registry;
     OnCrash m_onCrash { [](const auto&, auto) {} };
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -50,7 +50,7 @@
     , m_registry(m_settings.failureDomain)
     , m_retries({ m_settings.retryRatio, 0, m_settings.retryWindow })
     , m_hasher(m_settings.fleetKey)
-    , m_crashes(m_registry)
+    , m_crashDetector(m_registry)
     , m_guard(m_suspects, sources.suspects, m_settings.id)
     , m_watcher(
           sources, Routing::RefreshIntervals::within(m_settings.configuration, m_settings.leaving), m_lease, m_registry)
@@ -60,7 +60,7 @@
               m_usage.get(), &m_suspects },
           m_settings.id, m_settings.fleetKey)
 {
-    m_crashes.setOnCrash([this](const auto& upstream, auto attempts) {
+    m_crashDetector.setOnCrash([this](const auto& upstream, auto attempts) {
         m_suspects.recordCrash(upstream.start(), attempts, Common::now());
     });
     if (m_usage && sources.dutyLog && sources.dutyCalls)
@@ -202,8 +202,8 @@
     m_inFlight.fetch_add(1);
     if (m_draining)
         exchange.closeAfterAnswer();
-    RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries, { m_hasher, m_crashes, m_guard },
-        m_usage.get(), m_refusing };
+    RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries,
+        { m_hasher, m_crashDetector, m_guard }, m_usage.get(), m_refusing };
     RequestHandler(services, exchange).run();
     // Also when the stop began meanwhile.
     if (m_draining)
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/HttpServer.h"
-#include "RouteServing/Gateway/CrashWatch.h"
+#include "RouteServing/Gateway/CrashDetector.h"
 #include "RouteServing/Gateway/DutyRunner.h"
 #include "RouteServing/Gateway/GatewaySettings.h"
 #include "RouteServing/Gateway/HeaderScheme.h"
@@ -63,7 +63,7 @@
     Routing::UpstreamRegistry m_registry;
     RetryWindows m_retries;
     Routing::RequestHasher m_hasher;
-    CrashWatch m_crashes;
+    CrashDetector m_crashDetector;
     Routing::SuspectLedger m_suspects;
     SuspectGuard m_guard;
     PlatformWatcher m_watcher;
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -33,7 +33,7 @@
 // Limits that upstreams have named, when the metrics are read.
 void limits(const Routing::SendQuotas::Summary&);
 
-// Attempts at an upstream ended without a response, for a cause of CrashWatch.h.
+// Attempts at an upstream ended without a response, for a cause of CrashDetector.h.
 void upstreamBroke(std::string_view cause);
 
 // Requests that are suspected of crashing upstreams, as far as this router knows, when the metrics are read.
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -4,7 +4,7 @@
 #include "Common/Digest.h"
 #include "Common/FiberRuntime.h"
 #include "Common/Log.h"
-#include "RouteServing/Gateway/CrashWatch.h"
+#include "RouteServing/Gateway/CrashDetector.h"
 #include "RouteServing/Gateway/SuspectCodec.h"
 
 #include <algorithm>
@@ -82,7 +82,7 @@
 {
     Common::FiberRuntime::spawnHere([this, request, brokeOff] {
         if (brokeOff)
-            Common::sleepFor(CrashWatch::longestSearch);
+            Common::sleepFor(CrashDetector::maxDetectionTime);
         giveBack(request);
         endHere(request);
     });
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectTurn.cpp
@@ -76,7 +76,7 @@
     bool wasEndedThere = attempt.end() == ConnectionEnd::Closed || attempt.end() == ConnectionEnd::Reset;
     m_hasBrokenOff = attempt.outcome() == AttemptOutcome::BrokenOff && wasEndedThere;
     if (m_hasBrokenOff)
-        m_parts.crashes.record(attempt.upstream(),
+        m_parts.crashDetector.recordDisconnect(attempt.upstream(),
             { requestId, identity(), m_workspace, std::string(m_exchange.target()), sent, Common::now() });
 }
 
--- a/Source/RouteServing/Gateway/SuspectTurn.h
+++ b/Source/RouteServing/Gateway/SuspectTurn.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "Common/HttpExchange.h"
-#include "RouteServing/Gateway/CrashWatch.h"
+#include "RouteServing/Gateway/CrashDetector.h"
 #include "RouteServing/Gateway/SuspectGuard.h"
 #include "RouteServing/Gateway/UpstreamAttempt.h"
 #include "RouteServing/Routing/Admission.h"
@@ -20,7 +20,7 @@
     // What all requests share.
     struct Parts {
         const Routing::RequestHasher& hasher;
-        CrashWatch& crashes;
+        CrashDetector& crashDetector;
         SuspectGuard& guard;
     };
 
