--- a/Source/RouteServing/Gateway/CrashDetector.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -61,7 +61,7 @@
     if (!m_registry.isServing(upstream.id)) {
         Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
             { { "upstream", upstream.id }, { "cause", name(DisconnectCause::PlannedEnd) } });
-        return GatewayMetrics::upstreamBroke(name(DisconnectCause::PlannedEnd));
+        return GatewayMetrics::upstreamDisconnected(name(DisconnectCause::PlannedEnd));
     }
     std::lock_guard lock(m_mutex);
     if (m_broken.add(upstream.start(), std::move(attempt)))
@@ -72,7 +72,7 @@
 {
     Common::sleepFor(groupingWindow);
     auto cause = probe(upstream.endpoint);
-    GatewayMetrics::upstreamBroke(name(cause));
+    GatewayMetrics::upstreamDisconnected(name(cause));
     std::vector<Routing::BrokenAttempt> attempts;
     {
         std::lock_guard lock(m_mutex);
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -170,8 +170,8 @@
     auto now = Common::now();
     GatewayMetrics::fleetState({ m_peers.isHub(), m_peers.readsStore(), m_watcher.versionInForce(), m_lease.age(now),
         m_watcher.upstreamsAge(now), m_peers.fleetSize().value_or(0) });
-    GatewayMetrics::restingUpstreams(m_registry.restingCount(now));
-    GatewayMetrics::limits(m_registry.quotas().summary());
+    GatewayMetrics::cooldownCount(m_registry.restingCount(now));
+    GatewayMetrics::sendQuotas(m_registry.quotas().summary());
     GatewayMetrics::suspects(m_suspects.countByState(now));
     if (m_duties) {
         auto duties = m_duties->view();
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -35,20 +35,20 @@
         .Increment();
 }
 
-static const char* label(Stated what)
+static const char* label(StatementKind what)
 {
     switch (what) {
-    case Stated::Rest:
+    case StatementKind::Cooldown:
         return "rest";
-    case Stated::Leaving:
+    case StatementKind::Leaving:
         return "leaving";
-    case Stated::Limit:
+    case StatementKind::Limit:
         return "limit";
     }
     return "";
 }
 
-void upstreamStated(Stated what)
+void statementReceived(StatementKind what)
 {
     counter("brassladder_gateway_upstream_statements_total",
         "Times that an upstream asked for rest, named a limit, or said that it leaves, by its responses to this router",
@@ -65,13 +65,13 @@
     s_withheld.Increment();
 }
 
-void restingUpstreams(size_t count)
+void cooldownCount(size_t count)
 {
     gauge("brassladder_upstreams_resting", "Upstreams that have asked this router for rest that is not over")
         .Set(static_cast<double>(count));
 }
 
-void limits(const Routing::SendQuotas::Summary& summary)
+void sendQuotas(const Routing::SendQuotas::Summary& summary)
 {
     gauge("brassladder_upstreams_limited", "Upstreams with a limit for all routers together, as this router knows")
         .Set(static_cast<double>(summary.limited));
@@ -80,7 +80,7 @@
     gauge("brassladder_quota_used", "Of those, requests that it sent").Set(static_cast<double>(summary.used));
 }
 
-void upstreamBroke(std::string_view cause)
+void upstreamDisconnected(std::string_view cause)
 {
     counter("brassladder_gateway_upstream_breaks_total",
         "Times that attempts at an upstream ended without a response, by what was found there",
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -24,17 +24,17 @@
 void attemptFailed(Routing::AttemptOutcome, Common::ConnectionEnd, bool retried);
 
 // What an upstream stated in a response, when it was news.
-enum class Stated : uint8_t { Rest, Leaving, Limit };
-void upstreamStated(Stated);
+enum class StatementKind : uint8_t { Cooldown, Leaving, Limit };
+void statementReceived(StatementKind);
 // A request was not sent to the upstream that it was chosen for, because of what that one had stated meanwhile.
 void requestWithheld();
 // Upstreams that rest, when the metrics are read.
-void restingUpstreams(size_t);
+void cooldownCount(size_t);
 // Limits that upstreams have named, when the metrics are read.
-void limits(const Routing::SendQuotas::Summary&);
+void sendQuotas(const Routing::SendQuotas::Summary&);
 
 // Attempts at an upstream ended without a response, for a cause of CrashDetector.h.
-void upstreamBroke(std::string_view cause);
+void upstreamDisconnected(std::string_view cause);
 
 // Requests that are suspected of crashing upstreams, as far as this router knows, when the metrics are read.
 void suspects(const std::map<Routing::Suspicion, size_t>&);
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -17,7 +17,7 @@
 
 using Common::LogLevel;
 
-static std::optional<Common::Milliseconds> restOf(const Common::HttpClientResponse& response)
+static std::optional<Common::Milliseconds> retryAfterOf(const Common::HttpClientResponse& response)
 {
     auto value = response.header("Retry-After");
     bool mayAskForRest = response.status == Common::serviceUnavailable || response.status == Common::tooManyRequests;
@@ -35,7 +35,7 @@
     // The response is to a request for the upstream that had the address before.
     if (headers.isFromAnother(response))
         return {};
-    return { headers.isLeaving(response), restOf(response) };
+    return { headers.isLeaving(response), retryAfterOf(response) };
 }
 
 // In requests a second; none when the value is no number, or a negative one.
@@ -48,7 +48,7 @@
     return std::min(limit, Routing::highestLimit);
 }
 
-std::optional<Routing::LimitStatement> limitOf(
+std::optional<Routing::LimitStatement> limitStatementOf(
     const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
 {
     if (headers.isFromAnother(response))
@@ -81,7 +81,7 @@
         { "request", std::string(requestId) } };
     if (news == News::Ended)
         return Common::log(LogLevel::Info, "gateway", "upstream.limit_ended", std::move(fields));
-    GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Limit);
+    GatewayMetrics::statementReceived(GatewayMetrics::StatementKind::Limit);
     fields["per_second"] = statement.requestsPerSecond.value_or(0);
     Common::log(LogLevel::Info, "gateway", "upstream.names_limit", std::move(fields));
 }
@@ -92,11 +92,11 @@
     Common::Json fields { { "upstream", upstream.id }, { "born", upstream.born }, { "service", upstream.service },
         { "request", std::string(requestId) } };
     if (statement.isLeaving) {
-        GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Leaving);
+        GatewayMetrics::statementReceived(GatewayMetrics::StatementKind::Leaving);
         Common::log(LogLevel::Info, "gateway", "upstream.says_leaving", fields);
     }
     if (statement.rest) {
-        GatewayMetrics::upstreamStated(GatewayMetrics::Stated::Rest);
+        GatewayMetrics::statementReceived(GatewayMetrics::StatementKind::Cooldown);
         fields["seconds"] = Common::toSeconds(*statement.rest);
         Common::log(LogLevel::Info, "gateway", "upstream.asked_rest", std::move(fields));
     }
--- a/Source/RouteServing/Gateway/ResponseStatement.h
+++ b/Source/RouteServing/Gateway/ResponseStatement.h
@@ -18,7 +18,7 @@
 
 // What it says of the limit for all routers together: the lowest one that it names, or that there is none. Nothing when
 // another upstream has sent the response, or it names one that cannot be read, which is logged.
-std::optional<Routing::LimitStatement> limitOf(const UpstreamHeaders&, const Common::HttpClientResponse&);
+std::optional<Routing::LimitStatement> limitStatementOf(const UpstreamHeaders&, const Common::HttpClientResponse&);
 
 // Logs and counts what is news of a limit.
 void reportLimit(const Routing::UpstreamRecord&, const Routing::LimitStatement&, Routing::SendQuotas::News,
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -91,7 +91,7 @@
     // A response to another request may be of any age.
     if (m_response.header(m_headers.caller.requestIdHeader) != requestId)
         return;
-    auto statement = limitOf(m_headers.upstream, m_response);
+    auto statement = limitStatementOf(m_headers.upstream, m_response);
     if (!statement)
         return;
     const auto& upstream = m_placement.upstream;
