--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -21,12 +21,12 @@
 using namespace std::chrono_literals;
 
 // How often the share of the retry allowance follows the size of the fleet. Chosen, not measured.
-static constexpr Milliseconds allowanceInterval = 1000ms;
+static constexpr Milliseconds retryAllowanceInterval = 1000ms;
 // How often a planned stop checks whether requests are in flight. Chosen, not measured.
 static constexpr Milliseconds drainPollInterval = 20ms;
 // At the end of a planned stop, for the last usage counts to reach the hub: two intervals of the exchange. Chosen, not
 // measured.
-static constexpr Milliseconds lastExchange = 200ms;
+static constexpr Milliseconds finalUsageExchangeTime = 200ms;
 
 static Milliseconds timeOfDay()
 {
@@ -46,14 +46,14 @@
     : m_runtime(runtime)
     , m_settings(std::move(settings))
     , m_headers(std::move(headers))
-    , m_lease(Routing::FreshnessLease::durationWithin(m_settings.revocation))
+    , m_lease(Routing::FreshnessLease::durationWithin(m_settings.revocationBound))
     , m_registry(m_settings.failureDomain)
     , m_retries({ m_settings.retryRatio, 0, m_settings.retryWindow })
     , m_hasher(m_settings.fleetKey)
     , m_crashDetector(m_registry)
-    , m_guard(m_suspects, sources.suspects, m_settings.id)
-    , m_watcher(
-          sources, Routing::RefreshIntervals::within(m_settings.configuration, m_settings.leaving), m_lease, m_registry)
+    , m_suspectGuard(m_suspects, sources.suspects, m_settings.id)
+    , m_watcher(sources, Routing::RefreshIntervals::within(m_settings.configurationBound, m_settings.leavingBound),
+          m_lease, m_registry)
     , m_usage(usageExchange(m_settings))
     , m_peers(runtime,
           { sources.roster, m_watcher, m_lease, m_registry, { m_settings.seeds, m_settings.isFirstStart },
@@ -144,7 +144,8 @@
     m_runtime.spawn([this] { m_peers.watchRoster(); });
     m_runtime.spawn([this] { m_peers.exchange(); });
     m_runtime.spawn([this] { updateRetryAllowance(); });
-    m_runtime.spawn([this] { m_guard.keepStored([this] { return m_peers.fleetSize() && m_peers.readsStore(); }); });
+    m_runtime.spawn(
+        [this] { m_suspectGuard.keepStored([this] { return m_peers.fleetSize() && m_peers.readsStore(); }); });
     if (m_duties)
         m_runtime.spawn([this] { m_duties->run(); });
 }
@@ -154,7 +155,7 @@
     while (true) {
         if (auto routers = m_peers.fleetSize())
             m_retries.setAllowance(Routing::retryAllowanceShare(m_settings.retryAllowance, *routers));
-        Common::sleepFor(allowanceInterval);
+        Common::sleepFor(retryAllowanceInterval);
     }
 }
 
@@ -203,7 +204,7 @@
     if (m_draining)
         exchange.closeAfterAnswer();
     RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries,
-        { m_hasher, m_crashDetector, m_guard }, m_usage.get(), m_refusing };
+        { m_hasher, m_crashDetector, m_suspectGuard }, m_usage.get(), m_refusing };
     RequestHandler(services, exchange).run();
     // Also when the stop began meanwhile.
     if (m_draining)
@@ -214,7 +215,7 @@
 void Gateway::drain()
 {
     auto started = Common::now();
-    auto schedule = Routing::DrainSchedule::within(started, m_settings.grace);
+    auto schedule = Routing::DrainSchedule::within(started, m_settings.gracePeriod);
     m_draining = true;
     m_peers.leave();
     Common::log(LogLevel::Info, "gateway", "drain.start", { { "in_flight", m_inFlight.load() } });
@@ -226,7 +227,7 @@
         std::this_thread::sleep_for(drainPollInterval);
     if (m_usage) {
         m_usage->finish();
-        std::this_thread::sleep_for(lastExchange);
+        std::this_thread::sleep_for(finalUsageExchangeTime);
     }
     Common::log(LogLevel::Info, "gateway", "drain.end",
         { { "in_flight", m_inFlight.load() }, { "ms", Common::toMilliseconds(Common::now() - started).count() } });
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -65,7 +65,7 @@
     Routing::RequestHasher m_hasher;
     CrashDetector m_crashDetector;
     Routing::SuspectLedger m_suspects;
-    SuspectGuard m_guard;
+    SuspectGuard m_suspectGuard;
     PlatformWatcher m_watcher;
     std::unique_ptr<UsageExchange> m_usage; // Null where the fleet has no duties, as the next but one.
     PeerExchange m_peers;
--- a/Source/RouteServing/Gateway/GatewaySettings.cpp
+++ b/Source/RouteServing/Gateway/GatewaySettings.cpp
@@ -98,11 +98,11 @@
         result.seeds.push_back(valueOf(Common::parseEndpoint(seed)));
     result.isFirstStart = settings.boolean("/inner/first_start");
     result.store = valueOf(Common::parseEndpoint(settings.text("/platform/store")));
-    result.configuration = settings.milliseconds("/bounds/configuration_ms");
-    result.leaving = settings.milliseconds("/bounds/leaving_ms");
+    result.configurationBound = settings.milliseconds("/bounds/configuration_ms");
+    result.leavingBound = settings.milliseconds("/bounds/leaving_ms");
     if (settings.boolean("/bounds/strict_revocation"))
-        result.revocation = settings.milliseconds("/bounds/revocation_ms");
-    result.grace = fromSeconds(settings.number("/bounds/grace_s"));
+        result.revocationBound = settings.milliseconds("/bounds/revocation_ms");
+    result.gracePeriod = fromSeconds(settings.number("/bounds/grace_s"));
     result.retryRatio = settings.number("/bounds/retry_ratio");
     result.retryWindow = fromSeconds(settings.number("/bounds/retry_window_s"));
     result.retryAllowance = settings.number("/bounds/retry_allowance");
--- a/Source/RouteServing/Gateway/GatewaySettings.h
+++ b/Source/RouteServing/Gateway/GatewaySettings.h
@@ -24,7 +24,7 @@
     // `DrainMs` of the users' site files.
     static constexpr Common::Milliseconds defaultLeavingBound { 2000 };
     // `GraceS` of the users' site files.
-    static constexpr Common::Milliseconds defaultGrace { 8000 };
+    static constexpr Common::Milliseconds defaultGracePeriod { 8000 };
     // Half of the users' `RetryRatio`. Chosen, not measured.
     static constexpr double defaultRetryRatio = 0.1;
     // `RetryWindowS` of the users' site files.
@@ -44,10 +44,12 @@
     size_t callerConnections { defaultCallerConnections };
 
     // Bounds that the operators promise; intervals and timeouts follow from them (Routing/RefreshIntervals.h).
-    Common::Milliseconds configuration { defaultConfigurationBound }; // After this a new configuration is in force.
-    Common::Milliseconds leaving { defaultLeavingBound }; // After this a leaving upstream gets nothing new.
-    Common::Milliseconds revocation { 0 }; // After this a withdrawn key is not used; zero: no such bound.
-    Common::Milliseconds grace { defaultGrace }; // From SIGTERM until the process is killed.
+    Common::Milliseconds configurationBound {
+        defaultConfigurationBound
+    }; // After this a new configuration is in force.
+    Common::Milliseconds leavingBound { defaultLeavingBound }; // After this a leaving upstream gets nothing new.
+    Common::Milliseconds revocationBound { 0 }; // After this a withdrawn key is not used; zero: no such bound.
+    Common::Milliseconds gracePeriod { defaultGracePeriod }; // From SIGTERM until the process is killed.
     double retryRatio { defaultRetryRatio };
     Common::Milliseconds retryWindow { defaultRetryWindow };
     double retryAllowance { 0 };
