--- a/Source/RouteServing/Gateway/Forwarding.cpp
+++ b/Source/RouteServing/Gateway/Forwarding.cpp
@@ -39,7 +39,7 @@
         request.headers.push_back({ headers.prefixSourceHeader, forwarded.prefixSource->text() });
     forwarded.replica.addHeaders(request, forwarded.requestId);
     if (forwarded.resumeAfterEvent)
-        setHeader(request.headers, headers.lastEventHeader, std::to_string(*forwarded.resumeAfterEvent));
+        setHeader(request.headers, headers.lastEventIdHeader, std::to_string(*forwarded.resumeAfterEvent));
     return request;
 }
 
--- a/Source/RouteServing/Gateway/HeaderScheme.h
+++ b/Source/RouteServing/Gateway/HeaderScheme.h
@@ -30,7 +30,7 @@
     std::string workspaceHeader;
     std::string priorityHeader;
     std::string executionProofHeader; // In each response of an upstream that ran the request, except errors.
-    std::string lastEventHeader; // Id of the last event that the caller has: the stream is resumed after it.
+    std::string lastEventIdHeader; // Id of the last event that the caller has: the stream is resumed after it.
     std::string replicaTargetHeader; // Address of the engine that gets a replica of the run's KV cache as it grows.
     std::string prefixSourceHeader; // Address of the engine from which the cached prefix of the prompt is fetched.
     std::string replicaSourceHeader; // The replica from which a run continues.
@@ -38,7 +38,7 @@
     size_t priorityLevels { 1 }; // Values of the priority header, from 0, the most urgent.
     std::vector<std::string> withheldHeaders; // In lower case: headers of callers that are never passed on.
     std::function<bool(const Common::HttpClientResponse&)> isNotExecuted; // The upstream states that it did not run it.
-    std::function<bool(const Common::HttpClientResponse&)> isFromAnother; // Another upstream has the address now.
+    std::function<bool(const Common::HttpClientResponse&)> isFromOtherUpstream; // Another upstream has the address now.
     std::function<bool(const Common::HttpClientResponse&)> isLeaving; // The upstream says that it leaves.
     std::string limitHeader; // Requests a second that the upstream takes from all routers together.
     std::function<std::optional<Routing::ReportedLoad>(const Common::HttpClientResponse&)> load;
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -31,7 +31,7 @@
     , m_keysWereConfirmed(areKeysConfirmed())
     , m_configuration(services.watcher.configuration())
     , m_table(m_configuration ? &m_configuration->table : nullptr)
-    , m_suspect(services.suspects, exchange)
+    , m_suspectCheck(services.suspects, exchange)
     , m_replica(services.headers.upstream)
     , m_stream(exchange, Common::now())
     , m_report { std::string(exchange.header(services.headers.caller.requestIdHeader)), Common::now(), 0, {}, {}, {},
@@ -41,7 +41,7 @@
 
 void RequestHandler::run()
 {
-    m_stream.setOnFirstEvent([this] { countStart(); });
+    m_stream.setOnFirstEvent([this] { countUsage(); });
     if (admit()) {
         runAttempts();
         // The exchange outlives this handler.
@@ -61,19 +61,19 @@
     m_route = admission.route;
     m_workspace = admission.workspace;
     if (m_workspace)
-        m_suspect.setWorkspace(m_workspace->name);
+        m_suspectCheck.setWorkspace(m_workspace->name);
     if (admission.refusal) {
         refuse(*admission.refusal);
         return false;
     }
     m_deadline = m_report.arrived + Routing::requestTimeout(*m_route, callerTimeout());
     m_service = Routing::pickService(*m_route, Common::randomNumber());
-    readGeneration();
-    m_services.retries.of(m_service).countRequest(m_report.arrived);
+    readPrompt();
+    m_services.retries.forService(m_service).countRequest(m_report.arrived);
     return true;
 }
 
-void RequestHandler::readGeneration()
+void RequestHandler::readPrompt()
 {
     const auto* service = m_table->service(m_service);
     if (!service || !service->engine)
@@ -102,11 +102,11 @@
 void RequestHandler::runAttempts()
 {
     m_exchange.watchCaller([this] {
-        if (m_current && m_route->kind != RouteKind::OnceOnly)
-            m_current->cancel();
+        if (m_currentAttempt && m_route->kind != RouteKind::OnceOnly)
+            m_currentAttempt->cancel();
     });
     while (true) {
-        if (auto refusal = m_suspect.await(m_report.requestId, m_deadline))
+        if (auto refusal = m_suspectCheck.await(m_report.requestId, m_deadline))
             return refuse(*refusal);
         if (auto refusal = refusalBeforeAttempt())
             return refuse(*refusal);
@@ -115,7 +115,7 @@
             continue;
         if (!placement)
             return refuse(refusalWithoutUpstream());
-        m_isHeld = false;
+        m_isAwaitingQuota = false;
         if (runAttempt(*placement) == Next::Done)
             return;
     }
@@ -127,7 +127,7 @@
     bool mayWait = !isAbandoned() && now < m_report.arrived + Routing::longestQuotaHold(*m_route);
     if (!mayWait || !m_services.registry.quotaWait(placementRequest(), now))
         return false;
-    m_isHeld = true;
+    m_isAwaitingQuota = true;
     Common::sleepFor(quotaPollInterval);
     return true;
 }
@@ -135,12 +135,12 @@
 Refusal RequestHandler::refusalWithoutUpstream() const
 {
     auto now = Common::now();
-    auto ofAnyUpstream = placementRequest();
-    ofAnyUpstream.attempted = {};
+    auto anyUpstreamRequest = placementRequest();
+    anyUpstreamRequest.attempted = {};
     const auto& registry = m_services.registry;
     return Routing::refusalWithoutUpstream(
-        { registry.firstReturn(ofAnyUpstream, now), registry.quotaWait(ofAnyUpstream, now) }, m_history.mayHaveRun,
-        now);
+        { registry.firstReturn(anyUpstreamRequest, now), registry.quotaWait(anyUpstreamRequest, now) },
+        m_history.mayHaveRun, now);
 }
 
 // Checked again before each attempt: time has passed since the last one.
@@ -159,15 +159,15 @@
     Routing::UpstreamRegistry::PlacementRequest request;
     request.service = m_service;
     request.attempted = m_report.attemptedUpstreams;
-    request.isolated = m_suspect.runsAlone();
+    request.isolated = m_suspectCheck.runsAlone();
     request.rank = rank();
-    request.isHeld = m_isHeld;
+    request.isHeld = m_isAwaitingQuota;
     if (m_engine) {
         request.prompt = &m_prompt;
         request.engine = { m_engine->batch, m_engine->fetchesKvCache };
     }
     // A stream that goes on elsewhere has met its objective or missed it; its caller should not wait once more.
-    request.due = (m_stream.hasBegun() ? Common::now() : m_report.arrived) + m_route->objective;
+    request.due = (m_stream.hasSentHead() ? Common::now() : m_report.arrived) + m_route->objective;
     return request;
 }
 
@@ -186,7 +186,7 @@
 {
     bool engineReplicates = m_engine && m_engine->replicatesKvCache;
     // A copy would carry a suspect to a second engine.
-    engineReplicates = engineReplicates && !m_suspect.runsAlone();
+    engineReplicates = engineReplicates && !m_suspectCheck.runsAlone();
     bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
     if (Routing::wantsReplica(*m_route, m_prompt, engineReplicates, failuresAreLikely))
         m_replica.choose(m_services.registry, placementRequest(), now);
@@ -197,14 +197,14 @@
 RequestHandler::Next RequestHandler::runAttempt(const Placement& placement)
 {
     UpstreamAttempt attempt(m_services.headers, m_services.registry, placement);
-    m_current = &attempt;
+    m_currentAttempt = &attempt;
     auto outcome = attempt.start(requestFor(placement),
         { m_report.requestId, Routing::connectTimeout(*m_route), Routing::maxIdleTime(*m_route) });
     auto next = Next::Done;
     m_report.namedLimit = attempt.response().header(m_services.headers.upstream.limitHeader);
-    countStartAfter(attempt);
+    countUsageIfStarted(attempt);
     if (isAbandoned()) {
-        abandonCaller(attempt);
+        onCallerGone(attempt);
     } else if (Routing::ranAfter(outcome) != Common::Ran::Yes) {
         next = onFailure(attempt);
     } else if (m_route->kind == RouteKind::Stream && attempt.response().status < Common::firstClientError) {
@@ -212,11 +212,11 @@
     } else {
         next = relayWhole(attempt);
     }
-    m_current = nullptr;
+    m_currentAttempt = nullptr;
     return next;
 }
 
-void RequestHandler::countStartAfter(const UpstreamAttempt& attempt)
+void RequestHandler::countUsageIfStarted(const UpstreamAttempt& attempt)
 {
     Duties::EndedAttempt ended;
     ended.outcome = attempt.outcome();
@@ -225,12 +225,12 @@
     if (m_report.expectedFirstEvent.count() > 0)
         ended.expectedFirstEvent = m_report.expectedFirstEvent;
     if (Duties::hadBegun(ended))
-        countStart();
+        countUsage();
 }
 
-void RequestHandler::countStart()
+void RequestHandler::countUsage()
 {
-    if (m_services.usage && m_workspace && !std::exchange(m_isCounted, true))
+    if (m_services.usage && m_workspace && !std::exchange(m_isUsageCounted, true))
         m_services.usage->count(m_workspace->name);
 }
 
@@ -241,19 +241,19 @@
     if (isError(body)) {
         if (!isAbandoned())
             return onFailure(attempt);
-        abandonCaller(attempt);
+        onCallerGone(attempt);
         return Next::Done;
     }
     attempt.releaseConnection();
-    m_suspect.recordCompleted();
+    m_suspectCheck.recordCompleted();
     if (attempt.outcome() == AttemptOutcome::ServerError) {
         m_history.record(attempt.outcome());
         if (prepareRetry(attempt))
             return Next::Retry;
     }
     // This response belongs to an attempt to resume the stream; the caller already has another response's head.
-    if (m_stream.hasBegun()) {
-        abandon("stream_not_resumed");
+    if (m_stream.hasSentHead()) {
+        abortResponse("stream_not_resumed");
         return Next::Done;
     }
     const auto& response = attempt.response();
@@ -267,10 +267,10 @@
 {
     switch (m_stream.relay(attempt)) {
     case StreamRelay::Result::Completed:
-        m_suspect.recordCompleted();
+        m_suspectCheck.recordCompleted();
         return Next::Done;
     case StreamRelay::Result::CallerGone:
-        abandonCaller(attempt);
+        onCallerGone(attempt);
         return Next::Done;
     case StreamRelay::Result::BrokenOff:
         return onFailure(attempt);
@@ -281,18 +281,18 @@
 RequestHandler::Next RequestHandler::onFailure(const UpstreamAttempt& attempt)
 {
     auto outcome = attempt.outcome();
-    countStartAfter(attempt);
-    m_suspect.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
+    countUsageIfStarted(attempt);
+    m_suspectCheck.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
     m_history.record(outcome);
     bool retries = prepareRetry(attempt);
-    GatewayMetrics::attemptFailed(outcome, attempt.end(), retries);
+    GatewayMetrics::attemptFailed(outcome, attempt.connectionEnd(), retries);
     logFailure(attempt, retries);
     if (retries) {
         m_stream.discardPartialEvent();
         return Next::Retry;
     }
-    if (m_stream.hasBegun())
-        abandon("stream_not_resumed");
+    if (m_stream.hasSentHead())
+        abortResponse("stream_not_resumed");
     else
         refuse(refusalAfter(attempt));
     return Next::Done;
@@ -310,21 +310,21 @@
 void RequestHandler::logFailure(const UpstreamAttempt& attempt, bool retries) const
 {
     Common::Json fields { { "request", m_report.requestId }, { "upstream", attempt.upstream().id },
-        { "fate", Routing::fateLabel(attempt.outcome()) }, { "ended", Common::name(attempt.end()) },
+        { "fate", Routing::fateLabel(attempt.outcome()) }, { "ended", Common::name(attempt.connectionEnd()) },
         { "ms", Common::toMilliseconds(Common::now() - m_report.lastPlaced).count() },
         { "events", attempt.hasEvents() }, { "problem", attempt.problem() }, { "again", retries } };
     if (auto rest = attempt.response().header("Retry-After"); !rest.empty())
         fields["retry_after"] = std::string(rest);
-    if (const auto& identity = m_suspect.knownIdentity())
+    if (const auto& identity = m_suspectCheck.knownIdentity())
         fields["identity"] = identity->text();
     Common::log(LogLevel::Info, "gateway", "try.failed", std::move(fields));
 }
 
 // Its upstream may have crashed at the same moment: evidence all the same.
-void RequestHandler::abandonCaller(const UpstreamAttempt& attempt)
+void RequestHandler::onCallerGone(const UpstreamAttempt& attempt)
 {
-    m_suspect.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
-    abandon("caller_gone");
+    m_suspectCheck.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
+    abortResponse("caller_gone");
 }
 
 // Whether there is another attempt. Takes it from the retry budget, and sets where a failover goes.
@@ -334,7 +334,7 @@
     // Nobody waits for the response. The caller's leaving is reported once, so nothing would cancel another attempt.
     if (isAbandoned())
         return false;
-    if (m_suspect.forbidsRetry())
+    if (m_suspectCheck.forbidsRetry())
         return false;
     bool hasRelayedEvents = m_stream.lastEventId().has_value();
     auto decision = Routing::decideRetry(*m_route, m_history, outcome, hasRelayedEvents, isPastDeadline());
@@ -351,14 +351,14 @@
             return false;
         break;
     }
-    return m_services.retries.of(m_service).takeRetry(Common::now());
+    return m_services.retries.forService(m_service).takeRetry(Common::now());
 }
 
 // What is sent
 
 Common::HttpClientRequest RequestHandler::requestFor(const Placement& placement) const
 {
-    auto resumeAfterEvent = m_stream.hasBegun() ? m_stream.lastEventId() : std::nullopt;
+    auto resumeAfterEvent = m_stream.hasSentHead() ? m_stream.lastEventId() : std::nullopt;
     return requestForUpstream(m_services.headers,
         { m_exchange, m_report.requestId, m_deadline, placement.upstream.id, m_workspace, engineLevel(placement),
             placement.prefixSource, resumeAfterEvent, m_replica },
@@ -380,17 +380,17 @@
 
 void RequestHandler::refuse(const Refusal& refusal)
 {
-    Refusal honest { Routing::honestKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
-    if (m_stream.hasBegun())
-        return abandon(Common::name(honest.kind));
-    auto response = refusalResponse(m_services.headers, honest, m_history.mayHaveRun, m_report.requestId);
+    Refusal adjusted { Routing::honestKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
+    if (m_stream.hasSentHead())
+        return abortResponse(Common::name(adjusted.kind));
+    auto response = refusalResponse(m_services.headers, adjusted, m_history.mayHaveRun, m_report.requestId);
     m_report.status = response.status;
-    m_report.reason = Common::name(honest.kind);
+    m_report.reason = Common::name(adjusted.kind);
     m_exchange.respond(response);
 }
 
 // Closes the connection without the end of the response, so that the caller cannot take it for whole.
-void RequestHandler::abandon(std::string_view reason)
+void RequestHandler::abortResponse(std::string_view reason)
 {
     m_exchange.abandon();
     m_report.reason = reason;
@@ -399,7 +399,7 @@
 void RequestHandler::report()
 {
     auto now = Common::now();
-    if (m_stream.hasBegun())
+    if (m_stream.hasSentHead())
         m_report.status = m_stream.status();
     if (m_route)
         m_report.route = m_route->name;
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -48,7 +48,7 @@
     enum class Next : uint8_t { Done, Retry };
 
     bool admit();
-    void readGeneration();
+    void readPrompt();
     std::optional<Common::Milliseconds> callerTimeout() const;
     std::string_view key() const { return m_services.headers.caller.key(m_exchange.request()); }
     bool areKeysConfirmed() const { return m_services.lease.isFresh(Common::now()); }
@@ -70,10 +70,10 @@
     Next onFailure(const UpstreamAttempt&);
     void logFailure(const UpstreamAttempt&, bool retries) const;
     bool prepareRetry(const UpstreamAttempt&);
-    void abandonCaller(const UpstreamAttempt&);
+    void onCallerGone(const UpstreamAttempt&);
     // The request has begun to run at an upstream: counted once, however many attempts it takes.
-    void countStart();
-    void countStartAfter(const UpstreamAttempt&);
+    void countUsage();
+    void countUsageIfStarted(const UpstreamAttempt&);
 
     Routing::UpstreamRegistry::PlacementRequest placementRequest() const;
     Common::HttpClientRequest requestFor(const Placement&) const;
@@ -81,7 +81,7 @@
     size_t rank() const;
     std::optional<size_t> engineLevel(const Placement&) const;
     void refuse(const Routing::Refusal&);
-    void abandon(std::string_view reason);
+    void abortResponse(std::string_view reason);
     void report();
 
     const RequestServices m_services;
@@ -97,10 +97,10 @@
     Routing::Prompt m_prompt; // Of a generation.
     Common::TimePoint m_deadline;
     Routing::AttemptHistory m_history;
-    UpstreamAttempt* m_current { nullptr }; // While an attempt runs.
-    SuspectTurn m_suspect;
-    bool m_isCounted { false }; // See countStart.
-    bool m_isHeld { false }; // See awaitQuota.
+    UpstreamAttempt* m_currentAttempt { nullptr }; // While an attempt runs.
+    SuspectTurn m_suspectCheck;
+    bool m_isUsageCounted { false }; // See countUsage.
+    bool m_isAwaitingQuota { false }; // See awaitQuota.
     KvReplica m_replica;
     std::optional<Placement> m_failover; // Where the run goes on, when its engine broke off.
     StreamRelay m_stream;
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -33,7 +33,7 @@
 Routing::UpstreamStatement statementOf(const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
 {
     // The response is to a request for the upstream that had the address before.
-    if (headers.isFromAnother(response))
+    if (headers.isFromOtherUpstream(response))
         return {};
     return { headers.isLeaving(response), retryAfterOf(response) };
 }
@@ -51,7 +51,7 @@
 std::optional<Routing::LimitStatement> limitStatementOf(
     const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
 {
-    if (headers.isFromAnother(response))
+    if (headers.isFromOtherUpstream(response))
         return std::nullopt;
     Routing::LimitStatement statement;
     bool isUnreadable = false;
--- a/Source/RouteServing/Gateway/RetryWindows.h
+++ b/Source/RouteServing/Gateway/RetryWindows.h
@@ -19,7 +19,7 @@
     {
     }
 
-    Routing::RetryWindow& of(std::string_view service)
+    Routing::RetryWindow& forService(std::string_view service)
     {
         std::lock_guard lock(m_mutex);
         auto found = m_windows.find(service);
--- a/Source/RouteServing/Gateway/SseFramer.cpp
+++ b/Source/RouteServing/Gateway/SseFramer.cpp
@@ -9,7 +9,7 @@
 static constexpr std::string_view eventEnd = "\n\n";
 static constexpr std::string_view idField = "id:";
 
-static std::optional<uint64_t> idOf(std::string_view event)
+static std::optional<uint64_t> parseEventId(std::string_view event)
 {
     while (!event.empty()) {
         auto line = event.substr(0, event.find('\n'));
@@ -33,7 +33,7 @@
     for (auto end = m_buffer.find(eventEnd); end != std::string::npos; end = m_buffer.find(eventEnd, start)) {
         auto event = std::string_view(m_buffer).substr(start, end + eventEnd.size() - start);
         start = end + eventEnd.size();
-        auto id = idOf(event);
+        auto id = parseEventId(event);
         // An upstream that resumes the stream may begin earlier than requested.
         bool isRepeated = id && m_lastId && *id <= *m_lastId;
         if (isRepeated)
--- a/Source/RouteServing/Gateway/StreamRelay.cpp
+++ b/Source/RouteServing/Gateway/StreamRelay.cpp
@@ -33,7 +33,7 @@
             m_times.recordEvents(Common::now());
         }
         if (isAtEnd || !events.empty())
-            beginOnce(attempt);
+            sendHeadOnce(attempt);
         if (!events.empty() && !m_exchange.write(events)) {
             attempt.cancel();
             return Result::CallerGone;
@@ -46,9 +46,9 @@
     }
 }
 
-void StreamRelay::beginOnce(const UpstreamAttempt& attempt)
+void StreamRelay::sendHeadOnce(const UpstreamAttempt& attempt)
 {
-    if (hasBegun())
+    if (hasSentHead())
         return;
     m_status = attempt.response().status;
     m_exchange.beginStream({ m_status, {}, {}, headersForCaller(attempt.response()) });
--- a/Source/RouteServing/Gateway/StreamRelay.h
+++ b/Source/RouteServing/Gateway/StreamRelay.h
@@ -29,14 +29,14 @@
     void discardPartialEvent() { m_framer.discardPartialEvent(); }
 
     // Whether the response head was sent. From then on the request can no longer be refused.
-    bool hasBegun() const { return m_status != 0; }
+    bool hasSentHead() const { return m_status != 0; }
     unsigned status() const { return m_status; } // Zero before the head was sent.
     // Id of the last event that the caller has; none before the first one.
     std::optional<uint64_t> lastEventId() const { return m_framer.lastId(); }
     const StreamTimes& times() const { return m_times; }
 
 private:
-    void beginOnce(const UpstreamAttempt&);
+    void sendHeadOnce(const UpstreamAttempt&);
 
     Common::HttpExchange& m_exchange;
     Common::TimePoint m_requestArrived;
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectTurn.cpp
@@ -73,7 +73,8 @@
 
 void SuspectTurn::recordFailure(const std::string& requestId, const UpstreamAttempt& attempt, Common::TimePoint sent)
 {
-    bool wasEndedThere = attempt.end() == ConnectionEnd::Closed || attempt.end() == ConnectionEnd::Reset;
+    bool wasEndedThere
+        = attempt.connectionEnd() == ConnectionEnd::Closed || attempt.connectionEnd() == ConnectionEnd::Reset;
     m_hasBrokenOff = attempt.outcome() == AttemptOutcome::BrokenOff && wasEndedThere;
     if (m_hasBrokenOff)
         m_parts.crashDetector.recordDisconnect(attempt.upstream(),
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -32,7 +32,7 @@
     if (!isError(status))
         return true;
     m_problem = errorOf(status).message;
-    m_end = m_connection->end();
+    m_connectionEnd = m_connection->end();
     if (!m_isCancelled)
         m_outcome = AttemptOutcome::ConnectFailed;
     return false;
@@ -122,7 +122,8 @@
 AttemptOutcome UpstreamAttempt::breakOff(std::string problem)
 {
     m_problem = std::move(problem);
-    m_end = m_connection->end() == Common::ConnectionEnd::None ? Common::ConnectionEnd::Unusable : m_connection->end();
+    m_connectionEnd
+        = m_connection->end() == Common::ConnectionEnd::None ? Common::ConnectionEnd::Unusable : m_connection->end();
     m_outcome = m_isCancelled ? AttemptOutcome::CancelledAfterSending : AttemptOutcome::BrokenOff;
     m_connection->close();
     return m_outcome;
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -36,7 +36,7 @@
     // What went wrong, for logs and error messages.
     const std::string& problem() const { return m_problem; }
     // How the upstream, or the way to it, ended the connection.
-    Common::ConnectionEnd end() const { return m_end; }
+    Common::ConnectionEnd connectionEnd() const { return m_connectionEnd; }
     const Routing::UpstreamRecord& upstream() const { return m_placement.upstream; }
 
     // The next piece of the body; empty at its end. An error, and the outcome BrokenOff, when it ended early.
@@ -69,7 +69,7 @@
     Common::TimePoint m_sent {};
     std::string m_problem;
     Routing::AttemptOutcome m_outcome { Routing::AttemptOutcome::CancelledBeforeSending };
-    Common::ConnectionEnd m_end { Common::ConnectionEnd::None };
+    Common::ConnectionEnd m_connectionEnd { Common::ConnectionEnd::None };
     bool m_isPrefillDone { false };
     bool m_isCancelled { false };
 };
--- a/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
@@ -9,36 +9,36 @@
 
 TEST(SseFramerTest, EventsAreRelayedWholeAndUnchanged)
 {
-    SseFramer cutter;
-    cutter.feed("id: 1\ndata: a");
-    EXPECT_EQ(cutter.takeEvents(), "");
-    cutter.feed("b\n\nid: 2\nda");
-    EXPECT_EQ(cutter.takeEvents(), "id: 1\ndata: ab\n\n");
-    EXPECT_EQ(cutter.lastId(), 1U);
-    cutter.feed("ta: c\n\n\nrest");
-    EXPECT_EQ(cutter.takeEvents(), "id: 2\ndata: c\n\n");
-    EXPECT_EQ(cutter.takeRemainder(), "\nrest");
+    SseFramer framer;
+    framer.feed("id: 1\ndata: a");
+    EXPECT_EQ(framer.takeEvents(), "");
+    framer.feed("b\n\nid: 2\nda");
+    EXPECT_EQ(framer.takeEvents(), "id: 1\ndata: ab\n\n");
+    EXPECT_EQ(framer.lastId(), 1U);
+    framer.feed("ta: c\n\n\nrest");
+    EXPECT_EQ(framer.takeEvents(), "id: 2\ndata: c\n\n");
+    EXPECT_EQ(framer.takeRemainder(), "\nrest");
 }
 
 // Found on the users' platform: the unfinished event of an engine that crashed stood before the events of the next one.
 TEST(SseFramerTest, AnUnfinishedEventIsDiscardedBeforeAnotherUpstreamResumes)
 {
-    SseFramer cutter;
-    cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
-    EXPECT_EQ(cutter.takeEvents(), "id: 1\ndata: a\n\n");
-    cutter.discardPartialEvent();
-    cutter.feed("id: 2\ndata: half\n\n");
-    EXPECT_EQ(cutter.takeEvents(), "id: 2\ndata: half\n\n");
+    SseFramer framer;
+    framer.feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
+    EXPECT_EQ(framer.takeEvents(), "id: 1\ndata: a\n\n");
+    framer.discardPartialEvent();
+    framer.feed("id: 2\ndata: half\n\n");
+    EXPECT_EQ(framer.takeEvents(), "id: 2\ndata: half\n\n");
 }
 
 TEST(SseFramerTest, EventsThatWereRelayedAreNotRepeated)
 {
-    SseFramer cutter;
-    cutter.feed("id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
-    EXPECT_EQ(cutter.takeEvents(), "id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
-    cutter.feed("id: 5\ndata: b\n\nid: 6\ndata: c\n\n");
-    EXPECT_EQ(cutter.takeEvents(), "id: 6\ndata: c\n\n");
-    EXPECT_EQ(cutter.lastId(), 6U);
+    SseFramer framer;
+    framer.feed("id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
+    EXPECT_EQ(framer.takeEvents(), "id: 4\ndata: a\n\nid: 5\ndata: b\n\n");
+    framer.feed("id: 5\ndata: b\n\nid: 6\ndata: c\n\n");
+    EXPECT_EQ(framer.takeEvents(), "id: 6\ndata: c\n\n");
+    EXPECT_EQ(framer.lastId(), 6U);
 }
 
 } // namespace Brassladder::RouteServing::Gateway
