--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -10,16 +10,17 @@
 using Routing::SuspectRecord;
 
 // Longer than anything is remembered; bounds what a peer's or a stored age can do to a time point.
-static constexpr Milliseconds longestAge = std::chrono::hours(24 * 30);
+static constexpr Milliseconds maxSuspectAge = std::chrono::hours(24 * 30);
 
 static uint64_t ageOf(TimePoint time, TimePoint now)
 {
-    return static_cast<uint64_t>(std::clamp(Common::toMilliseconds(now - time), Milliseconds(0), longestAge).count());
+    return static_cast<uint64_t>(
+        std::clamp(Common::toMilliseconds(now - time), Milliseconds(0), maxSuspectAge).count());
 }
 
 static TimePoint timeOf(uint64_t ageMs, TimePoint now)
 {
-    return now - Milliseconds(std::min<uint64_t>(ageMs, static_cast<uint64_t>(longestAge.count())));
+    return now - Milliseconds(std::min<uint64_t>(ageMs, static_cast<uint64_t>(maxSuspectAge.count())));
 }
 
 static void encodeSuspect(const SuspectRecord& record, Inner::Wire::SuspectEntry& entry, TimePoint now)
@@ -84,13 +85,13 @@
     return records;
 }
 
-Moment Moment::now()
+ClockReading ClockReading::now()
 {
     auto timeOfDay = std::chrono::system_clock::now().time_since_epoch();
     return { Common::now(), std::chrono::duration_cast<Milliseconds>(timeOfDay) };
 }
 
-std::string encodeStored(const StoredSuspect& stored, const Moment& now)
+std::string encodeStoredSuspect(const StoredSuspect& stored, const ClockReading& now)
 {
     Inner::Wire::StoredSuspect message;
     encodeSuspect(stored.record, *message.mutable_suspect(), now.steady);
@@ -100,14 +101,14 @@
     return message.SerializeAsString();
 }
 
-std::optional<StoredSuspect> decodeStored(std::string_view bytes, const Moment& now)
+std::optional<StoredSuspect> decodeStoredSuspect(std::string_view bytes, const ClockReading& now)
 {
     Inner::Wire::StoredSuspect message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return std::nullopt;
     // A clock that was set back must not make what was written look younger than just now.
     auto elapsed = std::max(now.timeOfDay - Milliseconds(message.written_ms()), Milliseconds(0));
-    auto written = now.steady - std::min(elapsed, longestAge);
+    auto written = now.steady - std::min(elapsed, maxSuspectAge);
     auto record = decodeSuspect(message.suspect(), written);
     if (Routing::lastEvent(record) == TimePoint::min())
         return std::nullopt;
--- a/Source/RouteServing/Gateway/SuspectCodec.h
+++ b/Source/RouteServing/Gateway/SuspectCodec.h
@@ -26,15 +26,15 @@
 };
 
 // One moment by the clock that ages are counted by, and by the time of day since the start of 1970.
-struct Moment {
+struct ClockReading {
     Common::TimePoint steady;
     Common::Milliseconds timeOfDay { 0 };
 
-    static Moment now();
+    static ClockReading now();
 };
 
-std::string encodeStored(const StoredSuspect&, const Moment&);
+std::string encodeStoredSuspect(const StoredSuspect&, const ClockReading&);
 // None when the bytes are no such record.
-std::optional<StoredSuspect> decodeStored(std::string_view, const Moment&);
+std::optional<StoredSuspect> decodeStoredSuspect(std::string_view, const ClockReading&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectEndpoint.cpp
+++ b/Source/RouteServing/Gateway/SuspectEndpoint.cpp
@@ -11,7 +11,7 @@
 using Common::TimePoint;
 using Routing::SuspectRecord;
 
-static bool showsKey(const Common::HttpExchange& exchange, std::string_view fleetKey)
+static bool hasFleetKey(const Common::HttpExchange& exchange, std::string_view fleetKey)
 {
     return Common::equalInConstantTime(exchange.header("Authorization"), "Bearer " + std::string(fleetKey));
 }
@@ -33,7 +33,7 @@
     return entry;
 }
 
-static Json listOf(const Routing::SuspectLedger& ledger)
+static Json suspectsToJson(const Routing::SuspectLedger& ledger)
 {
     auto now = Common::now();
     Json list = Json::array();
@@ -60,11 +60,11 @@
 
 void serveSuspects(Common::HttpExchange& exchange, Routing::SuspectLedger& ledger, std::string_view fleetKey)
 {
-    if (!showsKey(exchange, fleetKey))
+    if (!hasFleetKey(exchange, fleetKey))
         return refuse(exchange, ErrorKind::Unauthenticated, "the fleet's key is needed");
     bool isPost = exchange.request().method() == boost::beast::http::verb::post;
     if (exchange.path() == suspectsPath && !isPost)
-        return (void)exchange.respond(Common::jsonResponse(listOf(ledger)));
+        return (void)exchange.respond(Common::jsonResponse(suspectsToJson(ledger)));
     if (exchange.path() == liftPath && isPost)
         return lift(exchange, ledger);
     refuse(exchange, ErrorKind::UnknownRoute, "GET /suspects or POST /suspects/lift?id=ID");
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -133,7 +133,7 @@
     auto contents = read();
     if (isError(contents))
         return Claim::Unavailable;
-    auto now = Moment::now();
+    auto now = ClockReading::now();
     const auto* stored = findStored(valueOf(contents), request);
     if (stored && !stored->claimedBy.empty() && stored->claimedUntil > now.timeOfDay)
         return Claim::Busy;
--- a/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
@@ -60,19 +60,19 @@
 TEST(SuspectCodecTest, WhatIsStoredAgesByTheTimeOfDay)
 {
     StoredSuspect stored { heldRequest(), "g1", 2'000'000ms };
-    auto bytes = encodeStored(stored, { s_now, 1'000'000ms });
+    auto bytes = encodeStoredSuspect(stored, { s_now, 1'000'000ms });
     // Another process, whose steady clock began with it, a minute later.
-    auto read = decodeStored(bytes, { Common::TimePoint(3s), 1'060'000ms });
+    auto read = decodeStoredSuspect(bytes, { Common::TimePoint(3s), 1'060'000ms });
     ASSERT_TRUE(read);
     EXPECT_EQ(read->claimedBy, "g1");
     EXPECT_EQ(read->claimedUntil, 2'000'000ms);
     EXPECT_EQ(read->record.runs.back().ended, Common::TimePoint(3s) - 67'500ms);
     EXPECT_EQ(Routing::suspicionOf(read->record, Common::TimePoint(3s)), Suspicion::Held);
     // The time of day was set back meanwhile.
-    auto early = decodeStored(bytes, { s_now, 990'000ms });
+    auto early = decodeStoredSuspect(bytes, { s_now, 990'000ms });
     ASSERT_TRUE(early);
     EXPECT_EQ(early->record.runs.back().ended, s_now - 7500ms);
-    EXPECT_FALSE(decodeStored("no such record", { s_now, 1'000'000ms }));
+    EXPECT_FALSE(decodeStoredSuspect("no such record", { s_now, 1'000'000ms }));
 }
 
 } // namespace Brassladder::RouteServing::Gateway
