--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -145,7 +145,7 @@
     m_runtime.spawn([this] { m_peers.exchange(); });
     m_runtime.spawn([this] { updateRetryAllowance(); });
     m_runtime.spawn(
-        [this] { m_suspectGuard.keepStored([this] { return m_peers.fleetSize() && m_peers.readsStore(); }); });
+        [this] { m_suspectGuard.runStoreSync([this] { return m_peers.fleetSize() && m_peers.readsStore(); }); });
     if (m_duties)
         m_runtime.spawn([this] { m_duties->run(); });
 }
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -159,7 +159,7 @@
     Routing::UpstreamRegistry::PlacementRequest request;
     request.service = m_service;
     request.attempted = m_report.attemptedUpstreams;
-    request.isolated = m_suspectCheck.runsAlone();
+    request.isolated = m_suspectCheck.runsExclusively();
     request.rank = rank();
     request.isHeld = m_isAwaitingQuota;
     if (m_engine) {
@@ -186,7 +186,7 @@
 {
     bool engineReplicates = m_engine && m_engine->replicatesKvCache;
     // A copy would carry a suspect to a second engine.
-    engineReplicates = engineReplicates && !m_suspectCheck.runsAlone();
+    engineReplicates = engineReplicates && !m_suspectCheck.runsExclusively();
     bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
     if (Routing::wantsReplica(*m_route, m_prompt, engineReplicates, failuresAreLikely))
         m_replica.choose(m_services.registry, placementRequest(), now);
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -9,7 +9,7 @@
 #include "RouteServing/Gateway/RequestReport.h"
 #include "RouteServing/Gateway/RetryWindows.h"
 #include "RouteServing/Gateway/StreamRelay.h"
-#include "RouteServing/Gateway/SuspectTurn.h"
+#include "RouteServing/Gateway/SuspectCheck.h"
 #include "RouteServing/Gateway/UpstreamAttempt.h"
 #include "RouteServing/Gateway/UsageExchange.h"
 #include "RouteServing/Routing/Admission.h"
@@ -29,7 +29,7 @@
     const Routing::FreshnessLease& lease;
     Routing::UpstreamRegistry& registry;
     RetryWindows& retries;
-    SuspectTurn::Parts suspects;
+    SuspectCheck::Parts suspects;
     UsageExchange* usage { nullptr }; // Null where nobody reports usage.
     bool isStopping { false }; // Late in a planned stop: nothing new is begun.
 };
@@ -98,7 +98,7 @@
     Common::TimePoint m_deadline;
     Routing::AttemptHistory m_history;
     UpstreamAttempt* m_currentAttempt { nullptr }; // While an attempt runs.
-    SuspectTurn m_suspectCheck;
+    SuspectCheck m_suspectCheck;
     bool m_isUsageCounted { false }; // See countUsage.
     bool m_isAwaitingQuota { false }; // See awaitQuota.
     KvReplica m_replica;
--- a/Source/RouteServing/Gateway/SuspectTurn.cpp
+++ b/Source/RouteServing/Gateway/SuspectCheck.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "RouteServing/Gateway/SuspectTurn.h"
+#include "RouteServing/Gateway/SuspectCheck.h"
 
 #include "Common/Log.h"
 
@@ -11,33 +11,33 @@
 using Routing::AttemptOutcome;
 using Routing::Refusal;
 
-SuspectTurn::SuspectTurn(const Parts& parts, Common::HttpExchange& exchange)
+SuspectCheck::SuspectCheck(const Parts& parts, Common::HttpExchange& exchange)
     : m_parts(parts)
     , m_exchange(exchange)
 {
 }
 
-SuspectTurn::~SuspectTurn()
+SuspectCheck::~SuspectCheck()
 {
-    if (m_runsAlone)
-        m_parts.guard.release(identity(), m_hasBrokenOff);
+    if (m_runsExclusively)
+        m_parts.guard.release(identity(), m_upstreamDisconnected);
 }
 
-Routing::RequestTraits SuspectTurn::traits() const
+Routing::RequestTraits SuspectCheck::traits() const
 {
     const auto& received = m_exchange.request();
     return { m_workspace, { received.method_string().data(), received.method_string().size() },
         m_exchange.header("Host"), m_exchange.target(), received.body() };
 }
 
-const Routing::RequestIdentity& SuspectTurn::identity()
+const Routing::RequestIdentity& SuspectCheck::identity()
 {
     if (!m_identity)
         m_identity = m_parts.hasher.identity(traits());
     return *m_identity;
 }
 
-bool SuspectTurn::mayBeSuspect() const
+bool SuspectCheck::mayBeSuspect() const
 {
     const auto& ledger = m_parts.guard.ledger();
     return !ledger.isEmpty() && ledger.mayKnow(m_parts.hasher.target(traits()), m_exchange.request().body().size());
@@ -45,12 +45,12 @@
 
 // A request that ends its upstreams comes again with a new id, at any router: what it has done is asked for before each
 // attempt, or it would end one engine after the other (27 in 43 s of a played day, with what ran beside it).
-std::optional<Refusal> SuspectTurn::await(const std::string& requestId, Common::TimePoint deadline)
+std::optional<Refusal> SuspectCheck::await(const std::string& requestId, Common::TimePoint deadline)
 {
-    if (m_runsAlone || !mayBeSuspect())
+    if (m_runsExclusively || !mayBeSuspect())
         return std::nullopt;
     auto permission = m_parts.guard.acquire(identity(), { deadline, [this] { return m_exchange.callerGone(); } });
-    m_runsAlone = permission == SuspectGuard::Permission::Alone;
+    m_runsExclusively = permission == SuspectGuard::Permission::Exclusive;
     if (permission == SuspectGuard::Permission::TimedOut)
         return Refusal { ErrorKind::WaitExpired, "another run of the same request went on for too long" };
     if (permission != SuspectGuard::Permission::Held)
@@ -59,7 +59,7 @@
     return Refusal { ErrorKind::CrashesUpstreams, "upstreams crashed each time that it ran" };
 }
 
-void SuspectTurn::logHeld(const std::string& requestId)
+void SuspectCheck::logHeld(const std::string& requestId)
 {
     auto crashes = Common::Json::array();
     if (auto known = m_parts.guard.ledger().find(identity())) {
@@ -71,24 +71,25 @@
         { { "request", requestId }, { "identity", identity().text() }, { "crashes", std::move(crashes) } });
 }
 
-void SuspectTurn::recordFailure(const std::string& requestId, const UpstreamAttempt& attempt, Common::TimePoint sent)
+void SuspectCheck::recordFailure(const std::string& requestId, const UpstreamAttempt& attempt, Common::TimePoint sent)
 {
-    bool wasEndedThere
+    bool isDisconnect
         = attempt.connectionEnd() == ConnectionEnd::Closed || attempt.connectionEnd() == ConnectionEnd::Reset;
-    m_hasBrokenOff = attempt.outcome() == AttemptOutcome::BrokenOff && wasEndedThere;
-    if (m_hasBrokenOff)
+    m_upstreamDisconnected = attempt.outcome() == AttemptOutcome::BrokenOff && isDisconnect;
+    if (m_upstreamDisconnected)
         m_parts.crashDetector.recordDisconnect(attempt.upstream(),
             { requestId, identity(), m_workspace, std::string(m_exchange.target()), sent, Common::now() });
 }
 
-bool SuspectTurn::forbidsRetry()
+bool SuspectCheck::forbidsRetry()
 {
-    return m_hasBrokenOff && m_parts.guard.ledger().suspicionOf(identity(), Common::now()) != Routing::Suspicion::None;
+    return m_upstreamDisconnected
+        && m_parts.guard.ledger().suspicionOf(identity(), Common::now()) != Routing::Suspicion::None;
 }
 
-void SuspectTurn::recordCompleted()
+void SuspectCheck::recordCompleted()
 {
-    m_hasBrokenOff = false;
+    m_upstreamDisconnected = false;
     if (mayBeSuspect())
         m_parts.guard.ledger().recordCompleted(identity(), Common::now());
 }
--- a/Source/RouteServing/Gateway/SuspectTurn.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -15,7 +15,7 @@
 
 // What one request has to do with suspects, from its admission to its end: whether it may be sent on, and what its
 // attempts did to their upstreams. Belongs to the fiber of the request. Costs nothing while nobody is suspected.
-class SuspectTurn {
+class SuspectCheck {
 public:
     // What all requests share.
     struct Parts {
@@ -24,11 +24,11 @@
         SuspectGuard& guard;
     };
 
-    SuspectTurn(const Parts&, Common::HttpExchange&);
+    SuspectCheck(const Parts&, Common::HttpExchange&);
     // Gives its turn back; what its upstream did may still be being found out.
-    ~SuspectTurn();
-    SuspectTurn(const SuspectTurn&) = delete;
-    SuspectTurn& operator=(const SuspectTurn&) = delete;
+    ~SuspectCheck();
+    SuspectCheck(const SuspectCheck&) = delete;
+    SuspectCheck& operator=(const SuspectCheck&) = delete;
 
     // Who asks; must be set before the rest. Empty where no key is needed.
     void setWorkspace(std::string workspace) { m_workspace = std::move(workspace); }
@@ -37,7 +37,7 @@
     // request must not be sent on at all.
     std::optional<Routing::Refusal> await(const std::string& requestId, Common::TimePoint deadline);
     // It has the one run of the whole fleet, and takes as little with it as it can.
-    bool runsAlone() const { return m_runsAlone; }
+    bool runsExclusively() const { return m_runsExclusively; }
 
     // An attempt failed that was sent at that time.
     void recordFailure(const std::string& requestId, const UpstreamAttempt&, Common::TimePoint sent);
@@ -60,8 +60,8 @@
     Common::HttpExchange& m_exchange;
     std::string m_workspace;
     std::optional<Routing::RequestIdentity> m_identity; // Hashed when it is first needed.
-    bool m_runsAlone { false };
-    bool m_hasBrokenOff { false }; // The last attempt was ended by its upstream, or by the way to it.
+    bool m_runsExclusively { false };
+    bool m_upstreamDisconnected { false }; // The last attempt was ended by its upstream, or by the way to it.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -19,38 +19,38 @@
 
 // How often a request that waits for its turn looks again: on this router, and in the store while another router has
 // the turn. Chosen, not measured.
-static constexpr Milliseconds localPoll = 10ms;
-static constexpr Milliseconds storePoll = 100ms;
+static constexpr Milliseconds localPollInterval = 10ms;
+static constexpr Milliseconds storePollInterval = 100ms;
 // How often a store reader looks for suspects that are to be stored, and waits after a failed call at least.
-static constexpr Milliseconds storeInterval = 300ms;
+static constexpr Milliseconds storeSyncInterval = 300ms;
 static constexpr Milliseconds storeBackoff = 1s;
 // How often a router looks whether it has become a store reader: often while it starts, since what was known before
 // should be known again before its first requests; later seldom, since each look wakes the process. Chosen, not
 // measured.
-static constexpr Milliseconds startInterval = 100ms;
-static constexpr Milliseconds startTime = 3s;
-static constexpr Milliseconds roleInterval = 1s;
+static constexpr Milliseconds startupRoleCheckInterval = 100ms;
+static constexpr Milliseconds startupDuration = 3s;
+static constexpr Milliseconds roleCheckInterval = 1s;
 // Suspects written in one go: each is a call to the store. Chosen, not measured.
-static constexpr size_t maxStoredAtOnce = 8;
+static constexpr size_t maxStoredPerBatch = 8;
 // After its deadline a claim holds for the time until a crash is known, and for clocks that differ (2 s on the users'
 // days).
-static constexpr Milliseconds claimSlack = 3s;
+static constexpr Milliseconds claimMargin = 3s;
 // How often giving a claim back is tried when others write at the same time: until it expires nobody else runs the
 // request. Chosen, not measured.
-static constexpr unsigned releaseTries = 5;
+static constexpr unsigned maxReleaseTries = 5;
 
 // Own turns
 
-bool SuspectGuard::beginHere(const RequestIdentity& request)
+bool SuspectGuard::beginLocalRun(const RequestIdentity& request)
 {
     std::lock_guard lock(m_mutex);
-    return m_runningAlone.insert(request).second;
+    return m_exclusiveRuns.insert(request).second;
 }
 
-void SuspectGuard::endHere(const RequestIdentity& request)
+void SuspectGuard::endLocalRun(const RequestIdentity& request)
 {
     std::lock_guard lock(m_mutex);
-    m_runningAlone.erase(request);
+    m_exclusiveRuns.erase(request);
 }
 
 SuspectGuard::Permission SuspectGuard::acquire(const RequestIdentity& request, const Wait& wait)
@@ -58,47 +58,47 @@
     while (true) {
         auto suspicion = m_ledger.suspicionOf(request, Common::now());
         if (suspicion <= Suspicion::Once)
-            return Permission::Free;
+            return Permission::Unrestricted;
         if (suspicion == Suspicion::Held)
             return Permission::Held;
         if (Common::now() >= wait.until || wait.isAbandoned())
             return Permission::TimedOut;
-        auto pause = localPoll;
-        if (beginHere(request)) {
+        auto pause = localPollInterval;
+        if (beginLocalRun(request)) {
             auto outcome = claim(request, wait.until);
             if (outcome == Claim::Granted)
-                return Permission::Alone;
-            endHere(request);
+                return Permission::Exclusive;
+            endLocalRun(request);
             // A trial needs the store: without it two routers might try.
             if (outcome == Claim::Unavailable)
                 return Permission::Held;
-            pause = storePoll;
+            pause = storePollInterval;
         }
         Common::sleepFor(pause);
     }
 }
 
-void SuspectGuard::release(const RequestIdentity& request, bool brokeOff)
+void SuspectGuard::release(const RequestIdentity& request, bool crashCheckPending)
 {
-    Common::FiberRuntime::spawnHere([this, request, brokeOff] {
-        if (brokeOff)
+    Common::FiberRuntime::spawnHere([this, request, crashCheckPending] {
+        if (crashCheckPending)
             Common::sleepFor(CrashDetector::maxDetectionTime);
-        giveBack(request);
-        endHere(request);
+        releaseClaim(request);
+        endLocalRun(request);
     });
 }
 
 // A claim that cannot be given back expires.
-void SuspectGuard::giveBack(const RequestIdentity& request)
+void SuspectGuard::releaseClaim(const RequestIdentity& request)
 {
     auto known = m_ledger.find(request);
     if (!known || !m_log)
         return;
-    for (unsigned tries = 0; tries < releaseTries; ++tries) {
-        auto status = store({ *known }, OwnClaims::GiveBack);
+    for (unsigned tries = 0; tries < maxReleaseTries; ++tries) {
+        auto status = store({ *known }, OwnClaims::Release);
         if (!isError(status) || errorOf(status).kind != Common::ErrorKind::PublishConflict)
             return;
-        Common::sleepFor(localPoll);
+        Common::sleepFor(localPollInterval);
     }
 }
 
@@ -145,7 +145,7 @@
     auto record = *m_ledger.find(request);
     if (isTrial)
         Routing::countTrial(record, now.steady);
-    auto claimedUntil = now.timeOfDay + Common::toMilliseconds(until - now.steady) + claimSlack;
+    auto claimedUntil = now.timeOfDay + Common::toMilliseconds(until - now.steady) + claimMargin;
     auto claimed = m_log->append({ record, m_routerId, claimedUntil }, valueOf(contents).end);
     if (isError(claimed))
         return Claim::Unavailable;
@@ -156,7 +156,7 @@
 }
 
 // Whether the store's record says the same as ours.
-static bool saysTheSame(const StoredSuspect* stored, const Routing::SuspectRecord& known)
+static bool isUpToDate(const StoredSuspect* stored, const Routing::SuspectRecord& known)
 {
     if (!stored)
         return known.runs.empty();
@@ -179,10 +179,10 @@
         if (known)
             record = *known;
         const auto* stored = findStored(valueOf(contents), record.request);
-        bool givesBack = ownClaims == OwnClaims::GiveBack && stored && stored->claimedBy == m_routerId;
-        if (!givesBack && saysTheSame(stored, record))
+        bool releasesClaim = ownClaims == OwnClaims::Release && stored && stored->claimedBy == m_routerId;
+        if (!releasesClaim && isUpToDate(stored, record))
             continue;
-        auto claim = stored && !givesBack ? *stored : StoredSuspect {};
+        auto claim = stored && !releasesClaim ? *stored : StoredSuspect {};
         auto written = record.runs.empty() ? m_log->drop(record.request, end)
                                            : m_log->append({ record, claim.claimedBy, claim.claimedUntil }, end);
         if (isError(written))
@@ -195,7 +195,7 @@
 }
 
 // Keeps the topic small: what is forgotten here is of no use there.
-static void dropForgotten(const SuspectLogSource& log, const SuspectLogSource::Contents& contents)
+static void dropExpired(const SuspectLogSource& log, const SuspectLogSource::Contents& contents)
 {
     auto end = contents.end;
     for (const auto& stored : contents.suspects) {
@@ -209,40 +209,40 @@
     }
 }
 
-bool SuspectGuard::catchUp(bool hasLoaded, uint64_t& storedRevision)
+bool SuspectGuard::syncWithStore(bool hasLoaded, uint64_t& storedRevision)
 {
     if (!hasLoaded) {
         auto contents = read();
         if (isError(contents))
             return false;
-        dropForgotten(*m_log, valueOf(contents));
+        dropExpired(*m_log, valueOf(contents));
     }
-    auto changes = m_ledger.changesAfter(storedRevision, Routing::SuspectLedger::Scope::Repeated, maxStoredAtOnce);
+    auto changes = m_ledger.changesAfter(storedRevision, Routing::SuspectLedger::Scope::Repeated, maxStoredPerBatch);
     storedRevision = changes.upTo;
     if (changes.records.empty())
         return true;
     // Readers that hear of a crash at once should not all write it.
-    Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeInterval * Common::randomShare()));
+    Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeSyncInterval * Common::randomShare()));
     auto status = store(std::move(changes.records), OwnClaims::Keep);
     if (isError(status))
         storedRevision = 0;
     return !isError(status) || errorOf(status).kind == Common::ErrorKind::PublishConflict;
 }
 
-void SuspectGuard::keepStored(const std::function<bool()>& isStoreReader)
+void SuspectGuard::runStoreSync(const std::function<bool()>& isStoreReader)
 {
     auto started = Common::now();
     bool hasLoaded = false;
     uint64_t storedRevision = 0;
     while (m_log) {
-        auto untilReader = Common::now() < started + startTime ? startInterval : roleInterval;
-        Common::sleepFor(hasLoaded ? storeInterval : untilReader);
+        auto untilReader = Common::now() < started + startupDuration ? startupRoleCheckInterval : roleCheckInterval;
+        Common::sleepFor(hasLoaded ? storeSyncInterval : untilReader);
         if (!isStoreReader()) {
             hasLoaded = false;
             storedRevision = 0;
             continue;
         }
-        hasLoaded = catchUp(hasLoaded, storedRevision);
+        hasLoaded = syncWithStore(hasLoaded, storedRevision);
         if (!hasLoaded)
             Common::sleepFor(storeBackoff);
     }
--- a/Source/RouteServing/Gateway/SuspectGuard.h
+++ b/Source/RouteServing/Gateway/SuspectGuard.h
@@ -30,8 +30,8 @@
     Routing::SuspectLedger& ledger() { return m_ledger; }
 
     enum class Permission : uint8_t {
-        Free, // Run it as any other.
-        Alone, // Run it, and release it afterwards.
+        Unrestricted, // Run it as any other.
+        Exclusive, // Run it, and release it afterwards.
         Held, // It is not to be sent on.
         TimedOut, // Another run of it went on until the end of the wait.
     };
@@ -41,34 +41,34 @@
     };
     // Suspends the calling fiber while another run of the request goes on.
     Permission acquire(const Routing::RequestIdentity&, const Wait&);
-    // The run that was permitted with `Alone` is over. `brokeOff`: whether its upstream has crashed is being found out,
-    // and the next run waits for that.
-    void release(const Routing::RequestIdentity&, bool brokeOff);
+    // The run that was permitted with `Exclusive` is over. `crashCheckPending`: whether its upstream has crashed is
+    // being found out, and the next run waits for that.
+    void release(const Routing::RequestIdentity&, bool crashCheckPending);
 
     // Keeps the store up to date with what this router knows, as long as `isStoreReader` says that it is its task, and
     // reads what was stored before. Runs until the process ends.
-    void keepStored(const std::function<bool()>& isStoreReader);
+    void runStoreSync(const std::function<bool()>& isStoreReader);
 
 private:
     enum class Claim : uint8_t { Granted, Busy, Unavailable };
 
-    bool beginHere(const Routing::RequestIdentity&);
-    void endHere(const Routing::RequestIdentity&);
+    bool beginLocalRun(const Routing::RequestIdentity&);
+    void endLocalRun(const Routing::RequestIdentity&);
     Claim claim(const Routing::RequestIdentity&, Common::TimePoint until);
-    void giveBack(const Routing::RequestIdentity&);
+    void releaseClaim(const Routing::RequestIdentity&);
     Claim claimInStore(const Routing::RequestIdentity&, Common::TimePoint until);
     // What is stored, merged into the ledger.
     Common::Result<SuspectLogSource::Contents> read();
-    enum class OwnClaims : uint8_t { Keep, GiveBack };
+    enum class OwnClaims : uint8_t { Keep, Release };
     // Writes what this router knows of the suspects.
     Common::Status store(std::vector<Routing::SuspectRecord>, OwnClaims);
-    bool catchUp(bool hasLoaded, uint64_t& storedRevision);
+    bool syncWithStore(bool hasLoaded, uint64_t& storedRevision);
 
     Routing::SuspectLedger& m_ledger;
     std::optional<SuspectLogSource> m_log; // None without a platform that keeps a log.
     const std::string m_routerId;
     std::mutex m_mutex;
-    std::set<Routing::RequestIdentity> m_runningAlone; // On this router. Guarded by the mutex.
+    std::set<Routing::RequestIdentity> m_exclusiveRuns; // On this router. Guarded by the mutex.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -27,7 +27,7 @@
     uint64_t end { 0 };
     size_t reads { 0 };
     size_t conflicts { 0 }; // So many writes find that another one was first.
-    bool isAway { false };
+    bool isUnavailable { false };
 
     SuspectLogSource source()
     {
@@ -42,7 +42,7 @@
     {
         std::lock_guard lock(mutex);
         ++reads;
-        if (isAway)
+        if (isUnavailable)
             return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
         SuspectLogSource::Contents contents { {}, end };
         for (const auto& [request, suspect] : suspects)
@@ -52,7 +52,7 @@
     Common::Result<bool> write(uint64_t at, const std::function<void()>& change)
     {
         std::lock_guard lock(mutex);
-        if (isAway)
+        if (isUnavailable)
             return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
         if (conflicts) {
             --conflicts;
@@ -98,10 +98,10 @@
             return guard.acquire(s_request, { Common::now() + wait, [] { return false; } });
         });
     }
-    void release(bool brokeOff = false)
+    void release(bool crashCheckPending = false)
     {
         testRuntime().call([&] {
-            guard.release(s_request, brokeOff);
+            guard.release(s_request, crashCheckPending);
             return true;
         });
     }
@@ -126,9 +126,9 @@
 {
     auto& log = *new FakeLog;
     auto& router = *new Router(log, "a");
-    EXPECT_EQ(router.acquire(), Permission::Free);
+    EXPECT_EQ(router.acquire(), Permission::Unrestricted);
     crash(router.ledger, 1);
-    EXPECT_EQ(router.acquire(), Permission::Free);
+    EXPECT_EQ(router.acquire(), Permission::Unrestricted);
     EXPECT_EQ(log.reads, 0U);
 }
 
@@ -139,7 +139,7 @@
     auto& second = *new Router(log, "b");
     crash(first.ledger, 2);
     crash(second.ledger, 2);
-    EXPECT_EQ(first.acquire(), Permission::Alone);
+    EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_TRUE(log.isClaimed());
     EXPECT_EQ(second.acquire(200ms), Permission::TimedOut);
     EXPECT_EQ(first.acquire(200ms), Permission::TimedOut) << "on the same router as well";
@@ -148,7 +148,7 @@
     log.conflicts = 2;
     first.release();
     EXPECT_TRUE(eventually([&] { return !log.size(); }));
-    EXPECT_EQ(first.acquire(), Permission::Free);
+    EXPECT_EQ(first.acquire(), Permission::Unrestricted);
 }
 
 TEST(SuspectGuardTest, AThirdCrashIsKnownToTheNextOneFromTheStore)
@@ -158,7 +158,7 @@
     auto& second = *new Router(log, "b");
     crash(first.ledger, 2);
     crash(second.ledger, 2);
-    ASSERT_EQ(first.acquire(), Permission::Alone);
+    ASSERT_EQ(first.acquire(), Permission::Exclusive);
     crash(first.ledger, 3);
     first.release(true);
     EXPECT_EQ(second.acquire(), Permission::Held);
@@ -167,10 +167,10 @@
 TEST(SuspectGuardTest, WithoutTheStoreEachRouterSeesToItAndNothingIsTried)
 {
     auto& log = *new FakeLog;
-    log.isAway = true;
+    log.isUnavailable = true;
     auto& router = *new Router(log, "a");
     crash(router.ledger, 2);
-    EXPECT_EQ(router.acquire(), Permission::Alone);
+    EXPECT_EQ(router.acquire(), Permission::Exclusive);
     EXPECT_EQ(router.acquire(100ms), Permission::TimedOut);
     auto& other = *new Router(log, "b");
     crash(other.ledger, 3, 11min);
@@ -185,7 +185,7 @@
     auto& second = *new Router(log, "b");
     crash(first.ledger, 3, 11min);
     crash(second.ledger, 3, 11min);
-    EXPECT_EQ(first.acquire(), Permission::Alone);
+    EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_EQ(first.ledger.find(s_request)->trials, 1U);
     EXPECT_EQ(second.acquire(), Permission::Held) << "the trial has begun elsewhere";
     EXPECT_EQ(second.ledger.find(s_request)->trials, 1U);
@@ -203,7 +203,7 @@
     crash(earlier.ledger, 3, 1min, before);
     log.suspects[before] = { *earlier.ledger.find(before), "", 0ms };
     auto& router = *new Router(log, "a");
-    testRuntime().spawn([&] { router.guard.keepStored([] { return true; }); });
+    testRuntime().spawn([&] { router.guard.runStoreSync([] { return true; }); });
     EXPECT_TRUE(eventually([&] {
         return router.ledger.suspicionOf(before, Common::now()) == Suspicion::Held && log.size() == 1;
     })) << "the old one is dropped";
@@ -223,8 +223,8 @@
     auto& other = *new Router(log, "b");
     crash(reader.ledger, 2);
     crash(other.ledger, 2);
-    ASSERT_EQ(reader.acquire(), Permission::Alone);
-    testRuntime().spawn([&] { reader.guard.keepStored([] { return true; }); });
+    ASSERT_EQ(reader.acquire(), Permission::Exclusive);
+    testRuntime().spawn([&] { reader.guard.runStoreSync([] { return true; }); });
     // News of the same request, which is stored.
     std::vector<BrokenAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
         Common::now() - 9800ms } };
