--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -46,7 +46,7 @@
     EXPECT_EQ(passed[0].name, "X-End");
 }
 
-TEST(HeaderRulesTest, MillisecondsBeginWithAWholeNumberAboveZero)
+TEST(HeaderRulesTest, ParseMillisecondsRequiresALeadingPositiveInteger)
 {
     EXPECT_EQ(parseMilliseconds("1500.7"), Common::Milliseconds(1500));
     EXPECT_EQ(parseMilliseconds("1500"), Common::Milliseconds(1500));
--- a/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST(SuspectCodecTest, ASuspectSurvivesTheWayAtItsAge)
+TEST(SuspectCodecTest, ADecodedSuspectKeepsItsAge)
 {
     Inner::Wire::SuspectTable table;
     std::vector<SuspectRecord> records { heldRequest() };
@@ -57,7 +57,7 @@
     EXPECT_TRUE(decodeSuspects(table, s_now).empty());
 }
 
-TEST(SuspectCodecTest, WhatIsStoredAgesByTheTimeOfDay)
+TEST(SuspectCodecTest, AStoredSuspectAgesByTheTimeOfDay)
 {
     StoredSuspect stored { heldRequest(), "g1", 2'000'000ms };
     auto bytes = encodeStoredSuspect(stored, { s_now, 1'000'000ms });
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-TEST(SuspectGuardTest, ARequestThatIsNotRepeatedIsFreeAndCostsNoCall)
+TEST(SuspectGuardTest, ARequestBelowTwoCrashesIsUnrestrictedWithoutAStoreCall)
 {
     auto& log = *new FakeLog;
     auto& router = *new Router(log, "a");
@@ -132,7 +132,7 @@
     EXPECT_EQ(log.reads, 0U);
 }
 
-TEST(SuspectGuardTest, OneRunInTheWholeFleetAtATime)
+TEST(SuspectGuardTest, ASuspectRunsOnOneRouterAtATime)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
@@ -151,7 +151,7 @@
     EXPECT_EQ(first.acquire(), Permission::Unrestricted);
 }
 
-TEST(SuspectGuardTest, AThirdCrashIsKnownToTheNextOneFromTheStore)
+TEST(SuspectGuardTest, AThirdCrashReachesOtherRoutersThroughTheStore)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
@@ -164,7 +164,7 @@
     EXPECT_EQ(second.acquire(), Permission::Held);
 }
 
-TEST(SuspectGuardTest, WithoutTheStoreEachRouterSeesToItAndNothingIsTried)
+TEST(SuspectGuardTest, WithoutTheStoreRunsAreExclusivePerRouterAndTrialsAreRefused)
 {
     auto& log = *new FakeLog;
     log.isUnavailable = true;
@@ -178,7 +178,7 @@
     EXPECT_EQ(other.acquire(), Permission::Held);
 }
 
-TEST(SuspectGuardTest, AHeldRequestIsTriedByOneRouter)
+TEST(SuspectGuardTest, OnlyOneRouterTriesAHeldRequest)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
@@ -216,7 +216,7 @@
 // What users would see: copies at once end one engine more than they should. A store reader that runs a suspect alone
 // writes what it learns meanwhile, and its claim went with that: another router ran the request beside it (8 runs in
 // place of 7, in 2 of 10 runs of CrashingRequestTest.CopiesAtOnce...).
-TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimWhileItRuns)
+TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimDuringItsRun)
 {
     auto& log = *new FakeLog;
     auto& reader = *new Router(log, "a");
