--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -32,7 +32,7 @@
     if (!isError(status))
         return true;
     m_problem = errorOf(status).message;
-    m_end = m_connection->end();
+    m_connectionEnd = m_connection->end();
     if (!m_isCancelled)
         m_outcome = AttemptOutcome::ConnectFailed;
     return false;
@@ -91,7 +91,7 @@
     // A response to another request may be of any age.
     if (m_response.header(m_headers.caller.requestIdHeader) != requestId)
         return;
-    auto statement = limitOf(m_headers.upstream, m_response);
+    auto statement = limitStatementOf(m_headers.upstream, m_response);
     if (!statement)
         return;
     const auto& upstream = m_placement.upstream;
@@ -122,7 +122,8 @@
 AttemptOutcome UpstreamAttempt::breakOff(std::string problem)
 {
     m_problem = std::move(problem);
-    m_end = m_connection->end() == Common::ConnectionEnd::None ? Common::ConnectionEnd::Unusable : m_connection->end();
+    m_connectionEnd
+        = m_connection->end() == Common::ConnectionEnd::None ? Common::ConnectionEnd::Unusable : m_connection->end();
     m_outcome = m_isCancelled ? AttemptOutcome::CancelledAfterSending : AttemptOutcome::Interrupted;
     m_connection->close();
     return m_outcome;
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -27,7 +27,7 @@
     uint64_t end { 0 };
     size_t reads { 0 };
     size_t conflicts { 0 }; // So many writes find that another one was first.
-    bool isAway { false };
+    bool isUnavailable { false };
 
     SuspectLogSource source()
     {
@@ -42,7 +42,7 @@
     {
         std::lock_guard lock(mutex);
         ++reads;
-        if (isAway)
+        if (isUnavailable)
             return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
         SuspectLogSource::Contents contents { {}, end };
         for (const auto& [request, suspect] : suspects)
@@ -52,7 +52,7 @@
     Common::Result<bool> write(uint64_t at, const std::function<void()>& change)
     {
         std::lock_guard lock(mutex);
-        if (isAway)
+        if (isUnavailable)
             return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
         if (conflicts) {
             --conflicts;
@@ -98,10 +98,10 @@
             return guard.acquire(s_request, { Common::now() + wait, [] { return false; } });
         });
     }
-    void release(bool brokeOff = false)
+    void release(bool crashCheckPending = false)
     {
         testRuntime().call([&] {
-            guard.release(s_request, brokeOff);
+            guard.release(s_request, crashCheckPending);
             return true;
         });
     }
@@ -122,24 +122,24 @@
 
 } // namespace
 
-TEST(SuspectGuardTest, ARequestThatIsNotRepeatedIsFreeAndCostsNoCall)
+TEST(SuspectGuardTest, ARequestBelowTwoCrashesIsUnrestrictedWithoutAStoreCall)
 {
     auto& log = *new FakeLog;
     auto& router = *new Router(log, "a");
-    EXPECT_EQ(router.acquire(), Permission::Free);
+    EXPECT_EQ(router.acquire(), Permission::Unrestricted);
     crash(router.ledger, 1);
-    EXPECT_EQ(router.acquire(), Permission::Free);
+    EXPECT_EQ(router.acquire(), Permission::Unrestricted);
     EXPECT_EQ(log.reads, 0U);
 }
 
-TEST(SuspectGuardTest, OneRunInTheWholeFleetAtATime)
+TEST(SuspectGuardTest, ASuspectRunsOnOneRouterAtATime)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
     crash(first.ledger, 2);
     crash(second.ledger, 2);
-    EXPECT_EQ(first.acquire(), Permission::Alone);
+    EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_TRUE(log.isClaimed());
     EXPECT_EQ(second.acquire(200ms), Permission::TimedOut);
     EXPECT_EQ(first.acquire(200ms), Permission::TimedOut) << "on the same router as well";
@@ -148,29 +148,29 @@
     log.conflicts = 2;
     first.release();
     EXPECT_TRUE(eventually([&] { return !log.size(); }));
-    EXPECT_EQ(first.acquire(), Permission::Free);
+    EXPECT_EQ(first.acquire(), Permission::Unrestricted);
 }
 
-TEST(SuspectGuardTest, AThirdCrashIsKnownToTheNextOneFromTheStore)
+TEST(SuspectGuardTest, AThirdCrashReachesOtherRoutersThroughTheStore)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
     crash(first.ledger, 2);
     crash(second.ledger, 2);
-    ASSERT_EQ(first.acquire(), Permission::Alone);
+    ASSERT_EQ(first.acquire(), Permission::Exclusive);
     crash(first.ledger, 3);
     first.release(true);
     EXPECT_EQ(second.acquire(), Permission::Held);
 }
 
-TEST(SuspectGuardTest, WithoutTheStoreEachRouterSeesToItAndNothingIsTried)
+TEST(SuspectGuardTest, WithoutTheStoreRunsAreExclusivePerRouterAndTrialsAreRefused)
 {
     auto& log = *new FakeLog;
-    log.isAway = true;
+    log.isUnavailable = true;
     auto& router = *new Router(log, "a");
     crash(router.ledger, 2);
-    EXPECT_EQ(router.acquire(), Permission::Alone);
+    EXPECT_EQ(router.acquire(), Permission::Exclusive);
     EXPECT_EQ(router.acquire(100ms), Permission::TimedOut);
     auto& other = *new Router(log, "b");
     crash(other.ledger, 3, 11min);
@@ -178,14 +178,14 @@
     EXPECT_EQ(other.acquire(), Permission::Held);
 }
 
-TEST(SuspectGuardTest, AHeldRequestIsTriedByOneRouter)
+TEST(SuspectGuardTest, OnlyOneRouterTriesAHeldRequest)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
     crash(first.ledger, 3, 11min);
     crash(second.ledger, 3, 11min);
-    EXPECT_EQ(first.acquire(), Permission::Alone);
+    EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_EQ(first.ledger.find(s_request)->trials, 1U);
     EXPECT_EQ(second.acquire(), Permission::Held) << "the trial has begun elsewhere";
     EXPECT_EQ(second.ledger.find(s_request)->trials, 1U);
@@ -203,7 +203,7 @@
     crash(earlier.ledger, 3, 1min, before);
     log.suspects[before] = { *earlier.ledger.find(before), "", 0ms };
     auto& router = *new Router(log, "a");
-    testRuntime().spawn([&] { router.guard.keepStored([] { return true; }); });
+    testRuntime().spawn([&] { router.guard.runStoreSync([] { return true; }); });
     EXPECT_TRUE(eventually([&] {
         return router.ledger.suspicionOf(before, Common::now()) == Suspicion::Held && log.size() == 1;
     })) << "the old one is dropped";
@@ -216,15 +216,15 @@
 // What users would see: copies at once end one engine more than they should. A store reader that runs a suspect alone
 // writes what it learns meanwhile, and its claim went with that: another router ran the request beside it (8 runs in
 // place of 7, in 2 of 10 runs of CrashingRequestTest.CopiesAtOnce...).
-TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimWhileItRuns)
+TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimDuringItsRun)
 {
     auto& log = *new FakeLog;
     auto& reader = *new Router(log, "a");
     auto& other = *new Router(log, "b");
     crash(reader.ledger, 2);
     crash(other.ledger, 2);
-    ASSERT_EQ(reader.acquire(), Permission::Alone);
-    testRuntime().spawn([&] { reader.guard.keepStored([] { return true; }); });
+    ASSERT_EQ(reader.acquire(), Permission::Exclusive);
+    testRuntime().spawn([&] { reader.guard.runStoreSync([] { return true; }); });
     // News of the same request, which is stored.
     std::vector<InterruptedAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
         Common::now() - 9800ms } };
