--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -73,7 +73,9 @@
 {
     const auto& settings = *m_settings.duties;
     DutyRunner::Parts parts { *sources.dutyLog, *sources.dutyCalls, *m_usage, [this] { return dutySituation(); },
-        [this] { return collectServiceCapacities(m_watcher, m_registry, m_peers.unreachableLoadFactor(), Common::now()); } };
+        [this] {
+            return collectServiceCapacities(m_watcher, m_registry, m_peers.unreachableLoadFactor(), Common::now());
+        } };
     m_duties = std::make_unique<DutyRunner>(std::move(parts),
         DutyRunner::Settings { settings.lease, settings.usage, settings.reportsUsage, settings.ordersCapacity });
     m_peers.setDutyHolder([this] { return m_duties->view().holder; });
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -380,7 +380,8 @@
 
 void RequestHandler::refuse(const Refusal& refusal)
 {
-    Refusal adjusted { Routing::reportableKind(refusal.kind, m_history.mayHaveRun), refusal.reason, refusal.retryAfter };
+    Refusal adjusted { Routing::reportableKind(refusal.kind, m_history.mayHaveRun), refusal.reason,
+        refusal.retryAfter };
     if (m_stream.hasSentHead())
         return abortResponse(Common::name(adjusted.kind));
     auto response = refusalResponse(m_services.headers, adjusted, m_history.mayHaveRun, m_report.requestId);
