--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -238,7 +238,7 @@
 {
     std::set<double> limits;
     for (const auto& router : m_routers) {
-        for (const auto& known : router.quotas->known(m_now))
+        for (const auto& known : router.quotas->knownLimits(m_now))
             limits.insert(known.limit.requestsPerSecond);
     }
     return limits;
