--- a/Source/RouteServing/Routing/DepartedUpstreams.cpp
+++ b/Source/RouteServing/Routing/DepartedUpstreams.cpp
@@ -3,8 +3,7 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// A late write comes within seconds; 810 instances are replaced on a day of the target (CONTRIBUTING.md). Chosen, not
-// measured: about 60 KB.
+// Exceeds the number of departures within the few seconds in which delayed writes arrive. Takes about 60 KB.
 static constexpr size_t maxDepartedUpstreams = 512;
 
 void DepartedUpstreams::record(const UpstreamRecord& upstream)
--- a/Source/RouteServing/Routing/DepartedUpstreams.h
+++ b/Source/RouteServing/Routing/DepartedUpstreams.h
@@ -9,13 +9,14 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The newest start of each upstream that is not listed any more, so that a late write does not bring back one that was
-// leaving, or one before it. Bounded. Not safe for several threads.
+// Remembers the last incarnation of each upstream that is no longer listed, so that a delayed write cannot restore a
+// leaving or an earlier incarnation. Bounded: forgets the ids that departed first. Not thread-safe.
 class DepartedUpstreams {
 public:
-    // It is not listed any more.
+    // Records that the upstream is no longer listed.
     void record(const UpstreamRecord&);
-    // Whether this start, listed again, must not be used: it was leaving, or a later one was known.
+    // Returns whether this incarnation must not be used if it is listed again: it was leaving, or a later one was
+    // known.
     bool isObsolete(const UpstreamRecord&) const;
 
 private:
@@ -25,7 +26,7 @@
     };
 
     std::map<std::string, Start, std::less<>> m_starts; // By id.
-    std::deque<std::string> m_order; // Ids, the longest departed first.
+    std::deque<std::string> m_order; // Ids in the order of their first departure.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/InterruptedAttempts.h
+++ b/Source/RouteServing/Routing/InterruptedAttempts.h
@@ -11,20 +11,20 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// An attempt that was under way at an upstream when its connection ended.
+// An attempt that was in flight at an upstream when its connection ended.
 struct InterruptedAttempt {
     std::string requestId;
     RequestIdentity request;
     std::string workspace;
-    std::string target; // With the query.
+    std::string target; // Includes the query.
     Common::TimePoint sent;
     Common::TimePoint ended;
 };
 
-// Attempts that ended at one start of an upstream, until it is found out why. Not safe for several threads.
+// Collects the interrupted attempts of each upstream incarnation until the cause is determined. Not thread-safe.
 class InterruptedAttempts {
 public:
-    // True when it is the first one since the last call of `take`.
+    // Returns whether this is the incarnation's first attempt since the last call of `take`.
     bool add(const UpstreamIncarnation&, InterruptedAttempt);
     std::vector<InterruptedAttempt> take(const UpstreamIncarnation&);
 
--- a/Source/RouteServing/Routing/SendPermit.h
+++ b/Source/RouteServing/Routing/SendPermit.h
@@ -3,9 +3,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Leave to send one request to the upstream that it was chosen for, now. Only UpstreamRegistry::permitSend gives one
-// out, after it has asked what the upstream has stated, and sending takes one: between the choice of an upstream and
-// the first byte lie a connection of up to 500 ms and waits for other fibers, in which the upstream may ask for rest.
+// Permit to send one request to the chosen upstream now. Only UpstreamRegistry::permitSend creates one, after checking
+// the upstream's statements, and sending requires one. Between the choice of an upstream and the first byte, the router
+// waits for a connection (up to 500 ms) and for other fibers; in that time the upstream may start a cooldown.
 class SendPermit {
 private:
     friend class UpstreamRegistry;
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -8,20 +8,19 @@
 
 using namespace std::chrono_literals;
 
-// All chosen, not measured. A single broken attempt may be bad luck; two in a row are taken for a fault. A connection
-// that cannot be made ejects at once.
+// Consecutive failures that eject an upstream; one alone may be an isolated fault. A failed connect ejects at once.
 static constexpr unsigned failuresToEject = 2;
-// The first ejection, and the bound of its doubling.
+// Length of the first ejection, and the upper bound of the doubling.
 static constexpr Common::Milliseconds initialEjection = 500ms;
 static constexpr Common::Milliseconds maxEjection = 8000ms;
-// Weight of the newest attempt in the error rate: about the last seven attempts count.
+// Weight of the newest attempt in the error rate.
 static constexpr double newestAttemptWeight = 0.15;
-// Without attempts, half of the error rate is forgotten in this time.
+// Half-life of the error rate while there are no attempts.
 static constexpr double errorRateHalfLifeSeconds = 4.0;
 
 void UpstreamHealth::record(AttemptOutcome outcome, Common::TimePoint now)
 {
-    // Refusals are RefusalBackoff's.
+    // Refusals (NotExecuted) are handled by RefusalBackoff.
     bool isInconclusive = outcome == AttemptOutcome::CancelledBeforeSending || outcome == AttemptOutcome::Withheld
         || outcome == AttemptOutcome::CancelledAfterSending || outcome == AttemptOutcome::NotExecuted;
     if (isInconclusive)
@@ -34,10 +33,10 @@
         m_ejection = 0ms;
         return;
     }
-    // A 5xx response counts for the error rate only: the upstream is there and answers.
+    // A 5xx response counts towards the error rate only, because the upstream is reachable and responds.
     if (outcome == AttemptOutcome::ServerError)
         return;
-    // Attempts that were under way when it was ejected say nothing new.
+    // Failures during an ejection do not extend it: most belong to attempts that were already in flight.
     if (isEjected(now))
         return;
     ++m_consecutiveFailures;
--- a/Source/RouteServing/Routing/UpstreamHealth.h
+++ b/Source/RouteServing/Routing/UpstreamHealth.h
@@ -6,20 +6,20 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Outlier ejection: judges one upstream by the outcomes of real requests (no probes). After failures in a row it is
-// ejected for a time that doubles up to a bound; then it gets requests again. Not safe for several threads.
+// Outlier ejection of one upstream, based on the outcomes of regular requests (no probes). Consecutive failures eject
+// the upstream for a period that doubles with each ejection, up to a bound; a success resets it. Not thread-safe.
 class UpstreamHealth {
 public:
     void record(AttemptOutcome, Common::TimePoint now);
     bool isEjected(Common::TimePoint now) const { return now < m_ejectedUntil; }
-    // Exponentially weighted share of attempts that failed, 0 to 1; decays while there are none.
+    // Exponentially weighted share of failed attempts, 0 to 1. Decays while there are no attempts.
     double errorRate(Common::TimePoint now) const;
 
 private:
     void eject(Common::TimePoint now);
 
     unsigned m_consecutiveFailures { 0 };
-    Common::Milliseconds m_ejection { 0 }; // The last one's length; zero after a success.
+    Common::Milliseconds m_ejection { 0 }; // Length of the last ejection; zero after a success.
     Common::TimePoint m_ejectedUntil {};
     Common::TimePoint m_lastAttempt {};
     double m_errorRate { 0 };
--- a/Source/RouteServing/Routing/UpstreamLimit.cpp
+++ b/Source/RouteServing/Routing/UpstreamLimit.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// More than a naming may look too old after three messages between routers (Gateway/QuotaExchange).
+// Exceeds the error of `namedAt` after three messages between routers (Gateway/QuotaExchange).
 static constexpr Common::Milliseconds reorderTolerance = 1000ms;
 
 double roundedLimit(double requestsPerSecond)
--- a/Source/RouteServing/Routing/UpstreamLimit.h
+++ b/Source/RouteServing/Routing/UpstreamLimit.h
@@ -8,39 +8,40 @@
 #include <cstdint>
 #include <optional>
 
-// The limit of requests a second that an upstream has named for all routers together. Pure.
+// The limit, in requests per second, that an upstream sets for all routers together. Does no I/O and reads no clock.
 namespace Brassladder::RouteServing::Routing {
 
-// What one response states of its upstream's limit. No rate: it has no limit, or has one no longer.
+// What one response states about its upstream's limit. Without a rate, the upstream has no limit, or no longer has one.
 struct LimitStatement {
     std::optional<double> requestsPerSecond;
 };
 
-// Above this, a limit limits nothing; in requests a second.
+// Upper bound of a limit; a higher one has no effect.
 inline constexpr double maxRequestsPerSecond = 1e6;
 
-// As routers keep and tell it: in whole thousandths, rounded down, so that it is the same for all of them.
+// Rounds a limit down to whole thousandths. Routers store and exchange it in this form, so that all have the same
+// value.
 double roundedLimit(double requestsPerSecond);
 
-// What is known of the limit of one start of an upstream, from responses to any router.
+// State of the limit of one upstream incarnation, learned from responses to any router.
 //
-// Times only rise, so routers that tell each other what they know agree in the end, in whatever order they hear it.
+// Its times only increase. Routers that exchange their state therefore converge, in whatever order messages arrive.
 struct UpstreamLimit {
     double requestsPerSecond { 0 }; // Rounded.
-    // When the newest response came that named the limit.
+    // Arrival of the newest response that named the limit.
     Common::TimePoint namedAt { Common::TimePoint::min() };
-    // When the newest request was sent whose response named none.
+    // Sending time of the newest request whose response named no limit.
     Common::TimePoint unnamedSince { Common::TimePoint::min() };
 
-    // Whether requests need a share of the limit. Responses overtake each other, and times of other routers are
-    // estimates, so only a response to a request that was sent well after the last naming ends a limit.
+    // Returns whether requests need a quota of the limit. Responses may arrive out of order, and times from other
+    // routers are estimates, so only a response to a request that was sent well after the last naming ends a limit.
     bool isInForce() const;
     void merge(const UpstreamLimit&);
-    // When something was last learned.
+    // Time of the newest information.
     Common::TimePoint learned() const { return std::max(namedAt, unnamedSince); }
 };
 
-// Names one start of an upstream in messages between routers. Two starts with the same key have one limit together.
+// Identifies one upstream incarnation in messages between routers. Two incarnations with the same key share one limit.
 uint32_t limitKey(const UpstreamRecord&);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -11,14 +11,14 @@
 
 using namespace std::chrono_literals;
 
-// An upstream's own load report is used for this long. Chosen, not measured: reports come with each response, and are
-// some hundred milliseconds old when they arrive.
+// An upstream's own load report is used for this long. Reports arrive with each response and are some hundred
+// milliseconds old.
 static constexpr Common::Milliseconds reportMaxAge = 1000ms;
 
-// The entry of a record whose id is known already.
+// Returns the new entry for a record whose id is already known.
 UpstreamRegistry::Entry UpstreamRegistry::updatedEntry(const Entry& known, UpstreamRecord record)
 {
-    // A late write of the start before this one, which is over.
+    // A delayed write of an earlier incarnation.
     if (record.born < known.record.born)
         return known;
     Entry entry;
@@ -71,7 +71,7 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-// What was sent to an earlier start of it is over, and says nothing of this one.
+// Returns null for another incarnation: requests that were sent to an earlier one do not concern the current one.
 UpstreamRegistry::Entry* UpstreamRegistry::find(const UpstreamRecord& upstream)
 {
     auto* entry = find(upstream.id);
@@ -84,7 +84,8 @@
     return found == m_peerLoads.end() ? UpstreamLoad {} : found->second;
 }
 
-// What all routers have outstanding there, or what the upstream reports if that is more and recent.
+// Returns the number of requests that all routers have outstanding at the upstream, or its own recent report if that is
+// higher.
 double UpstreamRegistry::outstanding(const Entry& entry, Common::TimePoint now) const
 {
     double sent = entry.own.requests + peerLoadOf(entry).requests;
@@ -127,9 +128,9 @@
     });
 }
 
-// The upstreams that may take the request. What this router guesses gives way when all others are gone, since an
-// attempt is better than a refusal: first those that refused lately, where nothing can have run, then the ejected ones.
-// What an upstream has stated does not.
+// Returns the upstreams that may receive the request. Backoff and ejection are heuristics and are ignored when no other
+// upstream is left, because an attempt is better than a refusal. Backed-off upstreams are used before ejected ones,
+// since a refused request cannot have run. Statements of an upstream are never ignored.
 UpstreamRegistry::Candidates UpstreamRegistry::candidates(
     const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
@@ -220,7 +221,7 @@
     return m_statements.cooldownCount(now);
 }
 
-// A request that could go to a limited upstream is asked for, whether or not it goes there in the end.
+// A request counts as demand at every limited upstream that is eligible, wherever it is sent in the end.
 void UpstreamRegistry::recordDemand(
     const PlacementRequest& request, std::span<const uint32_t> limited, bool hasFound, Common::TimePoint now)
 {
@@ -312,7 +313,7 @@
     result.prefillTokens = chosen->prefillTokens;
     result.isDecodeHeavy = EnginePlacement::isDecodeHeavy(*request.prompt);
     result.queuedPrefillTokens = chosen->queuedPrefillTokens;
-    // A fetch would load an engine that wants less.
+    // The prefix is not fetched from an engine with a limit, because the fetch would add to its load.
     if (chosen->prefixSource && !contains(limited, entries[*chosen->prefixSource]->limitKey))
         result.prefixSource = entries[*chosen->prefixSource]->record.endpoint;
     result.placed = now;
@@ -339,8 +340,8 @@
     auto* entry = find(placement.upstream);
     if (!entry)
         return;
-    // Late ones wait for others that came after them, and a run that goes on from its replica prefills nothing: neither
-    // tells how fast the engine is.
+    // A late generation waits for requests that arrived after it, and a generation that resumes from a replica prefills
+    // nothing. Neither measures the engine's prefill speed.
     if (placement.punctuality == Punctuality::OnTime && placement.prefillTokens) {
         auto awaited = static_cast<double>(placement.queuedPrefillTokens + placement.prefillTokens);
         auto elapsed = Common::toMilliseconds(now - placement.placed);
@@ -356,7 +357,8 @@
     std::lock_guard lock(m_mutex);
     if (hadPrefillDone && outcome == AttemptOutcome::Interrupted)
         m_midStreamFailures.record(now);
-    // The entry may be new since the start, when the list was replaced meanwhile: nothing goes below zero.
+    // The list may have been replaced since the start of the attempt and the entry created anew, so the counts may not
+    // go below zero.
     auto* entry = find(placement.upstream);
     if (!entry)
         return;
@@ -441,7 +443,7 @@
 uint64_t UpstreamRegistry::digest() const
 {
     std::lock_guard lock(m_mutex);
-    // Peers state 0 for a list that they do not have: an empty one must not look like that.
+    // Peers report 0 if they have no list, so the digest of an empty list must differ from 0.
     uint64_t digest = std::max<uint64_t>(1, m_entries.size());
     for (const auto& [id, entry] : m_entries)
         digest = Common::stableHash(
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -25,36 +25,36 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// All upstreams that this router knows, with their load and health, and the choice of one for a request. Owns the load
-// that this router has outstanding; relies on PlainPlacement and EnginePlacement for the rules of the choice. Safe to
-// use from several threads.
+// The upstreams known to this router, with their load and health, and the choice of one for a request. Owns the load
+// that this router has outstanding; PlainPlacement and EnginePlacement implement the placement rules. Thread-safe.
 class UpstreamRegistry {
 public:
-    // What a request needs of an upstream.
+    // What a request requires of an upstream.
     struct PlacementRequest {
         std::string_view service;
-        const Prompt* prompt { nullptr }; // Of a generation; null for a plain service.
-        EngineLimits engine {}; // Of a generation.
-        Common::TimePoint due {}; // When the first event of a generation is wanted.
-        std::span<const std::string> attempted; // Ids of upstreams that had this request before.
-        bool isolated { false }; // It may crash its upstream: only those with the fewest requests may take it.
-        // Nothing is sent now, so no quota helps: upstreams with a limit are left out.
+        const Prompt* prompt { nullptr }; // Null for a plain service.
+        EngineLimits engine {}; // For generations only.
+        Common::TimePoint due {}; // Deadline for the first event of a generation.
+        std::span<const std::string> attempted; // Ids of upstreams that were already attempted.
+        bool isolated { false }; // May crash its upstream, so only the least loaded ones are candidates.
+        // Excludes upstreams with a limit. Set when no request is sent now, so that no quota can be consumed.
         bool excludesLimited { false };
-        size_t rank { 0 }; // How urgent it is, 0 the most: who gets what little a limited upstream takes.
-        bool isWaitingForQuota { false }; // It has looked for an upstream before, and waits for a quota.
+        size_t rank { 0 }; // Urgency, 0 is the highest; decides who may use a scarce quota.
+        bool isWaitingForQuota { false }; // An earlier search found no upstream, and the request waits for a quota.
     };
     struct Placement {
         UpstreamRecord upstream;
-        uint64_t prefillTokens { 0 }; // Estimated tokens of the prompt that the engine has not cached.
+        uint64_t prefillTokens { 0 }; // Estimated prompt tokens that the engine has not cached.
         bool isDecodeHeavy { false };
-        uint64_t queuedPrefillTokens { 0 }; // Estimated tokens of other prompts that the engine prefills first.
-        std::optional<Common::Endpoint> prefixSource; // The engine from which the shared prefix is to be fetched.
+        uint64_t queuedPrefillTokens { 0 }; // Estimated tokens of prompts that the engine prefills earlier.
+        std::optional<Common::Endpoint> prefixSource; // The engine to fetch the shared prefix from.
         Punctuality punctuality { Punctuality::OnTime };
-        Common::Milliseconds expectedFirstEvent { 0 }; // After the placement; zero while nothing is known.
+        Common::Milliseconds expectedFirstEvent { 0 }; // Relative to `placed`; zero if there is no estimate.
         Common::TimePoint placed {};
-        size_t rank { 0 }; // Of the request.
+        size_t rank { 0 }; // Rank of the request.
 
-        // What those behind it wait for. A late generation lets them go first.
+        // Prefill tokens that later requests at the engine have to wait for. A late generation yields to others and
+        // counts as 0.
         uint64_t blockingPrefillTokens() const { return punctuality == Punctuality::Late ? 0 : prefillTokens; }
     };
 
@@ -63,63 +63,66 @@
     {
     }
 
-    // Replaces the list by the platform's, whole. A start that was leaving stays leaving, whatever a late list says; a
-    // later start under the same id is another upstream: it is not leaving and has nothing outstanding. An entry of an
-    // earlier start than the known one is a late write: the known one stands. `born` orders the starts of one id.
+    // Replaces the list of upstreams with the platform's list. A leaving incarnation stays leaving, even if a delayed
+    // list contradicts that. A later incarnation of an id is a new upstream: it is not leaving and has no outstanding
+    // requests. An entry for an earlier incarnation than the known one is a delayed write and is ignored. `born` orders
+    // the incarnations of an id.
     void setUpstreams(std::vector<UpstreamRecord>);
-    // Whether it is listed, and neither its entry nor a response of its own says that it leaves.
+    // Returns whether the upstream is listed and neither its entry nor one of its responses says that it is leaving.
     bool isServing(std::string_view id) const;
 
-    // The upstream that is expected to respond first; none when no upstream may take the request.
+    // Returns the upstream that is expected to respond first, or nullopt if no upstream may receive the request.
     std::optional<Placement> choose(const PlacementRequest&, Common::TimePoint now);
-    // When no upstream may take the request: when the first of those that have asked for rest may; none when none
-    // rests.
+    // Returns the earliest end of a cooldown among the eligible upstreams, or nullopt if none of them is in a cooldown.
     std::optional<Common::TimePoint> earliestCooldownEnd(const PlacementRequest&, Common::TimePoint now) const;
-    // The same for those that have named a limit: how long it takes until this router may send them what it could not.
+    // Returns the expected time until this router's quotas cover its recent unsent requests, or nullopt if no eligible
+    // upstream has a limit.
     std::optional<Common::Milliseconds> quotaWait(const PlacementRequest&, Common::TimePoint now) const;
-    // Whether an upstream may take the request that neither rests nor was refusing or failing lately.
+    // Returns whether some upstream may receive the request and is neither ejected nor backed off.
     bool hasHealthyUpstream(const PlacementRequest&, Common::TimePoint now) const;
-    // Leave to send a request to the chosen upstream; none when it has asked for rest, or said that it leaves, since it
-    // was chosen, or when it has a limit and this router's quota is used up. Asked right before the first byte: one
-    // request of a quota is taken by it.
+    // Returns a permit to send one request to the chosen upstream, and consumes one request of its quota if it has a
+    // limit. Returns nullopt if the upstream is in a cooldown, is leaving, or has a limit and this router's quota is
+    // used up. Call it right before the first byte is sent, because the upstream may have made a statement since it was
+    // chosen.
     std::optional<SendPermit> permitSend(const UpstreamRecord&, Common::TimePoint now, size_t rank = 0);
-    // Whether permitSend would give leave.
+    // Returns whether permitSend would return a permit, without consuming quota.
     bool allowsRequest(const UpstreamRecord&, Common::TimePoint now) const;
 
-    // What a response stated about its upstream, when its head came. Returns whether that is news.
+    // Records what the head of a response states about the upstream. Returns whether that is new information.
     bool recordStatement(const UpstreamRecord&, const UpstreamStatement&, Common::TimePoint now);
-    // A response has begun that is no refusal.
+    // Records that a response has begun that is not a refusal.
     void recordResponse(const UpstreamRecord&);
-    // Limits that upstreams have named for all routers together. Locks itself.
+    // The limits that upstreams set for all routers together. Synchronized internally.
     SendQuotas& quotas() { return m_quotas; }
     const SendQuotas& quotas() const { return m_quotas; }
-    // Upstreams that rest now.
+    // Returns the number of upstreams in a cooldown.
     size_t cooldownCount(Common::TimePoint now) const;
 
-    // The request is about to be sent to the chosen upstream.
+    // Call it when the request is about to be sent to the chosen upstream.
     void recordStart(const Placement&);
-    // The first event of a generation arrived: its prefill is done.
+    // Call it when the first event of a generation has arrived, which ends its prefill.
     void recordPrefillDone(const Placement&, Common::TimePoint now);
-    // The attempt is over. `hadPrefillDone`: `recordPrefillDone` was called for it.
+    // Call it at the end of the attempt. `hadPrefillDone`: whether `recordPrefillDone` was called for it.
     void recordEnd(const Placement&, bool hadPrefillDone, AttemptOutcome, Common::TimePoint now);
     void recordReport(std::string_view id, const ReportedLoad&, Common::TimePoint now);
 
-    // Whether an engine broke off in the middle of a response lately: replicas of runs are worth their cost.
+    // Returns whether an engine recently failed in the middle of a response, which makes replicas of generations worth
+    // their cost.
     bool midStreamFailuresAreLikely(Common::TimePoint now) const;
 
-    // What this router has outstanding, to report it to other routers.
+    // Returns the load that this router has outstanding, as reported to other routers.
     LoadsByUpstream ownLoads() const;
-    // What all other routers have outstanding; replaces the loads that were set before.
+    // Sets the load that all other routers have outstanding. Replaces the previous values.
     void setPeerLoads(LoadsByUpstream);
     LoadsByUpstream peerLoads() const;
-    // What all routers have outstanding at the upstreams of a service.
+    // Returns the load that all routers have outstanding at the upstreams of a service.
     UpstreamLoad outstandingOf(std::string_view service) const;
-    // Learned from the first events of the service's engines that this router relayed.
+    // Estimates the time to the first event from those of the service's engines that this router relayed.
     FirstEventEstimate firstEventEstimate(std::string_view service, Common::TimePoint now) const;
 
-    // The list as it was last set, with `leaving` as this router knows it.
+    // Returns the last list, with `leaving` as known to this router.
     std::vector<UpstreamRecord> upstreams() const;
-    // Equal for equal lists.
+    // Returns a digest of the list. Equal lists have equal digests; that of an empty list is not 0.
     uint64_t digest() const;
 
 private:
@@ -140,12 +143,13 @@
     Entry* find(const UpstreamRecord&);
     static Entry updatedEntry(const Entry& known, UpstreamRecord);
     double outstanding(const Entry&, Common::TimePoint now) const;
-    // Whether the upstream serves what is asked for, and the request has not been there.
+    // Returns whether the upstream serves the requested service, is not listed as leaving, and has not been attempted.
     static bool isEligible(const Entry&, const PlacementRequest&);
-    // Whether nothing that the upstream has stated forbids to send it the request now. `limited`: m_quotas.inForce().
+    // Returns whether the upstream is eligible and no statement of it forbids sending the request now. `limited`:
+    // m_quotas.inForce().
     bool mayTake(const Entry&, const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
     Candidates candidates(const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
-    // Tells the quotas that the request could go to limited upstreams, and whether it found any upstream.
+    // Records demand for the quotas of all limited upstreams that are eligible, and whether any upstream was found.
     void recordDemand(const PlacementRequest&, std::span<const uint32_t> limited, bool hasFound, Common::TimePoint now);
     void keepLeastLoaded(Candidates&, Common::TimePoint now) const;
     std::optional<Placement> choosePlain(const Candidates&, Common::TimePoint now) const;
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -5,8 +5,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// More upstreams than this are forgotten once their rest is over, the oldest statements first. The target has 2,200
-// upstreams, of which 810 are replaced a day (CONTRIBUTING.md): about 0.4 MB. Chosen, not measured.
+// Above this number, entries without an active cooldown are evicted, leaving ones last and the oldest first. Exceeds
+// the number of upstreams in a fleet; the entries take about 0.4 MB.
 static constexpr size_t maxStatementEntries = 4096;
 
 const UpstreamStatements::StatementEntry* UpstreamStatements::find(const UpstreamRecord& upstream) const
@@ -22,7 +22,7 @@
         return false;
     auto [entry, isNew] = m_known.try_emplace(upstream.id, StatementEntry { upstream.born });
     auto& known = entry->second;
-    // A late response of the start before.
+    // A delayed response of an earlier incarnation.
     if (upstream.born < known.born)
         return false;
     if (upstream.born > known.born)
@@ -45,7 +45,7 @@
         auto oldest = std::min_element(m_known.begin(), m_known.end(), [&](const auto& left, const auto& right) {
             return std::pair(!isIdle(left), left.second.recorded) < std::pair(!isIdle(right), right.second.recorded);
         });
-        // A rest that goes on is never forgotten.
+        // An active cooldown is never evicted.
         if (!isIdle(*oldest))
             return;
         m_known.erase(oldest);
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -13,34 +13,28 @@
 
 // What one response states about the upstream that sent it.
 struct UpstreamStatement {
-    bool isLeaving { false }; // It will end, and wants nothing new.
-    std::optional<Common::Milliseconds> cooldown; // It wants no request from this router for this long.
+    bool isLeaving { false }; // The upstream is shutting down and accepts no new requests.
+    std::optional<Common::Milliseconds> cooldown; // It accepts no request from this router for this long (Retry-After).
 
     bool isEmpty() const { return !isLeaving && !cooldown; }
 };
 
-// What upstreams have stated about themselves in responses to this router: until when they want no request from it, and
-// that they are leaving.
-//
-// These are facts. An ejection is a guess of this router's, which may be wrong, so an ejected upstream still gets a
-// request when no other is left (UpstreamHealth); nothing overrides what is kept here, neither a lack of other
-// upstreams nor an entry of the platform's list. An upstream that refused everything got 14 requests from one router in
-// the 3 s of rest that it had asked for, since refusing made it the one with the fewest requests.
-//
-// A statement is about one start of an upstream (id and `born`) and stays when its entry lapses: the same process may
-// be listed again. Another start has stated nothing. Not safe for several threads.
+// Stores what upstreams stated about themselves in responses to this router: cooldowns, and that they are leaving.
+// Statements are binding, unlike ejection and backoff, which are heuristics: neither a lack of other upstreams nor an
+// entry of the platform's list overrides them. A statement applies to one incarnation (id and `born`) and outlives its
+// entry in the list, because the same process may be listed again. Not thread-safe.
 class UpstreamStatements {
 public:
-    // Returns whether this is news: the upstream was not resting before, or not known to be leaving.
+    // Returns whether this is new information: the upstream was not in a cooldown, or not known to be leaving.
     bool record(const UpstreamRecord&, const UpstreamStatement&, Common::TimePoint now);
 
-    // Whether it has stated nothing that forbids to send it a request now.
+    // Returns whether no statement of the upstream forbids sending it a request now.
     bool allowRequest(const UpstreamRecord&, Common::TimePoint now) const;
     bool isLeaving(const UpstreamRecord&) const;
-    // The end of its rest; none when it does not rest. The latest end of all that it has asked for: a shorter rest that
-    // it asks for later, on another request, takes nothing back.
+    // Returns the end of the upstream's cooldown, or nullopt if it is in none. A later statement never shortens a
+    // cooldown.
     std::optional<Common::TimePoint> cooldownEnd(const UpstreamRecord&, Common::TimePoint now) const;
-    // How many upstreams rest now.
+    // Returns the number of upstreams in a cooldown.
     size_t cooldownCount(Common::TimePoint now) const;
 
 private:
@@ -54,7 +48,7 @@
     const StatementEntry* find(const UpstreamRecord&) const;
     void evictOldest(Common::TimePoint now);
 
-    std::map<std::string, StatementEntry, std::less<>> m_known; // By id; the newest start that stated something.
+    std::map<std::string, StatementEntry, std::less<>> m_known; // By id; the newest incarnation that made a statement.
 };
 
 } // namespace Brassladder::RouteServing::Routing
