--- a/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
@@ -8,7 +8,7 @@
 using Common::ErrorKind;
 using namespace std::chrono_literals;
 
-// After this a quota is not due soon, however long the route's objective.
+// Upper bound for routes with a long objective. A quota that has not arrived by then is not expected soon.
 static constexpr Common::Milliseconds quotaHoldCap = 300ms;
 
 Common::Milliseconds maxQuotaHold(const Route& route) { return std::min(route.objective / 2, quotaHoldCap); }
@@ -18,14 +18,14 @@
     if (mayHaveRun)
         return { ErrorKind::UpstreamBroken, "no upstream is left" };
     std::optional<Common::Milliseconds> cooldown;
-    // Rounded up, so that nobody comes back a moment too early.
+    // Rounded up, so that a retry does not arrive just before the end of the cooldown.
     if (chance.earliestCooldownEnd)
         cooldown = std::max(1ms, Common::toMilliseconds(*chance.earliestCooldownEnd - now) + 1ms);
     if (chance.quotaWait && (!cooldown || *chance.quotaWait < *cooldown))
         return { ErrorKind::UpstreamsLimited, "the limits of all upstreams are used up", *chance.quotaWait };
     if (!cooldown)
         return { ErrorKind::NoUpstream, "no upstream is left" };
-    return { ErrorKind::UpstreamsResting, "every upstream has asked for rest", *cooldown };
+    return { ErrorKind::UpstreamsResting, "every upstream is in a Retry-After cooldown", *cooldown };
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/NoUpstreamPolicy.h
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.h
@@ -6,26 +6,24 @@
 
 #include <optional>
 
-// What becomes of a request when every upstream that may take it has asked for rest, or has a limit that is used up: it
-// is refused, with the time until the first of them may take it. Pure.
+// Refusal of a request when every upstream that could receive it is in a cooldown or has used up its limit. The refusal
+// gives the time until the first of them becomes available. Does no I/O and reads no clock.
 //
-// For a quota it is held for a moment before, since quotas come a few times a second. Holding it for a rest as well,
-// for up to half of its objective, served 0.2 to 0.7 in 100 more where all upstreams of a service rested for 0.3 to 3
-// s, but 0.1 to 0.7 in 100 fewer in time, and what was held arrived at once when the rest was over: about twice as many
-// requests were refused then at light load (the benchmark rest-return, 6 routers, three seeds).
+// A request is held briefly for a quota, because quotas arrive several times per second. It is not held until the end
+// of a cooldown, because all held requests would reach the upstream at once.
 namespace Brassladder::RouteServing::Routing {
 
-// When an upstream of the service may be expected to take the request.
+// When an upstream of the service is expected to become available.
 struct NextAvailability {
-    std::optional<Common::TimePoint> earliestCooldownEnd; // Of those that rest; none when none does.
-    std::optional<Common::Milliseconds> quotaWait; // Of those with a limit; none when none has one.
+    std::optional<Common::TimePoint> earliestCooldownEnd; // Of upstreams in a cooldown; nullopt if there is none.
+    std::optional<Common::Milliseconds> quotaWait; // Of upstreams with a limit; nullopt if there is none.
 };
 
-// For how long after its arrival a request may wait for a quota.
+// Returns how long after its arrival a request may wait for a quota.
 Common::Milliseconds maxQuotaHold(const Route&);
 
-// The refusal of a request for which no upstream is left. `mayHaveRun`: an attempt before may have run, so that the
-// refusal promises nothing and names no time.
+// Returns the refusal of a request for which no upstream is available. `mayHaveRun`: an earlier attempt may have run,
+// so the refusal does not state that the request did not run and gives no retry time.
 Refusal noUpstreamRefusal(const NextAvailability&, bool mayHaveRun, Common::TimePoint now);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/QuotaAssigner.cpp
+++ b/Source/RouteServing/Routing/QuotaAssigner.cpp
@@ -7,15 +7,16 @@
 
 using namespace std::chrono_literals;
 
-// An upstream with a lower limit gets a request this often all the same: only a response tells that the limit is over.
+// Minimum rate of requests to a limited upstream, because only a response can state that the limit has ended.
 static constexpr double probesPerSecond = 0.2;
-// The bucket holds the requests of this time, two steps of the exchange, and one more.
-static constexpr double bucketSpanSeconds = 0.2; // s
-// Longer than two steps of the exchange take, also on a busy instance.
+// Burst of the bucket, as a time at the full rate: two steps of the quota exchange. One more request is added to it.
+static constexpr double bucketSpanSeconds = 0.2;
+// Longer intervals count as this one, so that a pause adds no burst. Two steps of the exchange take less, even on a
+// busy instance.
 static constexpr Common::Milliseconds maxRefillInterval = 500ms;
 static constexpr Common::Milliseconds poolValidity = 400ms;
 static constexpr Common::Milliseconds demandValidity = 500ms;
-// After this a requester is taken to have ended; before that, its counts must not start again.
+// A requester without messages for this long is considered ended. Its counts must not restart earlier.
 static constexpr Common::Milliseconds requesterTimeout = 10min;
 
 void QuotaBucket::refill(double requestsPerSecond, double share, Common::TimePoint now)
@@ -49,7 +50,7 @@
     auto& known = m_requesters[requester];
     if (known.demand.incarnation != demand.incarnation)
         known = {};
-    // One that counts what an earlier process here gave it starts anew.
+    // The requester may count grants of an earlier process of this hub; its count then continues from there.
     known.granted = std::max(known.granted, demand.received);
     known.demand = demand;
     known.lastDemandAt = now;
@@ -103,7 +104,7 @@
     std::string_view owner, std::string_view self, const StableSince& since, Common::TimePoint now)
 {
     if (m_owner != owner) {
-        // Before the limit was known here, nobody gave out anything unless the hubs were others then.
+        // On the first call, another owner can have granted requests only before the set of hubs last changed.
         m_since = m_owner.empty() ? since.hubs : now;
         m_owner = owner;
     }
--- a/Source/RouteServing/Routing/QuotaAssigner.h
+++ b/Source/RouteServing/Routing/QuotaAssigner.h
@@ -10,18 +10,19 @@
 #include <string>
 #include <string_view>
 
-// Who may send the requests that a limited upstream takes from all routers together. Pure.
+// Distributes among the routers the requests that a limited upstream accepts from all of them together. Does no I/O and
+// reads no clock.
 //
-// One hub assigns the limit of an upstream, chosen by rendezvous hashing among the hubs that hear each other. It gives
-// out single requests to the hubs that ask for some, and each hub passes its own on to the routers that ask it. So the
-// number of routers does not matter: equal shares with a bucket of one request each would let 300 routers send 300 at
-// once, whatever the limit.
+// One hub assigns the limit of an upstream. It is chosen by rendezvous hashing among the hubs that are connected to
+// each other. It grants single requests to the hubs that request them, and each hub passes its grants on to the routers
+// that request them. Bursts therefore do not grow with the number of routers. Equal shares with a bucket of one request
+// each would allow 300 routers to send 300 requests at once, whatever the limit.
 namespace Brassladder::RouteServing::Routing {
 
-// What may be given out of one limit: a token bucket. Time in which the assigner did not run saves up nothing.
+// Token bucket of one limit. A pause of the assigner adds tokens for a bounded time only.
 class QuotaBucket {
 public:
-    // `share`: of the limit, in [0, 1].
+    // `share`: share of the limit to add, in [0, 1].
     void refill(double requestsPerSecond, double share, Common::TimePoint now);
     unsigned available() const { return static_cast<unsigned>(m_tokens); }
     void spend(unsigned requests) { m_tokens -= requests; }
@@ -31,7 +32,7 @@
     double m_tokens { 0 };
 };
 
-// Requests to one upstream that wait for somebody who may send them, for a short time.
+// Granted requests to one upstream that are not yet assigned to a requester. They expire after a short time.
 class QuotaPool {
 public:
     void add(unsigned requests, Common::TimePoint now);
@@ -42,22 +43,22 @@
     std::deque<Common::TimePoint> m_expires;
 };
 
-// Divides the requests to one upstream among those that ask for them. Counts of one pair of processes only rise: what
-// one side has given out and the other side received, so that a message may be lost or come twice.
+// Divides the requests to one upstream among the requesters. Grants and receipts are cumulative counts per pair of
+// processes, so messages may be lost or repeated.
 class QuotaAssigner {
 public:
     struct Demand {
-        uint64_t incarnation { 0 }; // Of the process that asks.
+        uint64_t incarnation { 0 }; // Of the requester's process.
         unsigned wanted { 0 };
-        uint64_t received { 0 }; // Of all that it was ever given here.
+        uint64_t received { 0 }; // Total that it has received from this assigner.
     };
     void record(const std::string& requester, const Demand&, Common::TimePoint now);
-    // What those that asked lately still lack.
+    // Returns the total unmet demand of the recent requesters.
     unsigned wanted(Common::TimePoint now) const;
-    // Gives out up to so many requests, each to the one that lacks the most, and among equals to the one that has
-    // waited longest; how many were given out.
+    // Grants up to `requests` requests. Each goes to the requester with the largest unmet demand, among equals to the
+    // one with the oldest last grant. Returns the number of granted requests.
     unsigned assign(unsigned requests, Common::TimePoint now);
-    // All that the process was ever given.
+    // Returns the total that was granted to the process.
     uint64_t granted(std::string_view requester, uint64_t incarnation) const;
     void evictExpired(Common::TimePoint now);
     bool isEmpty() const { return m_requesters.empty(); }
@@ -75,16 +76,16 @@
     uint64_t m_turn { 0 };
 };
 
-// Whether this router assigns the limit of one upstream now. One that takes over waits until what the one before it
-// gave out can no longer be sent, so that two of them never add up.
+// Whether this router currently assigns the limit of one upstream. A new owner waits until the grants of the previous
+// owner have expired, so that the grants of both never add up.
 class QuotaOwnership {
 public:
-    // Since when what decides on the owner stands.
+    // Since when the inputs of the ownership decision have been stable.
     struct StableSince {
-        Common::TimePoint hubs {}; // The set of hubs that this router hears.
-        Common::TimePoint running {}; // This router runs as a hub without a pause.
+        Common::TimePoint hubs {}; // The set of hubs that this router is connected to.
+        Common::TimePoint running {}; // This router has run as a hub without a pause.
     };
-    // `owner`: who assigns the limit as far as this router knows. Whether this router may give out requests.
+    // `owner`: the assigner of the limit according to this router. Returns whether this router may grant requests.
     bool update(std::string_view owner, std::string_view self, const StableSince&, Common::TimePoint now);
 
 private:
@@ -92,10 +93,10 @@
     Common::TimePoint m_since {};
 };
 
-// The latest time after it was given out at which a request may still reach its upstream: in the pools of two hubs, on
-// the way between three routers, and in the quota of the last one.
+// Longest time from a grant until the request reaches its upstream: in the pools of two hubs, in transit between three
+// routers, and in the quota of the last one.
 inline constexpr Common::Milliseconds quotaLifetime { 1700 };
-// For how long a router may use what it was allowed.
+// How long a router may use a received grant.
 inline constexpr Common::Milliseconds quotaValidity { 700 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RefusalBackoff.cpp
+++ b/Source/RouteServing/Routing/RefusalBackoff.cpp
@@ -7,21 +7,18 @@
 
 using namespace std::chrono_literals;
 
-// The first back-off: in this time an upstream with six slots and calls of 15 ms has worked off a full queue. Chosen,
-// not measured.
+// First backoff: about the time in which a small upstream with short requests works off a full queue.
 static constexpr Common::Milliseconds initialBackoff = 25ms;
-// The bound of its doubling. With one second in its place a sixth of the engines that refused 95% for 20 s cost 0.008
-// more of the day's worth (mean of three small sites, two seeds each): what they refuse has often used up its only
-// attempt.
+// Upper bound of the doubling.
 static constexpr Common::Milliseconds maxBackoff = 4000ms;
-// On trial: how long after one request the next one may follow when the first is not refused, but has no response
-// either; a refusal comes within a few milliseconds. Chosen, not measured.
+// On trial, the next request may be sent after this time if the previous one has neither been refused nor answered. A
+// refusal arrives within a few milliseconds.
 static constexpr Common::Milliseconds trialInterval = 100ms;
 
 void RefusalBackoff::recordRefusal(Common::TimePoint now)
 {
     m_isOnTrial = true;
-    // Requests that were under way at the refusal before tell nothing new.
+    // Refusals during a backoff do not extend it: most belong to requests that were already in flight.
     if (now < m_until)
         return;
     m_backoff = m_backoff.count() ? std::min(maxBackoff, m_backoff * 2) : initialBackoff;
@@ -31,7 +28,7 @@
 void RefusalBackoff::recordCooldown()
 {
     m_isOnTrial = true;
-    // Requests from before the rest are no trial.
+    // Requests that were sent before the cooldown do not count as trial requests.
     m_lastStart = {};
 }
 
--- a/Source/RouteServing/Routing/RefusalBackoff.h
+++ b/Source/RouteServing/Routing/RefusalBackoff.h
@@ -5,36 +5,32 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// For how long one upstream that turns requests away gets none from this router, and how it gets them again.
+// Backoff for one upstream that refuses requests. A refusal takes about a millisecond, so a refusing upstream has the
+// fewest outstanding requests and would attract load. Each refusal in a row doubles the backoff up to a bound; each
+// response halves it.
 //
-// A refusal takes about a millisecond, so an upstream that refuses has the fewest requests outstanding, and placement
-// by load prefers it: two engines of twelve that refused nearly all took the place of the ten others. Each refusal in a
-// row doubles the time, each response halves it, so that an upstream that is full for a moment is back soon, and one
-// that refuses nearly everything gets about one request in four seconds.
-//
-// After a refusal or a rest others go first again after one request, until it has a response. Where all upstreams had
-// rested for a second, 0.0, 7.1 and 8.1 in 100 requests were refused again at 6, 88 and 300 routers, 0.3, 9.0 and 10.3
-// without it, and as many were in time but for noise (94.80, 79.53, 79.98 for 94.66, 80.85, 81.03; the benchmark
-// rest-return). Not safe for several threads.
+// After a refusal or a cooldown the upstream is on trial: until it responds, it gets one request per interval while
+// others are available. Not thread-safe.
 class RefusalBackoff {
 public:
-    // It refused a request, without asking for rest.
+    // The upstream refused a request without starting a cooldown.
     void recordRefusal(Common::TimePoint now);
-    // It asked for rest, whose end is kept elsewhere (UpstreamStatements).
+    // The upstream started a cooldown. UpstreamStatements stores its end.
     void recordCooldown();
-    // A request goes there.
+    // A request is about to be sent to the upstream.
     void recordStart(Common::TimePoint now) { m_lastStart = now; }
-    // It did not refuse a request: the response has begun.
+    // A response has begun that is not a refusal.
     void recordResponse();
 
-    // Whether others go first now. A guess, like an ejection: when no other is left, it is used all the same.
+    // Returns whether other upstreams are preferred now. Like an ejection this is a heuristic: the upstream is still
+    // used if no other is left.
     bool isBackedOff(Common::TimePoint now) const;
 
 private:
     Common::Milliseconds m_backoff { 0 };
     Common::TimePoint m_until {};
     Common::TimePoint m_lastStart {};
-    bool m_isOnTrial { false }; // Since the last refusal or rest there was no response.
+    bool m_isOnTrial { false }; // No response since the last refusal or cooldown.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SendQuotas.cpp
+++ b/Source/RouteServing/Routing/SendQuotas.cpp
@@ -8,16 +8,16 @@
 
 using namespace std::chrono_literals;
 
-// A limit of which nobody has heard for so long is forgotten, as a rest ends after an hour at the latest.
+// A limit without new information for this long is removed. Equals the longest cooldown that an upstream can set.
 static constexpr Common::Milliseconds limitRetention = 1h;
-// A quota is asked for the requests of this time: two to three messages pass until it arrives.
-static constexpr double demandSpanSeconds = 0.25; // s
-// The bounds of what callers are told to wait for a quota.
+// A quota is requested for the demand of this time span. Two to three messages pass until a grant arrives.
+static constexpr double demandSpanSeconds = 0.25;
+// Bounds of the time that callers are told to wait for a quota.
 static constexpr Common::Milliseconds minQuotaWait = 200ms;
 static constexpr Common::Milliseconds maxQuotaWait = 4000ms;
 
 static constexpr Common::Milliseconds countSlice = 500ms;
-// After so many requests of other ranks a less urgent one may go before more urgent ones.
+// After this many requests of other ranks, a less urgent request may be sent before more urgent ones.
 static constexpr unsigned maxSendsBeforeLessUrgent = 5;
 
 static int64_t sliceOf(Common::TimePoint now) { return now.time_since_epoch() / countSlice; }
@@ -45,7 +45,7 @@
 {
     auto found = m_entries.find(key);
     if (found == m_entries.end()) {
-        // Most responses name no limit, and that is news only where one was named before.
+        // Most responses name no limit, which is relevant only for an upstream that named one before.
         if (learned.namedAt == Common::TimePoint::min())
             return LimitChange::None;
         found = m_entries.try_emplace(key).first;
@@ -56,7 +56,7 @@
     m_isActive = true;
     bool isInForce = entry.limit.isInForce();
     bool isLower = entry.limit.requestsPerSecond < before.requestsPerSecond;
-    // What was given out at the old rate would exceed the new one.
+    // A quota that was granted at the old rate could exceed the new limit.
     if (!isInForce || isLower)
         entry.quota.clear();
     if (isInForce != before.isInForce())
@@ -122,8 +122,8 @@
     return keys;
 }
 
-// While more urgent requests find no upstream, what little may be sent is for them. Of the others one in a few goes all
-// the same, so that none of them waits for ever.
+// The quota is reserved while more urgent requests find no upstream. After every few sends of other ranks one less
+// urgent request is exempt, so that no rank starves.
 bool SendQuotas::isReservedForMoreUrgent(const Entry& entry, size_t rank, Common::TimePoint now)
 {
     bool isMoreUrgentWaiting = std::any_of(entry.unplaced.begin(), entry.unplaced.lower_bound(rank),
@@ -192,7 +192,7 @@
         if (found == m_entries.end() || !found->second.limit.isInForce())
             continue;
         isAnyLimited = true;
-        // Each request could go to any of them.
+        // The same requests count as demand at each of the upstreams, so the demand is not summed.
         demanded = std::max<double>(demanded, found->second.demand.value(now));
         sent += found->second.sent.value(now);
     }
--- a/Source/RouteServing/Routing/SendQuotas.h
+++ b/Source/RouteServing/Routing/SendQuotas.h
@@ -16,61 +16,63 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// This router's side of limits that upstreams have named for all routers together: which limits are in force, and how
-// many requests this router may send to each such upstream now.
+// This router's share of the limits that upstreams set for all routers together: which limits are in force, and how
+// many requests this router may send to each limited upstream now.
 //
-// A limit is about the whole fleet, so a router sends there only what it was allowed: a quota of single requests that
-// QuotaAssigner gives out, each valid for a short time. Without one it sends nothing, whatever the reason: it has just
-// heard of the limit, knows no other router yet, or is cut off. Safe to use from several threads.
+// A limit applies to the whole fleet, so the router sends requests to a limited upstream only within its quota: single
+// requests granted by QuotaAssigner, each valid for a short time. Without a quota it sends none, even if the limit is
+// new, no other router is connected yet, or the connections are lost. Thread-safe.
 class SendQuotas {
 public:
     enum class LimitChange : uint8_t { None, Named, Changed, Ended };
 
-    // What a response stated. `requestSent`: when the request was sent that it belongs to.
+    // Records what a response stated. `requestSent`: when its request was sent.
     LimitChange recordStatement(
         const UpstreamRecord&, const LimitStatement&, Common::TimePoint requestSent, Common::TimePoint now);
-    // What another router knows.
+    // Merges the state of another router.
     void merge(uint32_t key, const UpstreamLimit&);
 
-    // Whether any limit may be in force: if not, the calls below need not be made.
+    // Returns whether any limit may be in force. If not, the functions below need not be called.
     bool isActive() const { return m_isActive.load(std::memory_order_relaxed); }
     bool isLimited(uint32_t key) const;
-    // The keys of limits in force, in order.
+    // Returns the keys of the limits in force, sorted.
     std::vector<uint32_t> inForce() const;
-    // Whether a request may be sent there now: the upstream has no limit, or a request is left of the quota that is not
-    // kept for more urgent ones. `rank`: of the request, 0 is the most urgent.
+    // Returns whether a request may be sent to the upstream now: it has no limit, or the quota has a request left that
+    // is not reserved for more urgent ones. `rank`: urgency of the request, 0 is the highest.
     bool allowsRequest(uint32_t key, size_t rank, Common::TimePoint now) const;
-    // The same, whatever is kept, and takes the request out of the quota.
+    // Consumes one request of the quota, ignoring reservations. Returns false if none is left. Always true without a
+    // limit.
     bool take(uint32_t key, size_t rank, Common::TimePoint now);
-    // A request came that could go there.
+    // Records a request that could be sent to the upstream.
     void recordDemand(uint32_t key, Common::TimePoint now);
-    // A request could have gone there, and found no upstream at all.
+    // Records a request that could have been sent to the upstream but found no upstream at all.
     void recordUnplaced(uint32_t key, size_t rank, Common::TimePoint now);
 
-    // How long it takes until as many requests as could not be sent within the last second may be sent to any of these
-    // upstreams; none when none of them is limited.
+    // Returns the expected time until the requests of the last second that could not be sent may be sent to any of
+    // these upstreams, or nullopt if none of them has a limit in force.
     std::optional<Common::Milliseconds> expectedWait(std::span<const uint32_t> keys, Common::TimePoint now) const;
 
     struct KnownLimit {
         uint32_t key { 0 };
         UpstreamLimit limit;
-        unsigned wanted { 0 }; // Requests that this router could send there soon, beyond its quota.
+        unsigned wanted { 0 }; // Requests that this router expects to send soon, beyond its quota.
     };
-    // All limits that are known, also those that are over, since others may not know that yet.
+    // Returns all known limits, including those that have ended, because other routers may still consider them in
+    // force.
     std::vector<KnownLimit> knownLimits(Common::TimePoint now) const;
-    // Forgets limits of which nobody has heard for long.
+    // Removes limits for which there was no new information for a long time.
     void evictExpired(Common::TimePoint now);
     void add(uint32_t key, unsigned requests, Common::TimePoint expires);
 
     struct Summary {
-        size_t limited { 0 }; // Upstreams with a limit in force.
-        uint64_t allowed { 0 }; // Requests that this router was ever allowed.
-        uint64_t used { 0 }; // Of these, sent.
+        size_t limited { 0 }; // Number of upstreams with a limit in force.
+        uint64_t allowed { 0 }; // Total of requests granted to this router.
+        uint64_t used { 0 }; // Requests sent out of these.
     };
     Summary summary() const;
 
 private:
-    // Counts events of about the last second.
+    // Counts the events of approximately the last second.
     class RecentCount {
     public:
         void add(Common::TimePoint now);
@@ -83,11 +85,11 @@
     };
     struct Entry {
         UpstreamLimit limit;
-        std::deque<Common::TimePoint> quota; // When each request of it expires, the first one first.
+        std::deque<Common::TimePoint> quota; // Expiry of each granted request, the earliest first.
         RecentCount demand;
         RecentCount sent;
         std::map<size_t, RecentCount> unplaced; // By rank.
-        std::map<size_t, unsigned> sentSinceLastOfRank; // By rank: requests of others since the last one of it.
+        std::map<size_t, unsigned> sentSinceLastOfRank; // By rank; requests of other ranks sent since its last one.
     };
 
     static unsigned validRequests(const Entry&, Common::TimePoint now);
