--- a/Source/RouteServing/Routing/RequestIdentity.cpp
+++ b/Source/RouteServing/Routing/RequestIdentity.cpp
@@ -24,7 +24,7 @@
     return { target(request), request.body.size(), m_hash.of(parts) };
 }
 
-// Two numbers of 64 bits in hexadecimal digits, and the end of the text.
+// Two 64-bit numbers as hexadecimal digits, and the terminating zero.
 static constexpr size_t identityTextBytes = 2 * 16 + 1;
 
 std::string RequestIdentity::text() const
--- a/Source/RouteServing/Routing/RequestIdentity.h
+++ b/Source/RouteServing/Routing/RequestIdentity.h
@@ -8,14 +8,14 @@
 #include <string>
 #include <string_view>
 
-// When two requests are the same one, sent again: same caller, method, host, target with its query, and body. Not the
-// request id, which is new each time; not the key, which a workspace may change; not other headers, so that a stream
-// that its caller resumes stays the same request. Pure.
+// Identifies a request that is sent again: same caller, method, host, target with its query, and body. The identity
+// excludes the request id, which differs each time; the API key, which a workspace may change; and other headers, so
+// that a stream that its caller resumes keeps its identity. Does no I/O.
 namespace Brassladder::RouteServing::Routing {
 
-// What the identity follows from. Views into the request.
+// Inputs of the identity, as views into the request.
 struct RequestTraits {
-    std::string_view workspace; // Empty where no key is needed: all callers are one there.
+    std::string_view workspace; // Empty for routes without keys, where all callers count as one.
     std::string_view method;
     std::string_view host;
     std::string_view target;
@@ -23,19 +23,17 @@
 };
 
 struct RequestIdentity {
-    uint64_t target { 0 }; // Of all but the body: cheap, so it is compared first.
+    uint64_t target { 0 }; // Hash of everything but the body. It is cheap, so it is compared first.
     uint64_t bodyBytes { 0 };
     Common::KeyedHash::Value body {};
 
     auto operator<=>(const RequestIdentity&) const = default;
-    // For logs and operators: 32 hexadecimal digits.
+    // Returns 32 hexadecimal digits, for logs and operators.
     std::string text() const;
 };
 
-// Hashes with the fleet's key, so that no caller can make another one's request look like its own.
-//
-// Takes 0.45 us for the target alone, 1.1 us with a body of 800 bytes, 72 us with one of 110 KB, measured on a whole
-// core (Benchmarks/RequestHash); a quarter of a core takes four times as long.
+// Computes request identities with the fleet's key, so that no caller can construct a request with another caller's
+// identity. The cost grows with the body (Benchmarks/RequestHash).
 class RequestHasher {
 public:
     explicit RequestHasher(std::string_view fleetKey);
--- a/Source/RouteServing/Routing/Suspect.cpp
+++ b/Source/RouteServing/Routing/Suspect.cpp
@@ -9,15 +9,15 @@
 using namespace std::chrono_literals;
 using Common::TimePoint;
 
-// The users' rule: a request that has crashed three is not sent on.
+// Sequential crashes after which a request is held; a requirement of the users.
 static constexpr unsigned crashesToHold = 3;
 static constexpr unsigned crashesToRunAlone = 2;
-// How long a request is held before each trial; after the last one it stays held until an operator lifts it or it is
-// forgotten. A trial of a guilty request costs an engine with what runs there, and the users allow three sends after
-// the third crash at most. Chosen, not measured.
+// How long a request is held before each trial. After the last trial it stays held until an operator lifts it or it
+// expires. A failing trial costs an engine with all its requests, and the users allow at most three sends after the
+// third crash.
 static constexpr std::array<Common::Milliseconds, 3> holdDurations { 10min, 1h, 6h };
-// Two routers' notes of one event differ by the way that the messages took. Above that, and below the time from one
-// crash of an engine until the next by the same request (0.4 s at least in the played day).
+// Two routers' times of one event differ by the message delay. This value is above that delay, and below the time
+// between two crashes by the same request.
 static constexpr Common::Milliseconds sameEventTolerance = 300ms;
 
 std::string_view name(Suspicion suspicion)
@@ -37,9 +37,9 @@
     return "none";
 }
 
-// Two routers' notes of moments differ by the way of their messages, some milliseconds; engines that crash together do
-// so within 2.4 ms. A run that began this long before a crash may have begun after it, and one that ended this soon
-// after it may have ended with it. A request that ends its engine takes 100 ms and more from its start until then
+// Two routers' times differ by the message delay, some milliseconds, and engines that crash together do so within a few
+// milliseconds. A run that began this long before a crash may have begun after it, and one that ended this soon after a
+// crash may have ended with it. A request that crashes its engine takes longer than that
 // (docs/incidents/crashing-request.md).
 static constexpr Common::Milliseconds clockTolerance = 40ms;
 
@@ -48,7 +48,8 @@
     return run.sent > before.ended - clockTolerance && run.ended > before.ended + clockTolerance;
 }
 
-// The longest chain of runs that followed each other: of those that come next, the one that ended first.
+// Returns the longest chain of sequential runs. The runs are ordered by end time, so the greedy choice of the next run
+// that ends first gives the longest chain.
 static std::vector<const CrashedRun*> sequentialRuns(const SuspectRecord& suspect)
 {
     std::vector<const CrashedRun*> chain;
@@ -101,7 +102,7 @@
     return count.all ? Suspicion::Once : Suspicion::None;
 }
 
-// Drops the oldest run that the chain does without.
+// Drops the oldest run outside the chain, or the oldest run if all are in the chain.
 static void dropOldestOutsideChain(SuspectRecord& suspect)
 {
     auto chain = sequentialRuns(suspect);
@@ -126,13 +127,13 @@
     if (suspect.runs.size() <= maxCrashedRuns)
         return true;
     dropOldestOutsideChain(suspect);
-    // It may have been the one: said again and again, it is never news.
+    // The new run itself may have been dropped, and must then not count as a change each time it is reported.
     return hasRunAt(suspect, run.upstream);
 }
 
 bool clear(SuspectRecord& suspect, TimePoint at)
 {
-    // The earliest time has no distance to anything.
+    // TimePoint::min() means never cleared.
     bool isKnown = suspect.cleared != TimePoint::min() && at <= suspect.cleared + sameEventTolerance;
     if (at == TimePoint::min() || isKnown)
         return false;
--- a/Source/RouteServing/Routing/Suspect.h
+++ b/Source/RouteServing/Routing/Suspect.h
@@ -10,15 +10,16 @@
 #include <string>
 #include <vector>
 
-// A request that was under way at upstreams when they crashed, and what follows for it. Pure.
+// A request that was in flight at upstreams when they crashed, and the restrictions that follow for it. Does no I/O and
+// reads no clock.
 //
-// Of up to 64 requests that an engine takes with it one is guilty, and all are suspects. What tells them apart: the
-// guilty one never ends well, so any run that does clears a request; and it crashes one upstream after the other, so
-// crashes count in turn, each by a run that was sent after the crash before. A popular request that was under way at
-// twenty engines of one rack has one crash in turn; a request that is never finished has as many as it was sent on for.
+// When an engine crashes, any of its up to 64 requests in flight may be the cause, so all of them are suspects. A
+// request that causes crashes never completes and crashes one upstream after another. A completed run therefore clears
+// a request, and only sequential crashes lead to holding it: each of the runs was sent after the previous crash. A
+// popular request that was in flight at twenty engines of a failed rack has one sequential crash.
 namespace Brassladder::RouteServing::Routing {
 
-// One run that an upstream's crash ended.
+// A run that ended with a crash of its upstream.
 struct CrashedRun {
     UpstreamIncarnation upstream;
     std::string requestId;
@@ -30,46 +31,46 @@
     RequestIdentity request;
     std::string workspace;
     std::string target;
-    // One for each start of an upstream, by the time of their end; the oldest may be missing (maxCrashedRuns).
+    // At most one per upstream incarnation, ordered by end time. The oldest may be missing (maxCrashedRuns).
     std::vector<CrashedRun> runs;
-    // When a run of it ended well last, or an operator lifted it; the earliest time when neither was.
+    // When a run last completed or an operator lifted the suspicion; TimePoint::min() if neither happened.
     Common::TimePoint cleared { Common::TimePoint::min() };
-    // Runs that were allowed while it was held, since then.
+    // Trial runs that were allowed while the request was held, since `cleared`.
     unsigned trials { 0 };
     Common::TimePoint lastTrial { Common::TimePoint::min() };
 };
 
-// Kept of one request: enough for the crashes in turn and the newest ones.
+// Runs kept per request, enough for the sequential and the newest ones.
 inline constexpr size_t maxCrashedRuns = 8;
 
 enum class Suspicion : uint8_t {
     None,
-    Once, // It was there when one upstream crashed: served, but a failed attempt is not tried again by the router.
-    Repeated, // Two: it runs alone, one run in the whole fleet at a time.
-    Held, // Three in turn: it is not sent on.
-    OnTrial, // Held for long enough: one run in the whole fleet may be tried.
+    Once, // In flight at one crash: served, but the router does not retry a failed attempt.
+    Repeated, // In flight at two or more crashes: runs alone, one run at a time in the whole fleet.
+    Held, // Three sequential crashes: not sent to any upstream.
+    OnTrial, // Held for long enough: one trial run in the whole fleet is allowed.
 };
 std::string_view name(Suspicion);
 
 struct CrashCount {
-    unsigned all { 0 }; // Upstreams that crashed while it was under way there.
-    unsigned sequential { 0 }; // The longest chain of them in which each run was sent after the crash before.
+    unsigned all { 0 }; // Upstreams that crashed while the request was in flight there.
+    unsigned sequential { 0 }; // Longest chain in which each run was sent after the previous crash.
 };
-// Of the runs that nothing has cleared since.
+// Counts the crashes since the request was last cleared.
 CrashCount countCrashes(const SuspectRecord&);
 Suspicion suspicionOf(const SuspectRecord&, Common::TimePoint now);
-// When the next trial is due; none when it is not held, or no more are made.
+// Returns when the next trial is due, or nullopt if the request is not held or has no trials left.
 std::optional<Common::TimePoint> nextTrial(const SuspectRecord&);
-// The newest thing that happened to it.
+// Returns the time of the newest crash, trial or clearing.
 Common::TimePoint lastEventAt(const SuspectRecord&);
 
-// Adds a run; false when that start of the upstream is known, or the run was cleared.
+// Adds a run. Returns false if the record did not change: a run at that incarnation is known, or the run was cleared.
 bool addRun(SuspectRecord&, const CrashedRun&);
-// Adds what another router knows of the same request; false when there was nothing new in it.
+// Merges another router's record of the same request. Returns false if it contained nothing new.
 bool merge(SuspectRecord&, const SuspectRecord& other);
-// A trial begins.
+// Records the start of a trial.
 void countTrial(SuspectRecord&, Common::TimePoint);
-// It has ended well, or was lifted; false when that is no news.
+// Records that a run completed or an operator lifted the suspicion. Returns false if that was already known.
 bool clear(SuspectRecord&, Common::TimePoint);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -8,17 +8,16 @@
 using namespace std::chrono_literals;
 using Common::TimePoint;
 
-// An entry takes 2 KB at most, all of them 2 MB (measured by SuspectLedgerTest, eight runs each). The crash of one
-// engine makes up to 64. Chosen, not measured.
+// Bound the memory to about 2 MB, with at most 2 KB per entry. The crash of one engine adds up to 64 entries.
 static constexpr size_t maxEntries = 1024;
 static constexpr size_t maxEntriesOfWorkspace = 128;
-// Which part goes when there is no room: one at a time would look at all of them for each new one.
+// One in this many candidates is evicted at once, because each eviction scans all of them.
 static constexpr size_t evictionDivisor = 8;
-// How long after the last event an entry is kept: a caller that comes again does so within minutes; one that is held
-// is remembered for a day, or its next send would cost three upstreams again. Chosen, not measured.
+// How long an entry is kept after its last event. Callers that retry do so within minutes. A held request is kept
+// longer, because without its entry it could crash three more upstreams.
 static constexpr Common::Milliseconds suspectRetention = 10min;
 static constexpr Common::Milliseconds heldSuspectRetention = 24h;
-// How often old entries are looked for.
+// Interval between scans for expired entries.
 static constexpr Common::Milliseconds sweepInterval = 10s;
 
 bool SuspectLedger::isExpired(const SuspectRecord& record, TimePoint now)
@@ -63,7 +62,7 @@
 {
     std::lock_guard lock(m_mutex);
     auto found = m_entries.find(request);
-    // Without a crash since, it is no news to anybody.
+    // Without a crash since the last clearing there is nothing to clear.
     if (found != m_entries.end() && !found->second.record.runs.empty() && clear(found->second.record, now))
         recordChange(found->second, now);
 }
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -15,59 +15,61 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The suspects that this router knows, by its own attempts and from others (Suspect.h). Bounded: by workspace, so that
-// one whose requests differ each time drops its own entries only, and in all. Safe to use from several threads.
+// The suspects known to this router, from its own attempts and from other routers (Suspect.h). Bounded per workspace,
+// so that a workspace whose requests all differ evicts only its own entries, and in total. Thread-safe.
 class SuspectLedger {
 public:
-    // Whether so little is to be expected of it that it is not kept, here and in the store.
+    // Returns whether the record is too old to be kept, here and in the store.
     static bool isExpired(const SuspectRecord&, Common::TimePoint now);
 
-    // What a request's first check costs as long as nobody is suspected: one load of an atomic.
+    // Returns whether there are no suspects. Lock-free, because every request checks it first.
     bool isEmpty() const { return !m_size.load(std::memory_order_relaxed); }
-    // Whether a suspect has this target and a body of this size. Without one, the body need not be hashed.
+    // Returns whether a suspect has this target hash and body size. If not, the body need not be hashed.
     bool mayContain(uint64_t target, uint64_t bodyBytes) const;
     std::optional<SuspectRecord> find(const RequestIdentity&) const;
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
-    // An upstream crashed while these attempts of this router were under way there.
+    // Records the crash of an upstream with these attempts of this router in flight there.
     void recordCrash(const UpstreamIncarnation&, std::span<const InterruptedAttempt>, Common::TimePoint now);
-    // A run of it has ended well. Says nothing of a request that is not suspected.
+    // Records a completed run of the request. Does nothing if the request is not a suspect.
     void recordCompleted(const RequestIdentity&, Common::TimePoint now);
-    // An operator vouches for the request of that text; false when it is not known.
+    // Clears the request with this identity text on behalf of an operator. Returns false if it is not known.
     bool lift(std::string_view identityText, Common::TimePoint now);
-    // What another router, or the store, knows.
+    // Merges a record from another router or from the store.
     void merge(const SuspectRecord&, Common::TimePoint now);
 
-    // Entries in one message: about 12 KB, 10 ms on a link of 10 Mbit/s. Chosen, not measured.
+    // Limits a message to about 12 KB.
     static constexpr size_t maxRecordsPerMessage = 64;
-    // What changed after a revision, the earliest changes first, and up to which revision.
+    // Selects the records that `changesAfter` returns.
     enum class Scope : uint8_t {
-        All, // For hubs, which add up what routers saw.
-        Repeated, // For routers that a hub serves: those with two crashes or more, and what became of them.
+        All, // For hubs, which combine the records of all routers.
+        Repeated, // For routers that a hub serves: records with two or more crashes, and their later changes.
     };
     struct Changes {
         std::vector<SuspectRecord> records;
-        uint64_t upTo { 0 };
+        uint64_t upTo { 0 }; // All changes up to this revision are included.
     };
+    // Returns the records that changed after the revision, the earliest changes first.
     Changes changesAfter(uint64_t revision, Scope, size_t maxRecords = maxRecordsPerMessage) const;
     uint64_t revision() const;
     std::map<Suspicion, size_t> countByState(Common::TimePoint now) const;
-    // All, the most suspicious first.
+    // Returns all records, the most suspicious first.
     std::vector<SuspectRecord> list(Common::TimePoint now) const;
 
 private:
     struct Entry {
         SuspectRecord record;
-        uint64_t revision { 0 }; // Of its newest change.
-        bool wasRepeated { false }; // It had two crashes once: what follows concerns every router.
+        uint64_t revision { 0 }; // Revision of the newest change.
+        bool wasRepeated { false }; // It has had two crashes, so its later changes concern every router.
     };
     using Entries = std::map<RequestIdentity, Entry>;
 
-    // The callers of the rest hold the lock.
+    // The functions below require the lock.
     Entry& findOrCreate(const SuspectRecord& named, Common::TimePoint now);
     void recordChange(Entry&, Common::TimePoint now);
     void evictExpired(Common::TimePoint now);
-    // Makes room: the least suspicious go, and of equals those that have been quiet for the longest. There must be one.
+    // Evicts a fraction of the candidates, the least suspicious first, and among equals those with the oldest last
+    // event. There must be at least one candidate.
     void evictLeastSuspicious(const std::function<bool(const SuspectRecord&)>& isCandidate, Common::TimePoint now);
     void erase(Entries::iterator);
 
