--- a/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
@@ -16,12 +16,12 @@
 {
     FreshnessLease lease(5000ms);
     Common::TimePoint start(1h);
-    EXPECT_FALSE(lease.isFresh(start)) << "nothing was confirmed yet";
+    EXPECT_FALSE(lease.isFresh(start)) << "nothing has been confirmed yet";
     lease.confirm(start);
     EXPECT_TRUE(lease.isFresh(start + 4999ms));
     EXPECT_FALSE(lease.isFresh(start + 5000ms));
     lease.confirm(start - 1s);
-    EXPECT_TRUE(lease.isFresh(start + 4999ms)) << "a late answer to an earlier reading takes nothing back";
+    EXPECT_TRUE(lease.isFresh(start + 4999ms)) << "a delayed response to an earlier read does not shorten the lease";
     EXPECT_EQ(lease.age(start + 300ms), 300ms);
 }
 
@@ -30,7 +30,7 @@
     EXPECT_TRUE(FreshnessLease(0ms).isFresh(Common::TimePoint(9h)));
 }
 
-// In any window, retries stay within ratio x requests of that window + allowance, whatever the order of events.
+// For any order of events, the retries in each window stay within ratio x requests of that window + allowance.
 TEST(RetryWindowTest, NoWindowHasMoreRetriesThanItsBoundsAllow)
 {
     bool holds = rc::check("each sliding window is within the bound", [] {
@@ -74,7 +74,7 @@
     UpstreamHealth health;
     Common::TimePoint now(1h);
     health.record(AttemptOutcome::Interrupted, now);
-    EXPECT_FALSE(health.isEjected(now)) << "one failure is a single request's misfortune";
+    EXPECT_FALSE(health.isEjected(now)) << "one failure may be an isolated fault";
     health.record(AttemptOutcome::Interrupted, now);
     EXPECT_TRUE(health.isEjected(now + 499ms));
     EXPECT_FALSE(health.isEjected(now + 500ms));
@@ -84,7 +84,7 @@
     now += 1100ms;
     health.record(AttemptOutcome::Answered, now);
     health.record(AttemptOutcome::Interrupted, now);
-    EXPECT_FALSE(health.isEjected(now)) << "an answer ends the row";
+    EXPECT_FALSE(health.isEjected(now)) << "a response resets the count of consecutive failures";
 }
 
 TEST(UpstreamHealthTest, CancelledAndRefusedAttemptsDoNotCount)
--- a/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
@@ -24,10 +24,10 @@
     EXPECT_LE(resting.retryAfter, 2502ms);
     EXPECT_EQ(noUpstreamRefusal({}, false, s_now).kind, ErrorKind::NoUpstream);
     EXPECT_EQ(noUpstreamRefusal({ s_now + 1s, 1s }, true, s_now).kind, ErrorKind::UpstreamBroken)
-        << "it may have run at the one before";
+        << "an earlier attempt may have run";
     auto limited = noUpstreamRefusal({ s_now + 2500ms, 400ms }, false, s_now);
     EXPECT_EQ(limited.kind, ErrorKind::UpstreamsLimited);
-    EXPECT_EQ(limited.retryAfter, 400ms) << "the first chance of all";
+    EXPECT_EQ(limited.retryAfter, 400ms) << "the quota is available before the cooldown ends";
     EXPECT_EQ(noUpstreamRefusal({ s_now + 100ms, 400ms }, false, s_now).kind, ErrorKind::UpstreamsResting);
 }
 
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -66,11 +66,11 @@
     EXPECT_EQ(assigner.assign(2, s_now), 2U);
     EXPECT_EQ(assigner.granted("b", 1), 2U);
     EXPECT_EQ(assigner.assign(1, s_now), 1U);
-    EXPECT_EQ(assigner.granted("a", 1), 1U) << "both lack one, and b had the last";
-    EXPECT_EQ(assigner.assign(5, s_now), 1U) << "no more is wanted";
+    EXPECT_EQ(assigner.granted("a", 1), 1U) << "equal unmet demand, and b had the last grant";
+    EXPECT_EQ(assigner.assign(5, s_now), 1U) << "there is no more unmet demand";
 }
 
-// The message with the grant is still under way, or was lost: it is not given again.
+// A grant whose message is in transit or was lost is not given again.
 TEST(QuotaAssignerTest, AGrantInFlightIsNotGivenTwice)
 {
     QuotaAssigner assigner;
@@ -89,13 +89,13 @@
     EXPECT_EQ(assigner.assign(2, s_now + 600ms), 0U);
     assigner.record("a", { 1, 2, 0 }, s_now + 1s);
     assigner.assign(2, s_now + 1s);
-    EXPECT_EQ(assigner.granted("a", 2), 0U) << "another process";
+    EXPECT_EQ(assigner.granted("a", 2), 0U) << "another process of the requester";
     assigner.record("a", { 2, 1, 0 }, s_now + 2s);
     assigner.assign(2, s_now + 2s);
     EXPECT_EQ(assigner.granted("a", 2), 1U);
 }
 
-// A hub that has forgotten the router goes on from what the router has received.
+// A hub without an entry for the router continues from the count that the router has received.
 TEST(QuotaAssignerTest, CountsContinueFromTheReceivedCount)
 {
     QuotaAssigner assigner;
@@ -108,16 +108,17 @@
 {
     QuotaOwnership ownership;
     QuotaOwnership::StableSince since { s_now - 1h, s_now - 1h };
-    EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the hubs have stood for long";
+    EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the set of hubs has been stable for long";
     EXPECT_FALSE(ownership.update("other", "self", since, s_now + 1s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s + quotaLifetime - 1ms));
     EXPECT_TRUE(ownership.update("self", "self", since, s_now + 2s + quotaLifetime));
     since.running = s_now + 10s;
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 10s))
-        << "it was paused: another one may have taken over";
+        << "it was paused, so another owner may have taken over";
     QuotaOwnership fresh;
-    EXPECT_FALSE(fresh.update("self", "self", { s_now, s_now - 1h }, s_now + 100ms)) << "the hubs were others just now";
+    EXPECT_FALSE(fresh.update("self", "self", { s_now, s_now - 1h }, s_now + 100ms))
+        << "the set of hubs has just changed";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
@@ -37,7 +37,7 @@
     auto now = s_now;
     for (auto expected : { 25ms, 50ms, 100ms, 200ms }) {
         backoff.recordRefusal(now);
-        backoff.recordRefusal(now) /* under way at the first one */;
+        backoff.recordRefusal(now) /* in flight at the first refusal */;
         EXPECT_TRUE(backoff.isBackedOff(now + expected - 1ms));
         now += expected;
         EXPECT_FALSE(backoff.isBackedOff(now));
@@ -45,13 +45,13 @@
     backoff.recordResponse();
     backoff.recordRefusal(now);
     EXPECT_TRUE(backoff.isBackedOff(now + 199ms));
-    EXPECT_FALSE(backoff.isBackedOff(now + 200ms)) << "100 ms after the response, doubled again";
+    EXPECT_FALSE(backoff.isBackedOff(now + 200ms)) << "halved to 100 ms by the response, then doubled";
     for (int refusal = 0; refusal < 10; ++refusal) {
         now += 5s;
         backoff.recordRefusal(now);
     }
     EXPECT_TRUE(backoff.isBackedOff(now + 3999ms));
-    EXPECT_FALSE(backoff.isBackedOff(now + 4s)) << "bounded";
+    EXPECT_FALSE(backoff.isBackedOff(now + 4s)) << "the doubling is bounded";
 }
 
 TEST(RefusalBackoffTest, AfterARefusalRequestsGoOneAtATimeUntilThereIsAResponse)
@@ -62,15 +62,14 @@
     EXPECT_FALSE(backoff.isBackedOff(now));
     backoff.recordStart(now);
     EXPECT_TRUE(backoff.isBackedOff(now + 99ms));
-    EXPECT_FALSE(backoff.isBackedOff(now + 100ms)) << "it has not refused the first one";
+    EXPECT_FALSE(backoff.isBackedOff(now + 100ms)) << "the first request was not refused";
     backoff.recordStart(now + 100ms);
     backoff.recordResponse();
     EXPECT_FALSE(backoff.isBackedOff(now + 101ms));
 }
 
-// What users saw: two engines of twelve refused nearly all in a millisecond, so that they had the fewest requests
-// outstanding and got most of what came. Here one upstream of four refuses all and never asks for rest; the other three
-// are always busier. Without the back-off it is sent 997 of 1,000 requests, with it 9.
+// An upstream that refuses immediately has the fewest outstanding requests, so placement by load would send it nearly
+// everything. Here one upstream of four refuses all requests and the others are always busier.
 TEST(RefusalBackoffTest, AFastRefusingUpstreamDoesNotAttractLoad)
 {
     UpstreamRegistry registry("north");
@@ -89,14 +88,14 @@
         }
         registry.recordResponse(placement.upstream);
         running.push_back(placement);
-        // Each of the others has some requests outstanding all the time.
+        // The other upstreams always have outstanding requests.
         if (running.size() > 9) {
             registry.recordEnd(running.front(), false, AttemptOutcome::Answered, now);
             running.erase(running.begin());
         }
     }
     EXPECT_LE(refused, 20U);
-    EXPECT_GE(refused, 7U) << "it is tried about every four seconds";
+    EXPECT_GE(refused, 7U) << "it is still tried about every four seconds";
 }
 
 TEST(RefusalBackoffTest, BackedOffUpstreamsAreUsedWhenNoOtherIsLeft)
@@ -111,7 +110,7 @@
     }
 }
 
-// Many requests wait for the end of a rest: the first goes there, the next ones to others until it is not refused.
+// When a cooldown ends, only one waiting request is sent to the upstream; the next ones go to others until it responds.
 TEST(RefusalBackoffTest, AfterACooldownOneTrialRequestIsSentFirst)
 {
     UpstreamRegistry registry("north");
@@ -127,7 +126,7 @@
     }
     EXPECT_EQ(sent, 1U);
     registry.recordResponse(rested);
-    EXPECT_EQ(registry.choose(request(), now)->upstream.id, rested.id) << "it has the fewest";
+    EXPECT_EQ(registry.choose(request(), now)->upstream.id, rested.id) << "it has the fewest outstanding requests";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <rapidcheck.h>
 
-// What upstreams have stated, against all that the registry does beside it.
+// Statements of upstreams take precedence over the other state of the registry.
 namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
@@ -49,7 +49,7 @@
     EXPECT_EQ(registry.choose(request(), s_now + 1s)->upstream.id, "u2");
 }
 
-// An ejection is this router's guess and gives way; what the other one has asked for does not.
+// An ejection is a heuristic and may be ignored; a cooldown may not.
 TEST(RegistryStatementsTest, AnEjectedUpstreamIsPreferredToOneInCooldown)
 {
     UpstreamRegistry registry("north");
@@ -64,7 +64,7 @@
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, ejected);
 }
 
-// Its entry lapses and comes back, or comes again as ready: the same process has the same rest.
+// The process may leave the list and return, or be listed as ready again: its statements still apply.
 TEST(RegistryStatementsTest, NoListOverridesAStatement)
 {
     for (const auto& statement : { cooldownOfThreeSeconds, leaving }) {
@@ -77,12 +77,12 @@
         EXPECT_FALSE(registry.permitSend(upstream("u1", 1000), s_now + 2s));
         EXPECT_EQ(registry.isServing("u1"), !statement.isLeaving);
         registry.setUpstreams({ upstream("u1", 2000) });
-        EXPECT_TRUE(registry.choose(request(), s_now + 2s)) << "another start has stated nothing";
+        EXPECT_TRUE(registry.choose(request(), s_now + 2s)) << "another incarnation has made no statement";
         EXPECT_TRUE(registry.isServing("u1"));
     }
 }
 
-// It is chosen, and asks for rest before the request is sent: while the connection is made, or another attempt waits.
+// An upstream may start a cooldown after it was chosen, while the router connects or waits for another attempt.
 TEST(RegistryStatementsTest, ACooldownThatStartsAfterTheChoiceRevokesThePermit)
 {
     UpstreamRegistry registry("north");
@@ -94,7 +94,7 @@
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now + 3s));
 }
 
-// Peers compare lists by their digest: what an upstream stated to one router must not make it send its list on and on.
+// Peers compare lists by digest. A statement to one router must not make it send its list again and again.
 TEST(RegistryStatementsTest, AStatementDoesNotChangeTheDigest)
 {
     UpstreamRegistry registry("north");
@@ -105,7 +105,8 @@
     EXPECT_FALSE(registry.upstreams().front().leaving);
 }
 
-// Random histories of lists, failures, refusals and rests: nothing is ever chosen, or permitted, that rests or leaves.
+// Random histories of lists, failures, refusals and cooldowns: no upstream that is leaving or in a cooldown is chosen
+// or gets a permit.
 TEST(RegistryStatementsTest, NothingOverridesAStatementInRandomHistories)
 {
     bool holds = rc::check("statements hold", [] {
--- a/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(known, other([](auto& request) { request.host = "h.example:8080"; }));
 }
 
-// Where one part ends counts: a caller cannot move bytes from one to the next.
+// The hash covers the boundaries of the parts, so moving bytes from one part to the next changes it.
 TEST(RequestIdentityTest, PartBoundariesChangeTheHash)
 {
     RequestHasher hasher("key");
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -38,7 +38,7 @@
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 699ms));
-    EXPECT_FALSE(quotas.take(s_key, 0, s_now + 699ms)) << "each request takes one";
+    EXPECT_FALSE(quotas.take(s_key, 0, s_now + 699ms)) << "each request consumes one of the quota";
 }
 
 TEST(SendQuotasTest, AQuotaExpires)
@@ -51,7 +51,7 @@
     EXPECT_EQ(quotas.summary().used, 0U);
 }
 
-// Responses on different connections overtake each other.
+// Responses on different connections may arrive out of order.
 TEST(SendQuotasTest, OnlyAResponseToALaterRequestEndsALimit)
 {
     SendQuotas quotas;
@@ -84,7 +84,7 @@
     EXPECT_TRUE(quotas.take(limitKey(upstream(2000)), 0, s_now));
 }
 
-// In whatever order they hear of it, and however often.
+// Messages may arrive in any order and more than once.
 TEST(SendQuotasTest, MergingLimitsDoesNotDependOnOrder)
 {
     UpstreamLimit named { 2, s_now, Common::TimePoint::min() };
@@ -111,7 +111,7 @@
     EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 2U);
     quotas.add(s_key, 1, s_now + 700ms);
     EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 1U);
-    EXPECT_EQ(quotas.knownLimits(s_now + 3s).front().wanted, 0U) << "nobody asks any more";
+    EXPECT_EQ(quotas.knownLimits(s_now + 3s).front().wanted, 0U) << "there is no recent demand";
 }
 
 TEST(SendQuotasTest, TheExpectedWaitCoversTheUnsentBacklog)
@@ -122,28 +122,28 @@
     quotas.recordStatement(upstream(), { 2 }, s_now, s_now);
     for (int request = 0; request < 6; ++request)
         quotas.recordDemand(s_key, s_now);
-    EXPECT_EQ(quotas.expectedWait(keys, s_now), 1000ms) << "nothing is known of the rate";
+    EXPECT_EQ(quotas.expectedWait(keys, s_now), 1000ms) << "nothing was sent, so there is no rate";
     quotas.add(s_key, 2, s_now + 700ms);
     quotas.take(s_key, 0, s_now);
     quotas.take(s_key, 0, s_now);
-    EXPECT_EQ(quotas.expectedWait(keys, s_now), 2000ms) << "four more, two a second";
+    EXPECT_EQ(quotas.expectedWait(keys, s_now), 2000ms) << "four unsent requests at two per second";
 }
 
-// While more urgent requests find no upstream at all, what little may be sent is for them.
+// While more urgent requests find no upstream, the quota is reserved for them.
 TEST(SendQuotasTest, TheQuotaIsReservedForMoreUrgentRequests)
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
     quotas.add(s_key, 100, s_now + 1h);
-    EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now)) << "none is missing";
+    EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now)) << "no more urgent request is waiting";
     quotas.recordUnplaced(s_key, 1, s_now);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 2, s_now));
     EXPECT_TRUE(quotas.allowsRequest(s_key, 1, s_now));
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now));
-    EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now + 2s)) << "that was a while ago";
+    EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now + 2s)) << "the unplaced request is no longer recent";
 }
 
-// A long burst of urgent requests stops no others for good.
+// A long burst of urgent requests must not block less urgent ones completely.
 TEST(SendQuotasTest, LessUrgentRequestsAreNotStarved)
 {
     SendQuotas quotas;
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -50,14 +50,14 @@
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Held);
 }
 
-// A rack of engines loses power while a popular prompt is under way at ten of them.
+// Ten engines of a rack fail together while a popular request is in flight at each of them.
 TEST(SuspectTest, SimultaneousCrashesAreNotSequential)
 {
     SuspectRecord suspect;
     for (int engine = 0; engine < 10; ++engine)
         addRun(suspect, runAt("e" + std::to_string(engine), Common::Milliseconds(engine * 20), 500ms + engine * 1ms));
     EXPECT_EQ(countCrashes(suspect).sequential, 1U);
-    EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Repeated) << "it runs alone until a run ends well";
+    EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Repeated) << "it runs alone until a run completes";
     clear(suspect, s_start + 2s);
     EXPECT_EQ(suspicionOf(suspect, s_start + 2s), Suspicion::None);
 }
@@ -68,7 +68,7 @@
     EXPECT_FALSE(addRun(suspect, runAt("a", 100ms, 201ms)));
     auto again = runAt("a", 300ms, 500ms);
     again.upstream.born = 2;
-    EXPECT_TRUE(addRun(suspect, again)) << "a later start under the same id is another process";
+    EXPECT_TRUE(addRun(suspect, again)) << "a later incarnation of the id is another process";
     EXPECT_EQ(countCrashes(suspect).sequential, 2U);
 }
 
@@ -77,7 +77,7 @@
     auto suspect = suspectWith({ runAt("a", 0ms, 200ms), runAt("b", 300ms, 500ms) });
     EXPECT_TRUE(clear(suspect, s_start + 600ms));
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::None);
-    EXPECT_FALSE(addRun(suspect, runAt("b", 300ms, 500ms))) << "another router says it late";
+    EXPECT_FALSE(addRun(suspect, runAt("b", 300ms, 500ms))) << "a delayed message of another router";
     addRun(suspect, runAt("c", 700ms, 900ms));
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Once);
 }
@@ -92,16 +92,16 @@
         EXPECT_EQ(suspicionOf(suspect, last + hold), Suspicion::OnTrial);
         last += hold;
         countTrial(suspect, last);
-        EXPECT_EQ(suspicionOf(suspect, last), Suspicion::Held) << "one run, not two";
+        EXPECT_EQ(suspicionOf(suspect, last), Suspicion::Held) << "a single trial run is allowed";
     }
     EXPECT_FALSE(nextTrial(suspect));
     EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::Held);
     clear(suspect, last + 48h);
-    EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::None) << "an operator lifts it";
+    EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::None) << "an operator lifted the suspicion";
     EXPECT_FALSE(nextTrial(suspect));
 }
 
-// Whatever way the notes come, and however often, all routers end up with the same.
+// All routers converge to the same state, in whatever order and however often records arrive.
 TEST(SuspectTest, MergingIsTheSameInAnyOrderAndHoweverOften)
 {
     EXPECT_TRUE(rc::check([] {
@@ -110,7 +110,7 @@
             SuspectRecord one;
             auto sent = Common::Milliseconds(*rc::gen::inRange(0, 9000));
             auto upstream = std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 12)));
-            // One start crashes once.
+            // One incarnation crashes once.
             auto ended = Common::Milliseconds(1000 * (upstream[0] - 'a') + 500);
             addRun(one, runAt(upstream, std::min(sent, ended), ended));
             if (*rc::gen::inRange(0, 4) == 0)
@@ -142,13 +142,13 @@
     EXPECT_FALSE(addRun(suspect, runAt("e5", 0ms, 505ms)));
     addRun(suspect, runAt("f", 600ms, 800ms));
     addRun(suspect, runAt("g", 900ms, 1100ms));
-    EXPECT_EQ(suspicionOf(suspect, s_start + 2s), Suspicion::Held) << "the chain is kept";
+    EXPECT_EQ(suspicionOf(suspect, s_start + 2s), Suspicion::Held) << "the sequential runs are kept";
 }
 
 namespace {
 
-// A fleet with one ledger, on virtual time: requests come again and again, one of them crashes each engine that runs
-// it, and engines crash by themselves beside.
+// A fleet with one ledger on virtual time. Requests are repeated, one of them crashes each engine that runs it, and
+// engines also crash for other reasons.
 struct History {
     static constexpr size_t engines = 12;
     static constexpr size_t innocents = 6;
@@ -157,10 +157,10 @@
     TimePoint now { s_start };
     uint64_t born { 0 };
     size_t guiltyRuns { 0 };
-    // Since when an innocent one is held without a trial that was due.
+    // Since when an innocent request is held without a due trial.
     std::map<uint64_t, TimePoint> heldSince;
 
-    // Whether a request may run now; a trial is counted.
+    // Returns whether a request may run now. Counts a trial.
     bool mayRun(uint64_t number)
     {
         auto suspicion = ledger.suspicionOf(identityOf(number), now);
@@ -172,7 +172,7 @@
         return suspicion != Suspicion::Held;
     }
 
-    // Runs these requests on one engine: it crashes when the guilty one is among them, or by itself.
+    // Runs these requests on one engine. It crashes if the guilty one is among them or if `crashesByItself` is set.
     void play(const std::vector<uint64_t>& numbers, bool crashesByItself, Common::Milliseconds time)
     {
         auto sent = now;
@@ -194,8 +194,8 @@
 
 } // namespace
 
-// However engines crash beside it: a request that ever ends well is held until its first trial that no other crash
-// hits, ten minutes at most, and one that never does is not sent on after the third crash but for its three trials.
+// A request that can complete is held for ten minutes at most, until its first trial without an unrelated crash. A
+// request that never completes runs at most three times before it is held, and three more times as trials.
 TEST(SuspectTest, InnocentRequestsAreHeldForTenMinutesAtMostAndGuiltyOnesRunThreeTimes)
 {
     EXPECT_TRUE(rc::check([] {
@@ -210,7 +210,7 @@
             if (!batch.empty())
                 history.play(batch, crashesByItself, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
             history.now += Common::Milliseconds(*rc::gen::inRange(50, 3000));
-            // Without other crashes for a while, whoever was held is tried and cleared.
+            // Without other crashes, a held innocent request gets a trial and is cleared.
             if (step % 100 == 99) {
                 history.now += 10min;
                 for (uint64_t number = 1; number <= History::innocents; ++number) {
@@ -247,7 +247,7 @@
     SuspectLedger ledger;
     EXPECT_TRUE(ledger.isEmpty());
     ledger.recordCompleted(identityOf(1), s_start);
-    EXPECT_TRUE(ledger.isEmpty()) << "a good end of a request that nobody suspects is no entry";
+    EXPECT_TRUE(ledger.isEmpty()) << "a completed request that is not a suspect adds no entry";
     std::vector<InterruptedAttempt> attempts { attemptOf(1, s_start, s_start + 1s) };
     ledger.recordCrash({ "a", 1 }, attempts, s_start + 1s);
     EXPECT_TRUE(ledger.mayContain(1, 10));
@@ -279,7 +279,7 @@
     EXPECT_LT(ledger.changesAfter(0, Scope::All, 1).upTo, ledger.revision());
 }
 
-// A caller that changes a byte each time is not caught; it fills its own workspace's share and drops nobody else's.
+// A caller that varies its requests fills only its own workspace's share and evicts no entry of another workspace.
 TEST(SuspectLedgerTest, AWorkspaceEvictsOnlyItsOwnEntriesAndHeldRequestsStay)
 {
     SuspectLedger ledger;
@@ -336,7 +336,7 @@
     };
     touch(3, s_start + 11min);
     EXPECT_FALSE(ledger.find(identityOf(2)));
-    EXPECT_TRUE(ledger.find(identityOf(1))) << "it is held";
+    EXPECT_TRUE(ledger.find(identityOf(1))) << "held requests are kept longer";
     touch(4, s_start + 25h);
     EXPECT_FALSE(ledger.find(identityOf(1)));
 }
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -44,11 +44,11 @@
     registry.setUpstreams({ leaving });
     EXPECT_FALSE(registry.choose(plainRequest(), s_now));
     registry.setUpstreams({ upstream("u1") });
-    EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a late list says that it is serving";
+    EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a delayed list says that it is serving";
     EXPECT_FALSE(registry.isServing("u1"));
 }
 
-// What may crash its upstream goes where it takes least with it.
+// A request that may crash its upstream is sent where the crash affects the fewest other requests.
 TEST(UpstreamRegistryTest, AnIsolatedRequestGoesToTheLeastLoadedUpstream)
 {
     UpstreamRegistry registry("north");
@@ -84,13 +84,14 @@
     auto second = first;
     second.born = 2000;
     registry.setUpstreams({ second });
-    EXPECT_TRUE(registry.isServing("u1")) << "the start before was leaving, this one is not";
-    EXPECT_TRUE(registry.ownLoads().empty()) << "it runs nothing of ours";
-    EXPECT_NE(registry.digest(), before) << "peers must be told";
+    EXPECT_TRUE(registry.isServing("u1")) << "the earlier incarnation was leaving, this one is not";
+    EXPECT_TRUE(registry.ownLoads().empty()) << "the new incarnation has no outstanding requests";
+    EXPECT_NE(registry.digest(), before) << "peers must notice the change";
     registry.recordStart(*registry.choose(plainRequest(), s_now));
     registry.recordEnd(*sentToFirst, false, AttemptOutcome::Interrupted, s_now);
-    EXPECT_EQ(registry.ownLoads().begin()->second.requests, 1U) << "what was sent to the first one is over";
-    // A write of the first start that comes late.
+    EXPECT_EQ(registry.ownLoads().begin()->second.requests, 1U)
+        << "the first incarnation's request does not count here";
+    // A delayed write of the first incarnation.
     registry.setUpstreams({ leaving });
     EXPECT_TRUE(registry.isServing("u1"));
     EXPECT_EQ(registry.upstreams().at(0).born, 2000U);
@@ -110,7 +111,7 @@
     EXPECT_FALSE(registry.isServing("u1"));
     late.born = 1000;
     registry.setUpstreams({ late });
-    EXPECT_FALSE(registry.isServing("u1")) << "an earlier start is over as well";
+    EXPECT_FALSE(registry.isServing("u1")) << "an earlier incarnation is obsolete as well";
     late.born = 3000;
     registry.setUpstreams({ late });
     EXPECT_TRUE(registry.isServing("u1"));
@@ -125,8 +126,8 @@
     EXPECT_TRUE(registry.isServing("u1"));
 }
 
-// Whatever lists arrive in whatever order: what is usable is named in the list in force, is no start that was ever
-// leaving, and none before one that was known.
+// For any sequence of lists: each usable upstream is in the current list, was never leaving in this incarnation, and is
+// not older than a known incarnation.
 TEST(UpstreamRegistryTest, NoListRestoresAnObsoleteIncarnation)
 {
     EXPECT_TRUE(rc::check([] {
@@ -168,7 +169,7 @@
     };
     endOne(true, AttemptOutcome::Answered);
     endOne(false, AttemptOutcome::Interrupted);
-    EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now)) << "none broke off in the middle of an answer";
+    EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now)) << "no attempt failed in the middle of a response";
     endOne(true, AttemptOutcome::Interrupted);
     EXPECT_TRUE(registry.midStreamFailuresAreLikely(s_now + 59s));
     EXPECT_FALSE(registry.midStreamFailuresAreLikely(s_now + 60s));
@@ -225,7 +226,7 @@
     UpstreamRegistry::Placement second { upstream("u2"), 0, false };
     registry.recordStart(second);
     registry.recordEnd(second, false, AttemptOutcome::ConnectFailed, s_now);
-    EXPECT_TRUE(registry.choose(plainRequest(), s_now)) << "a try is better than a refusal";
+    EXPECT_TRUE(registry.choose(plainRequest(), s_now)) << "an attempt is better than a refusal";
 }
 
 TEST(UpstreamRegistryTest, AnOutlierIsChosenLast)
@@ -258,7 +259,7 @@
     EXPECT_EQ(chosen.size(), 2U);
 }
 
-// An engine is taken to prefill ten tokens in a millisecond, as it did before.
+// The first three generations establish a prefill speed of ten tokens per millisecond.
 TEST(UpstreamRegistryTest, AGenerationThatMissesItsDeadlineIsLateAndYieldsToOthers)
 {
     UpstreamRegistry registry("north");
@@ -271,7 +272,7 @@
         request.due = s_now + 500ms;
         return *registry.choose(request, s_now);
     };
-    EXPECT_EQ(choose(100'000).punctuality, Punctuality::OnTime) << "nothing is known of the engine";
+    EXPECT_EQ(choose(100'000).punctuality, Punctuality::OnTime) << "there is no estimate for the engine yet";
     for (uint32_t tokens : { 1000, 3000, 5000 }) {
         auto seen = choose(tokens);
         registry.recordStart(seen);
@@ -283,16 +284,16 @@
     EXPECT_EQ(inTime.expectedFirstEvent, 400ms);
     registry.recordStart(inTime);
     auto late = choose(4000);
-    EXPECT_EQ(late.punctuality, Punctuality::Late) << "behind the first one";
+    EXPECT_EQ(late.punctuality, Punctuality::Late) << "it waits behind the first one";
     registry.recordStart(late);
-    EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U) << "the late one lets it go first";
+    EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U) << "the late one yields to it";
     registry.recordEnd(late, false, AttemptOutcome::CancelledAfterSending, s_now);
     EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U);
     registry.recordEnd(inTime, false, AttemptOutcome::CancelledAfterSending, s_now);
     EXPECT_EQ(choose(100).queuedPrefillTokens, 0U);
 }
 
-// Peers state 0 for a list that they do not have, and were never sent an empty one.
+// Digest 0 means that a peer has no list, so peers would not request an empty one.
 TEST(UpstreamRegistryTest, AnEmptyListHasADigest)
 {
     UpstreamRegistry registry("north");
--- a/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
@@ -31,14 +31,14 @@
     UpstreamStatements statements;
     auto u1 = upstream("u1");
     EXPECT_TRUE(statements.record(u1, cooldown(3s), s_now));
-    EXPECT_FALSE(statements.record(u1, cooldown(500ms), s_now + 1s)) << "known to rest";
-    EXPECT_FALSE(statements.allowRequest(u1, s_now + 2999ms)) << "a shorter rest takes nothing back";
+    EXPECT_FALSE(statements.record(u1, cooldown(500ms), s_now + 1s)) << "its cooldown is already known";
+    EXPECT_FALSE(statements.allowRequest(u1, s_now + 2999ms)) << "a shorter cooldown does not replace a longer one";
     EXPECT_TRUE(statements.allowRequest(u1, s_now + 3s));
     statements.record(u1, cooldown(3s), s_now + 2s);
     EXPECT_EQ(statements.cooldownEnd(u1, s_now + 4s), s_now + 5s);
     EXPECT_EQ(statements.cooldownEnd(u1, s_now + 5s), std::nullopt);
-    EXPECT_TRUE(statements.record(u1, cooldown(1s), s_now + 6s)) << "news again";
-    EXPECT_TRUE(statements.allowRequest(upstream("u2"), s_now)) << "it asked for itself";
+    EXPECT_TRUE(statements.record(u1, cooldown(1s), s_now + 6s)) << "a new cooldown after the last one ended";
+    EXPECT_TRUE(statements.allowRequest(upstream("u2"), s_now)) << "the cooldown applies to u1 only";
     EXPECT_EQ(statements.cooldownCount(s_now + 6s), 1U);
 }
 
@@ -50,7 +50,7 @@
     EXPECT_TRUE(statements.allowRequest(upstream("u1", 2000), s_now));
     statements.record(upstream("u1", 2000), cooldown(1s), s_now);
     EXPECT_FALSE(statements.record(upstream("u1", 1000), cooldown(60s), s_now))
-        << "a late response of the start before";
+        << "a delayed response of the earlier incarnation";
     EXPECT_FALSE(statements.isLeaving(upstream("u1", 2000)));
     EXPECT_TRUE(statements.allowRequest(upstream("u1", 2000), s_now + 1s));
 }
@@ -61,12 +61,12 @@
     auto u1 = upstream("u1");
     EXPECT_TRUE(statements.record(u1, leaving, s_now));
     EXPECT_FALSE(statements.record(u1, leaving, s_now));
-    EXPECT_FALSE(statements.record(u1, {}, s_now)) << "an older response that comes late says nothing of it";
+    EXPECT_FALSE(statements.record(u1, {}, s_now)) << "an older, delayed response without a statement";
     EXPECT_TRUE(statements.isLeaving(u1));
     EXPECT_FALSE(statements.allowRequest(u1, s_now + 24h));
 }
 
-// What is kept is bounded, and no rest that goes on is given up for it.
+// The number of entries is bounded, and no active cooldown is evicted.
 TEST(UpstreamStatementsTest, OldEntriesAreEvictedButActiveCooldownsAreKept)
 {
     UpstreamStatements statements;
@@ -75,8 +75,8 @@
     for (int index = 0; index < 20'000; ++index)
         statements.record(upstream("u" + std::to_string(index)), leaving, s_now + Common::Milliseconds(index));
     EXPECT_FALSE(statements.allowRequest(resting, s_now + 599s));
-    EXPECT_FALSE(statements.allowRequest(upstream("u19999"), s_now + 30s)) << "the newest is known";
-    EXPECT_TRUE(statements.allowRequest(upstream("u0"), s_now + 30s)) << "the oldest of 20,000 is not";
+    EXPECT_FALSE(statements.allowRequest(upstream("u19999"), s_now + 30s)) << "the newest entry is kept";
+    EXPECT_TRUE(statements.allowRequest(upstream("u0"), s_now + 30s)) << "the oldest of 20,000 entries is evicted";
 }
 
 } // namespace Brassladder::RouteServing::Routing
