--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -49,10 +49,11 @@
     const auto* holder = inForce.workspaceOfKey(key);
     if (holder && holder->name == admittedWorkspace->name)
         return std::nullopt;
-    // The caller would be admitted if it came now, so it may come again.
+    // The current configuration would admit the request, so the caller may retry.
     if (holder || !inForce.requiresKeys())
-        return Refusal { ErrorKind::PlatformUnavailable, "the key does not belong to the same workspace any more" };
-    return Refusal { ErrorKind::Unauthenticated, "the key was withdrawn" };
+        return Refusal { ErrorKind::PlatformUnavailable,
+            "the key no longer belongs to the workspace that the request was admitted for" };
+    return Refusal { ErrorKind::Unauthenticated, "the key was revoked" };
 }
 
 Common::Milliseconds requestTimeout(const Route& route, std::optional<Common::Milliseconds> callerTimeout)
--- a/Source/RouteServing/Routing/Admission.h
+++ b/Source/RouteServing/Routing/Admission.h
@@ -9,52 +9,53 @@
 #include <string>
 #include <string_view>
 
-// Whether a request is admitted, and until when it may be held. Pure: the caller passes in what it knows.
+// Decides whether a request is admitted and how long it may be held. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// A final response of the router's own.
+// A final response that the router generates itself.
 struct Refusal {
     Common::ErrorKind kind { Common::ErrorKind::Internal };
-    std::string reason; // For people; the kind is the contract.
-    Common::Milliseconds retryAfter { 0 }; // When the caller may come back; zero: as the kind says.
+    std::string reason; // For people; callers rely on the kind.
+    Common::Milliseconds retryAfter { 0 }; // When the caller may retry; zero: the default of the kind.
 };
 
-// What the router knows at the moment when the request arrives.
+// The router's state when a request arrives.
 struct RouterState {
-    bool isStopping { false }; // Late in a planned stop: nothing new is begun.
-    const RouteTable* table { nullptr }; // Null until a configuration is known.
+    bool isStopping { false }; // Late phase of a planned stop: no new request is accepted.
+    const RouteTable* table { nullptr }; // Null until the first configuration is loaded.
     bool hasUpstreamList { false };
-    bool isKeyLeaseValid { false }; // The lease of FreshnessLease.h holds.
+    bool isKeyLeaseValid { false }; // See FreshnessLease.
 };
 
 struct RequestTarget {
-    std::string_view host; // As in the `Host` header; a port is ignored.
+    std::string_view host; // Value of the `Host` header; a port is ignored.
     std::string_view path; // Without the query.
-    std::string_view key; // Empty when the request shows none.
+    std::string_view key; // Empty if the request carries no key.
 };
 
 struct Admission {
-    const Route* route { nullptr }; // Also set when the key is what was refused.
-    const Workspace* workspace { nullptr }; // Null on anonymous routes and without workspaces.
-    std::optional<Refusal> refusal; // None: the request is admitted.
+    const Route* route { nullptr }; // Also set if the key was refused.
+    const Workspace* workspace { nullptr }; // Null on anonymous routes and if the configuration has no workspaces.
+    std::optional<Refusal> refusal; // Empty if the request is admitted.
 };
 
-// Checks, in this order: planned stop, configuration known, route, lease on the keys, key.
+// Checks, in this order: planned stop, configuration, route, key lease, key.
 Admission admit(const RouterState&, const RequestTarget&);
 
-// Why the key that a request was admitted with may not be used for an attempt now; none when it may. A key may be
-// withdrawn at any time, also while an attempt runs, so it is judged by the table in force, and only while the lease
-// holds. `admittedWorkspace`: the workspace at admission; null when no key was needed, which stays so.
+// Checks again, before an attempt, whether the key of an admitted request may still be used. Returns a refusal, or
+// nullopt if it may. A key may be revoked at any time, so the check uses the current table `inForce` and requires a
+// valid key lease. `admittedWorkspace` is the workspace at admission. If it is null, the request needed no key and the
+// check passes.
 //
-// Only the key is judged again. The route is that of the admission: a request that was admitted is served to its end
-// also when its route is dropped or changed meanwhile.
+// Only the key is checked again. An admitted request keeps its route, even if a newer configuration changes or removes
+// it.
 std::optional<Refusal> revalidateKey(
     const RouteTable& inForce, const Workspace* admittedWorkspace, std::string_view key, bool isKeyLeaseValid);
 
-// How long a request may be held: the route's timeout, or less when its caller waits for less.
+// Returns how long a request may be held: the shorter of the route's timeout and the caller's timeout.
 Common::Milliseconds requestTimeout(const Route&, std::optional<Common::Milliseconds> callerTimeout);
 
-// The service that a request goes to, by the weights of the route's shares. `random`: any evenly distributed number.
+// Selects the service for a request by the weights of the route's shares. `random` is a uniformly distributed number.
 std::string_view pickService(const Route&, uint64_t random);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/ConnectionPolicy.h
+++ b/Source/RouteServing/Routing/ConnectionPolicy.h
@@ -6,27 +6,26 @@
 
 #include <algorithm>
 
-// Which connection an attempt may use, and how long it may take to open one. Pure.
+// Decides which connections an attempt may use and how long opening one may take. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// Bounds on the time for a new connection to an upstream. Within a site a connection takes about a millisecond, so the
-// lower bound leaves room for a loaded upstream; the upper one lets another upstream be tried before callers give up.
-// Chosen, not measured.
+// Bounds on the timeout for opening a connection to an upstream. The lower bound leaves room for a loaded upstream. The
+// upper bound leaves time to try another upstream before the caller gives up.
 inline constexpr Common::Milliseconds minConnectTimeout { 50 };
 inline constexpr Common::Milliseconds maxConnectTimeout { 500 };
 
-// An upstream may close an idle connection just as a request is written to it, and then nobody knows whether the
-// request ran. A request that must not run twice therefore uses an idle connection only for this long after its last
-// use. Chosen, not measured: well below the seconds for which upstreams keep idle connections.
+// An upstream may close an idle connection while a request is written to it, and then it is unknown whether the request
+// ran. A request that must not run twice therefore uses a connection only if it has been idle for at most this long,
+// well below the usual idle timeout of upstreams.
 inline constexpr Common::Milliseconds maxIdleTimeForOnceOnly { 1000 };
 
-// Half of the time in which the response is due, within the bounds above.
+// Returns half of the route's objective, clamped to the bounds above.
 inline Common::Milliseconds connectTimeout(const Route& route)
 {
     return std::clamp(route.objective / 2, minConnectTimeout, maxConnectTimeout);
 }
 
-// The longest time for which a connection may have been idle to carry a request of this route.
+// Returns how long a connection may have been idle to be used for a request on this route.
 inline Common::Milliseconds maxIdleTime(const Route& route)
 {
     return route.mayRepeat() ? Common::Milliseconds::max() : maxIdleTimeForOnceOnly;
--- a/Source/RouteServing/Routing/FreshnessLease.h
+++ b/Source/RouteServing/Routing/FreshnessLease.h
@@ -7,21 +7,21 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Whether the configuration in force was confirmed recently enough to serve requests that show a key. A key may be
-// withdrawn at any time, so a router that cannot read the configuration must stop using keys within a bound.
+// Tracks whether the current configuration was confirmed recently enough to serve requests that carry a key. A key may
+// be revoked at any time, so a router that cannot read the configuration must stop using keys within a bound.
 //
-// The lease runs from the *start* of the last successful read: what was accepted before that moment is in force. It is
-// measured on the monotonic clock, which goes on while the process is stopped. Safe to use from several threads.
+// The lease runs from the *start* of the last successful read, because only changes accepted before that moment are
+// certain to be included. It uses the monotonic clock, which continues while the process is stopped. Thread-safe.
 class FreshnessLease {
 public:
-    // `duration`: how old the last confirmation may be. Zero: the lease never expires.
+    // `duration` is the maximum age of the last confirmation. Zero: the lease never expires.
     explicit FreshnessLease(Common::Milliseconds duration)
         : m_duration(duration)
     {
     }
 
-    // The lease for a bound after which a withdrawn key must not be used: it expires earlier by 5%, for the time that a
-    // request takes from the check to the upstream. The margin was chosen, not measured.
+    // Returns the lease duration for a bound after which a revoked key must not be used. It is 5% shorter, to cover the
+    // time that a request takes from the check to the upstream.
     static Common::Milliseconds durationWithin(Common::Milliseconds bound) { return bound - bound / marginDivisor; }
 
     void confirm(Common::TimePoint readingStarted)
@@ -32,9 +32,9 @@
     }
 
     bool isFresh(Common::TimePoint now) const { return m_duration.count() == 0 || now < confirmed() + m_duration; }
-    // Whether there ever was a confirmation.
+    // Whether there was ever a confirmation.
     bool isConfirmed() const { return confirmed() > Common::TimePoint {}; }
-    // Since the last confirmation; the longest there is when there was none.
+    // Returns the time since the last confirmation, or the maximum if there was none.
     Common::Milliseconds age(Common::TimePoint now) const
     {
         return isConfirmed() ? Common::toMilliseconds(now - confirmed()) : Common::Milliseconds::max();
--- a/Source/RouteServing/Routing/Prompt.h
+++ b/Source/RouteServing/Routing/Prompt.h
@@ -6,8 +6,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// One part of a prompt. Requests share parts; an engine that has a part and all parts before it in its prefix cache
-// does not prefill it again.
+// One part of a prompt. Requests share parts: an engine that has a part and all parts before it in its prefix cache
+// does not prefill them again.
 struct PromptPart {
     uint64_t id { 0 };
     uint32_t tokens { 0 };
@@ -17,10 +17,10 @@
 struct Prompt {
     uint32_t tokens { 0 };
     uint32_t maxOutputTokens { 0 };
-    std::vector<PromptPart> parts; // In order; the last one belongs to this request alone.
+    std::vector<PromptPart> parts; // In order; the last one is not shared with other requests.
 
     bool isKnown() const { return tokens > 0; }
-    // The longest prefix that other requests may share, by its last part. Null when there is none.
+    // Returns the last part of the longest prefix that other requests may share, or null if there is none.
     const PromptPart* sharedPrefix() const { return parts.size() < 2 ? nullptr : &parts[parts.size() - 2]; }
     uint32_t sharedTokens() const; // Tokens of all parts but the last.
 };
--- a/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Each row breaks one condition; the ones before it in the order of the checks hold.
+// Each row fails one check and passes those before it.
 TEST(AdmissionTest, TheFirstConditionThatDoesNotHoldRefuses)
 {
     auto table = tableWithKeys();
@@ -91,7 +91,7 @@
         return RouteTable::Builder().workspace({ std::string(name), std::nullopt }, { std::string(key) }).build();
     };
     for (const auto& [inForce, expected] : std::vector<Case> {
-             { table("w", "key"), std::nullopt }, // Without the route: a request that was admitted keeps it.
+             { table("w", "key"), std::nullopt }, // Without the route: an admitted request keeps its route.
              { table("w", "other"), ErrorKind::Unauthenticated },
              { table("v", "key"), ErrorKind::PlatformUnavailable },
              { RouteTable::Builder().build(), ErrorKind::PlatformUnavailable },
@@ -119,7 +119,7 @@
     for (uint64_t random = 0; random < 8; ++random)
         EXPECT_EQ(pickService(route, random), random % 4 < 3 ? "a" : "b") << random;
     route.shares = { { "a", 0 }, { "b", 0 } };
-    EXPECT_EQ(pickService(route, 1), "a") << "without weights the first one takes all";
+    EXPECT_EQ(pickService(route, 1), "a") << "without weights the first service receives all requests";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
@@ -56,7 +56,7 @@
     Route once = route("a", "/");
     EXPECT_FALSE(once.mayRepeat());
     once.resumable = true;
-    EXPECT_FALSE(once.mayRepeat()) << "resumable says something of streams alone";
+    EXPECT_FALSE(once.mayRepeat()) << "resumable applies only to streams";
     once.kind = RouteKind::Stream;
     EXPECT_TRUE(once.mayRepeat());
     once.resumable = false;
