--- a/Source/RouteServing/Routing/DecodeReservation.cpp
+++ b/Source/RouteServing/Routing/DecodeReservation.cpp
@@ -7,17 +7,14 @@
 
 using namespace std::chrono_literals;
 
-// Share of a batch that decode-heavy generations use while prompts begin in time. Chosen, not measured on its own;
-// keeping the two kinds apart took a burst on nine engines from a worth of 0.680 to 0.868 (docs/MEASUREMENTS.md).
+// Planned share of a batch on reserved engines while prefill-heavy generations begin in time.
 static constexpr double decodeShareOfBatch = 0.5;
-// The share that they use while prompts do not, or where all of them would need more than half of the engines. Half at
-// all times left 1,250 long responses late in a burst on 90 engines (docs/DESIGN.md, trials).
+// Planned share while they are late, and before more than half of the engines are reserved.
 static constexpr double maxDecodeShareOfBatch = 0.9;
-// Engines are reserved for this many times the known decode-heavy generations, because new ones begin before reports of
-// them arrive. Chosen, not measured.
+// Engines are reserved for this many times the known decode-heavy generations, because new ones begin before load
+// reports include them.
 static constexpr double decodeHeadroom = 1.25;
-// For how long the largest need counts, and a late prompt. Chosen, not measured: a few times the 0.1 s of load reports,
-// and about as long as a long response takes.
+// How long a peak or a late prefill counts: several load reports, and about the duration of a long response.
 static constexpr Common::Milliseconds peakHoldTime = 3000ms;
 
 size_t PeakHold::update(size_t needed, Common::TimePoint now)
@@ -51,7 +48,7 @@
         = m_atNearlyFullBatch.update(enginesForBatchShare(maxDecodeShareOfBatch, generations, batch), now);
     if (hadLatePrefill(now))
         return std::min(atNearlyFull, engines.size());
-    // Nearly full batches before any engine beyond half of them.
+    // Plans nearly full batches before reserving more than half of the engines.
     auto withinHalf = std::min(atHalf, engines.size() / 2);
     return std::min(std::max(withinHalf, atNearlyFull), engines.size());
 }
--- a/Source/RouteServing/Routing/DecodeReservation.h
+++ b/Source/RouteServing/Routing/DecodeReservation.h
@@ -9,8 +9,7 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// A number of engines that was needed lately: the largest of the last seconds, so that engines are not given away in a
-// short lull.
+// Holds the largest number of engines needed within the last seconds, so that a short lull does not release engines.
 class PeakHold {
 public:
     size_t update(size_t needed, Common::TimePoint now);
@@ -20,22 +19,22 @@
     Common::TimePoint m_at {};
 };
 
-// How many engines are kept for decode-heavy generations, so that no long prompt delays their decoding.
+// Computes how many engines are reserved for decode-heavy generations, so that long prompts do not delay their
+// decoding.
 //
-// Each engine takes up to half of a batch while prefill-heavy generations begin in time on the engines that are left.
-// While they do not, decode-heavy ones fill their engines nearly, on about half as many: a fuller batch decodes a
-// little slower, which their pauses bear, and prompts that are late need the engines more. Nearly full at all times
-// cost 0.035 of worth in bursts on 90 engines in which prompts are seldom late (two seeds of two days, trials).
+// Reserved engines are planned at half a batch on up to half of the engines, and at nearly full batches beyond that.
+// While prefill-heavy generations are late, nearly full batches are planned throughout: this takes about half as many
+// engines, and a fuller batch decodes only slightly slower.
 //
-// Not safe for several threads.
+// Not thread-safe.
 class DecodeReservation {
 public:
-    // A prefill-heavy generation cannot begin in time on the engines that are left to it.
+    // Records that a prefill-heavy generation cannot begin in time on the engines left to it.
     void recordLatePrefill(Common::TimePoint now) { m_lastLatePrefill = now; }
 
-    // How many engines decode-heavy generations need now. `batch`: requests that one engine runs at once.
+    // Returns how many engines to reserve now. `batch` is the number of requests that one engine runs at once.
     size_t enginesNeeded(std::span<const EngineState>, unsigned batch, Common::TimePoint now);
-    // Another decode-heavy generation was placed.
+    // Records that a decode-heavy generation was placed.
     void recordDecodeHeavy(Common::TimePoint now);
 
 private:
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -9,17 +9,13 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// A decoded token costs an engine about as much as this many prefilled ones: it needs a step of its own. Chosen, not
-// measured.
+// Cost of one decoded token in prefill tokens: each decoded token needs a step of its own.
 static constexpr uint64_t prefillTokensPerDecodedToken = 10;
-// What one running request costs a new prompt, in prefill tokens: it lengthens each step of the batch a little. Chosen,
-// not measured.
+// Cost of one running request to a new prompt, in prefill tokens: it slightly lengthens each step of the batch.
 static constexpr double prefillTokensPerRunningRequest = 30;
-// A shared prefix that is prefilled again costs this many times its tokens: it delays the prefills behind it and evicts
-// another cached prefix. Measured on the grown scale-1: worth 0.667 with 4, 0.789 with 10, 0.802 with 30
-// (docs/DESIGN.md, trials).
+// Cost factor of prefilling a shared prefix again: it delays the prefills queued behind it and evicts another prefix.
 static constexpr double repeatedPrefillFactor = 10;
-// The cost at an outlier is multiplied by this. Chosen, not measured.
+// Cost factor of an outlier.
 static constexpr double outlierCostFactor = 5;
 
 bool EnginePlacement::isDecodeHeavy(const Prompt& prompt)
@@ -38,8 +34,8 @@
     return order;
 }
 
-// Power of two choices: load reports lag by up to one exchange interval, so always picking the least loaded engine
-// would make all routers pick the same one.
+// Selects by power of two choices: load reports lag by up to one exchange interval, so always picking the least loaded
+// engine would make all routers pick the same one.
 static size_t pickDecodeEngine(std::span<const EngineState> engines, std::span<const size_t> reserved)
 {
     auto draw = [&] { return reserved[Common::randomNumber() % reserved.size()]; };
@@ -50,7 +46,8 @@
     return engines[a].running <= engines[b].running ? a : b;
 }
 
-// The engine that should have the prompt's shared prefix cached, by rendezvous hashing; none without a shared prefix.
+// Returns the engine that should have the prompt's shared prefix cached, by rendezvous hashing, or nullopt if the
+// prompt has no shared prefix.
 static std::optional<size_t> cacheHome(
     const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> offered)
 {
@@ -69,14 +66,8 @@
     return home;
 }
 
-// The engine with the lowest cost, in prefill tokens until the new prompt is done.
-//
-// A prefix that can be fetched counts as if it were prefilled again: often the other engine has evicted it. Counted as
-// a fifth, prompts left their engines more readily, and in bursts on 90 engines 58% more tokens were prefilled
-// twice (39.1 against 24.7 million, worth 0.738 against 0.782, two seeds of two days). Where the fetch succeeds it
-// saves the prefill: worth 0.647 against 0.639 on nine engines (mean of 20 days) while engines served in order of
-// arrival, and 0.002 to 0.010 in bursts on 90 to 112 engines since late generations go last (one seed each, near the
-// noise).
+// Returns the engine with the lowest cost, in prefill tokens until the new prompt is prefilled. A prefix that can be
+// fetched from another engine is charged as if it were prefilled again, because that engine has often evicted it.
 static EnginePlacementResult pickPrefillEngine(const Prompt& prompt, std::span<const EngineState> engines,
     std::span<const size_t> offered, const EngineLimits& limits)
 {
--- a/Source/RouteServing/Routing/EngineState.h
+++ b/Source/RouteServing/Routing/EngineState.h
@@ -7,12 +7,12 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// What is known of one model engine when a generation is to be placed.
+// The router's view of one model engine when it places a generation.
 struct EngineState {
     std::string_view id;
-    double running { 0 }; // Requests there, of all routers as far as is known.
-    double decodeHeavy { 0 }; // Of those, the decode-heavy ones.
-    double prefillTokens { 0 }; // Prompt tokens that wait there for their prefill, of generations that go on time.
+    double running { 0 }; // Requests of all routers, as far as reported.
+    double decodeHeavy { 0 }; // The decode-heavy ones among them.
+    double prefillTokens { 0 }; // Prompt tokens waiting for their prefill, of generations that are on time.
     FirstEventEstimate firstEvent;
     bool isOutlier { false }; // Fails more often than the others.
 };
--- a/Source/RouteServing/Routing/FirstEventEstimate.cpp
+++ b/Source/RouteServing/Routing/FirstEventEstimate.cpp
@@ -6,14 +6,11 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Half of what was observed counts no more after this time. Half-lives of 5 and 15 s served as well on the users'
-// heaviest days (worth 0.694 and 0.693, mean of 20 days); the shorter one follows an engine that turns slow.
+// Half-life of the weight of an observation. It is short to follow an engine that slows down.
 static constexpr double halfLifeSeconds = 5.0;
-// What all engines of the service showed counts as this many observations of the engine. 5 and 20 served as well
-// (worth 0.696 and 0.694, mean of 20 days).
+// The weight of all observations of the service, as a number of observations of the engine.
 static constexpr double serviceWeightObservations = 5.0;
-// Below this share of the spread that its terms could have, the slope is noise: all observations had nearly the same
-// number of tokens. Chosen, not measured.
+// Below this relative spread, all observations have nearly the same number of tokens, and the slope is noise.
 static constexpr double minSpreadRatio = 1e-6;
 
 Common::Milliseconds FirstEventEstimate::delayFor(double tokens) const
@@ -52,7 +49,7 @@
         sums.add(shared, serviceWeightObservations / shared.count);
     if (sums.count <= 0 || sums.tokens <= 0)
         return {};
-    // Without a base all of the time would go to the tokens: the slope can't be steeper.
+    // The base cannot be negative, so the slope is at most that of a line without a base.
     double steepest = sums.milliseconds / sums.tokens;
     double spread = sums.count * sums.tokensSquared - sums.tokens * sums.tokens;
     double slope = steepest;
--- a/Source/RouteServing/Routing/FirstEventEstimate.h
+++ b/Source/RouteServing/Routing/FirstEventEstimate.h
@@ -3,28 +3,28 @@
 
 #include "Common/Clock.h"
 
-// How long a generation waits for its first event, learned from those before it. Pure.
+// Estimates how long a generation waits for its first event, from earlier generations. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// A straight line through observations: a base that every generation waits (its own first steps, the network), and the
-// time for each prompt token that the engine prefills before the event, its own and those ahead of it.
+// A linear model: a base delay for every generation (its own first steps, the network), plus a time for each prompt
+// token that the engine prefills before the event, of this prompt and of those queued before it.
 struct FirstEventEstimate {
     double baseMilliseconds { 0 };
     double millisecondsPerToken { 0 };
 
-    // Zero while nothing is known.
+    // Zero while there are no observations.
     Common::Milliseconds delayFor(double tokens) const;
 };
 
-// The observations of one engine, or of all engines of a service. Old ones are forgotten by halves, because an engine's
-// speed changes with its batch and with its faults. Not safe for several threads.
+// Observations of one engine, or of all engines of a service. Their weights decay exponentially, because an engine's
+// speed changes with its batch and with faults. Not thread-safe.
 class FirstEventObservations {
 public:
-    // `tokens` to be prefilled were known when the generation was placed; its first event came after `elapsed`.
+    // `tokens` is the number of tokens to prefill that was known at placement; the first event came after `elapsed`.
     void record(double tokens, Common::Milliseconds elapsed, Common::TimePoint now);
 
-    // The line by least squares. `service`: the observations of all engines of its kind; they count as a few of its
-    // own, so that an engine that this router seldom uses is judged by the others.
+    // Fits the line by least squares. `service` holds the observations of all engines of the service. They count as a
+    // few of the engine's own, so that the estimate for a seldom used engine relies on the others.
     FirstEventEstimate estimate(const FirstEventObservations& service, Common::TimePoint now) const;
 
 private:
@@ -39,7 +39,7 @@
     };
     Sums sumsAt(Common::TimePoint) const;
 
-    Sums m_sums; // As of `m_at`.
+    Sums m_sums; // With the weights as of `m_at`.
     Common::TimePoint m_at {};
 };
 
--- a/Source/RouteServing/Routing/PlainPlacement.cpp
+++ b/Source/RouteServing/Routing/PlainPlacement.cpp
@@ -6,13 +6,12 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Cost of another failure domain, in full loads of an upstream: bytes between domains are paid for, and the round trip
-// is a good part of a short call. Chosen, not measured.
+// Cost of another failure domain, in full loads of an upstream: traffic between domains is billed, and the round trip
+// is a considerable part of a short call.
 static constexpr double otherDomainCost = 0.34;
-// An outlier's cost is multiplied by this, so that it is used only when the others are busy. Chosen, not measured.
+// Cost factor of an outlier, so that it is used only while the others are busy.
 static constexpr double outlierCostFactor = 5.0;
-// Costs vary by up to this share at random: equal costs would otherwise make all routers choose the same upstream.
-// Chosen, not measured.
+// Costs vary randomly by up to this share. Otherwise all routers would choose the same upstream among equal ones.
 static constexpr double jitterShare = 0.02;
 
 static double baseCost(const PlainCandidate& candidate)
--- a/Source/RouteServing/Routing/Urgency.cpp
+++ b/Source/RouteServing/Routing/Urgency.cpp
@@ -11,7 +11,7 @@
     return priority ? *priority : std::numeric_limits<uint64_t>::max();
 }
 
-// How many of the priorities go before this one.
+// Returns how many priorities are more urgent than this one.
 template <typename Priority> static size_t countBefore(const std::set<Priority>& priorities, Priority priority)
 {
     return static_cast<size_t>(std::distance(priorities.begin(), priorities.lower_bound(priority)));
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -42,7 +42,7 @@
     for (uint64_t prefix = 100; prefix < 200; ++prefix) {
         auto pick = placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now);
         EXPECT_EQ(placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now)->index, pick->index);
-        EXPECT_EQ(pick->prefillTokens, 2000U) << "the shared prefix is cached there";
+        EXPECT_EQ(pick->prefillTokens, 2000U) << "the shared prefix is expected to be cached there";
         used.insert(pick->index);
     }
     EXPECT_EQ(used.size(), engines.size());
@@ -67,7 +67,7 @@
     EngineLimits fetching { s_limits.batch, true };
     auto engines = nineEngines();
     auto home = placement.place(prefillHeavy(5), engines, fetching, s_due, s_now);
-    EXPECT_FALSE(home->prefixSource) << "it is there";
+    EXPECT_FALSE(home->prefixSource) << "the engine is expected to have the prefix";
     engines[home->index].prefillTokens = 60'100;
     auto other = placement.place(prefillHeavy(5), engines, fetching, s_due, s_now);
     EXPECT_EQ(other->prefixSource, home->index);
@@ -76,7 +76,7 @@
         << "engines cannot fetch";
 }
 
-// Found on the users' platform: beside long prompts, the pauses of long answers passed their target.
+// Long prompts on the same engine would lengthen the pauses within long responses.
 TEST(EnginePlacementTest, LongResponsesAndLongPromptsDoNotShareAnEngine)
 {
     EnginePlacement placement;
@@ -96,7 +96,7 @@
     EXPECT_EQ(prefillEngines.size(), engines.size() - 1);
 }
 
-// Found on the users' grown platform: 80 routers that each saw a part filled one engine and left the others idle.
+// If routers counted only their own requests, all of them would fill one engine and leave the others idle.
 TEST(EnginePlacementTest, DecodeHeavyWorkOfOtherRoutersIsCountedAndSpread)
 {
     EnginePlacement placement;
@@ -106,11 +106,10 @@
     std::set<size_t> used;
     for (int index = 0; index < 300; ++index)
         used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, s_now)->index);
-    EXPECT_EQ(used.size(), 4U) << "90 generations and a quarter, 32 an engine";
+    EXPECT_EQ(used.size(), 4U) << "90 generations with 25% headroom, 32 per engine";
 }
 
-// Found on the users' grown platform: in a burst of long answers, those on engines where prompts were read paused
-// longer than their target, while those on engines of their own had room.
+// In a burst, long responses must not spread to the engines of long prompts while their own engines have room.
 TEST(EnginePlacementTest, DecodeHeavyWorkFillsItsEnginesBeforeItUsesOthers)
 {
     EnginePlacement placement;
@@ -123,11 +122,11 @@
             used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, s_now)->index);
         return used.size();
     };
-    EXPECT_EQ(usedBy(162), 4U) << "half of a batch would take seven engines, nine tenths take four";
-    EXPECT_EQ(usedBy(270), 6U) << "more than half of the engines hold";
+    EXPECT_EQ(usedBy(162), 4U) << "half-full batches would take seven engines, nearly full ones take four";
+    EXPECT_EQ(usedBy(270), 6U) << "nearly full batches take more than half of the engines";
 }
 
-// In a burst of prompts on the third site, half-full batches kept engines from prompts that were late.
+// In a burst of prompts, half-full batches would keep engines from late prompts.
 TEST(EnginePlacementTest, DecodeHeavyWorkUsesFewerEnginesWhilePromptsAreLate)
 {
     EnginePlacement placement;
@@ -140,13 +139,13 @@
             used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, now)->index);
         return used.size();
     };
-    EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U) << "90 generations and a quarter, 32 an engine";
+    EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U) << "90 generations with 25% headroom, 32 per engine";
     for (auto& engine : engines)
         engine.firstEvent = { 0, 1 };
     EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 3s, s_now)->punctuality, Punctuality::OnTime);
     EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U);
     EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 1s, s_now)->punctuality, Punctuality::Late);
-    EXPECT_EQ(enginesOfDecodeHeavy(s_now + 1s), 2U) << "57 an engine";
+    EXPECT_EQ(enginesOfDecodeHeavy(s_now + 1s), 2U) << "57 per engine";
     EXPECT_EQ(enginesOfDecodeHeavy(s_now + 4s), 4U) << "no prompt was late for three seconds";
 }
 
@@ -158,7 +157,8 @@
         engine.firstEvent = { 0, 100 };
     auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
     EXPECT_GT(pick->expectedFirstEvent, 600ms);
-    EXPECT_EQ(pick->punctuality, Punctuality::OnTime) << "it could be preempted in the middle of its response";
+    EXPECT_EQ(pick->punctuality, Punctuality::OnTime)
+        << "a late generation could be preempted in the middle of its response";
 }
 
 TEST(EnginePlacementTest, PrefillHeavyWorkKeepsHalfOfTheEngines)
--- a/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FirstEventEstimateTest.cpp
@@ -13,7 +13,7 @@
 
 constexpr Common::TimePoint s_now(1h);
 
-// An engine that takes 100 ms, and as many times `slowness` of a tenth of a millisecond as there are tokens.
+// An engine with a base of 100 ms that takes `slowness` tenths of a millisecond per token.
 FirstEventObservations engine(int slowness, std::initializer_list<int> tokens, Common::TimePoint now = s_now)
 {
     FirstEventObservations observations;
@@ -36,7 +36,7 @@
     EXPECT_EQ(estimate.delayFor(20'000), 2100ms);
 }
 
-// A line through one number of tokens has no slope; without a base it would promise less than what was seen.
+// Observations with equal tokens determine no slope, and a constant would be too low for longer prompts.
 TEST(FirstEventEstimateTest, ObservationsWithEqualTokensGiveAProportionalDelay)
 {
     auto estimate = engine(1, { 5000, 5000, 5000 }).estimate({}, s_now);
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -9,7 +9,7 @@
 #include <gtest/gtest.h>
 #include <random>
 
-// Plays bursts against the routing rules and engines on virtual time, and checks what callers get.
+// Simulates bursts on virtual time with the placement rules and simulated engines, and checks the outcome for callers.
 namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
@@ -17,29 +17,29 @@
 
 namespace {
 
-// The requests of one route.
+// The load of one route.
 struct RouteLoad {
     unsigned priority { 0 };
     double perSecond { 0 };
     uint32_t sharedTokens { 0 };
     unsigned prefixes { 1 };
-    double ownTokens { 0 }; // Mean; log-normal, as long prompts are rare.
+    double ownTokens { 0 }; // Mean of a log-normal distribution, as long prompts are rare.
     uint32_t outputTokens { 0 };
     Common::Milliseconds objective { 600 };
-    // A caller leaves when no event has come by then.
+    // A caller cancels if no event has arrived by then.
     Common::Milliseconds callerTimeout { 2400 };
 };
 
-// What the callers of one class got.
+// The outcome for the callers of one route.
 struct RouteOutcome {
     unsigned sent { 0 };
-    unsigned inTime { 0 }; // Of the first event.
+    unsigned inTime { 0 }; // First event within the objective.
     unsigned late { 0 };
     double inTimeShare() const { return static_cast<double>(inTime) / sent; }
     double servedShare() const { return static_cast<double>(inTime + late) / sent; }
 };
 
-// The level that a generation is sent with.
+// Returns the engine's priority level for a generation.
 using LevelRule = std::function<size_t(const UrgencyScale&, unsigned routePriority, Punctuality)>;
 
 size_t byRouteAndPunctuality(const UrgencyScale& urgency, unsigned routePriority, Punctuality punctuality)
@@ -65,7 +65,7 @@
             m_urgency.addRoute(each.priority);
     }
 
-    // What is sent during the warm-up, until the engines' speed is known, is not counted.
+    // Requests during the warm-up, while the engines' speed is still unknown, are not counted.
     std::vector<RouteOutcome> run(Common::Milliseconds warmUp, Common::Milliseconds length)
     {
         for (; m_now < m_begin + warmUp + length; m_now += 1ms) {
@@ -162,7 +162,7 @@
     UpstreamRegistry m_registry { "north" };
     UrgencyScale m_urgency;
     std::map<std::string, SimulatedEngine> m_engines;
-    std::map<uint64_t, Call> m_calls; // Under way, by number.
+    std::map<uint64_t, Call> m_calls; // In progress, by number.
     std::vector<RouteOutcome> m_outcomes;
     std::mt19937_64 m_random { 7 };
     Common::TimePoint m_now { m_begin };
@@ -170,11 +170,11 @@
     bool m_isCounted { false };
 };
 
-// Indices of the classes below.
+// Indices into the loads of burst().
 constexpr size_t prompts = 0;
 constexpr size_t chats = 1;
 
-// Long prompts that mostly share a prefix, and chats with long responses: the third site's load in a burst.
+// Long prompts that mostly share a prefix, and chats with long responses.
 std::vector<RouteLoad> burst(double promptsPerSecond)
 {
     return { { 1, promptsPerSecond, 6300, 40, 2890, 51, 600ms, 2400ms }, { 0, 30, 200, 8, 630, 290, 600ms, 2400ms } };
@@ -182,10 +182,7 @@
 
 } // namespace
 
-// 80 prompts a second are more than the engines can prefill in time, also with those that chats leave to them.
-// Of the prompts, 0.15 began in time and 0.63 began at all while engines took them in order of arrival; with those
-// first that can still be in time, 0.69 and 0.85. With half of the batches kept for chats throughout it was 0.60 and
-// 0.75.
+// 80 prompts a second are more than the engines can prefill in time. In order of arrival most would be late.
 TEST(OverloadTest, GenerationsThatCanStillBeInTimeGoFirst)
 {
     auto before = BurstSimulation(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
@@ -194,11 +191,10 @@
     auto after = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
     EXPECT_LT(before[prompts].inTimeShare(), 0.25);
     EXPECT_GT(after[prompts].inTimeShare(), 0.63);
-    EXPECT_GT(after[prompts].servedShare(), before[prompts].servedShare() + 0.1) << "nor are they shed for it";
+    EXPECT_GT(after[prompts].servedShare(), before[prompts].servedShare() + 0.1) << "late prompts are not starved";
 }
 
-// All workspaces have the same priority. Of the chats, 0.86 began in time while the route's priority was left out, as
-// urgent ones waited behind long prompts; with it, all of them.
+// All workspaces have the same priority. Without the route's priority, urgent chats would wait behind long prompts.
 TEST(OverloadTest, AnUrgentRouteDoesNotWaitBehindALessUrgentOne)
 {
     auto before = BurstSimulation(burst(80), [](const auto&, unsigned, Punctuality) { return size_t(0); }).run(2s, 9s);
@@ -207,7 +203,7 @@
     EXPECT_GT(after[chats].inTimeShare(), 0.98);
 }
 
-// A long prompt is the first to be late, but it must not starve while there is room between the others.
+// Long prompts become late first, but must not starve while there is capacity left.
 TEST(OverloadTest, LateGenerationsAreServedInTheRoomThatIsLeft)
 {
     auto after = BurstSimulation(burst(30), byRouteAndPunctuality).run(2s, 9s);
--- a/Source/UnitTests/RouteServing/Routing/PlainPlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PlainPlacementTest.cpp
@@ -15,7 +15,7 @@
     std::vector<PlainCandidate> candidates { { 4, 6 }, { 1, 6 }, { 2, 6 } };
     EXPECT_EQ(choosePlainUpstream(candidates, noJitter), 1U);
     candidates[2].slots = 60;
-    EXPECT_EQ(choosePlainUpstream(candidates, noJitter), 2U) << "load counts by the size of the upstream";
+    EXPECT_EQ(choosePlainUpstream(candidates, noJitter), 2U) << "the load is relative to the upstream's slots";
 }
 
 TEST(PlainPlacementTest, AnotherFailureDomainCostsAThirdOfAnUpstream)
--- a/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
@@ -21,15 +21,14 @@
 
 } // namespace
 
-// Broke TIER on the third site: where all workspaces had priority 1, urgent chats waited behind long prompts.
+// Guards against urgent chats that wait behind long prompts if all workspaces have the same priority.
 TEST(UrgencyTest, TheRoutesPriorityDecidesAmongWorkspacesOfOnePriority)
 {
     auto urgency = scale({ 1, 1 }, { 0, 1 });
     EXPECT_LT(urgency.rank(1, 0), urgency.rank(1, 1));
 }
 
-// Broke TIER with the workspace's priority first: chats (1, 0) were preempted for summaries (0, 1) while other
-// summaries ran on.
+// Guards against chats (1, 0) that are preempted for summaries (0, 1) while other summaries continue.
 TEST(UrgencyTest, WhereTheTwoOrdersDisagreeNeitherPreemptsTheOther)
 {
     auto urgency = scale({ 0, 1 }, { 0, 1 });
@@ -78,7 +77,7 @@
     EXPECT_EQ(six.level(5, Punctuality::Late, 10), 9U);
     auto many = scale({ 0, 1, 2, 3, 4, 5, 6, 7 }, { 0, 1, 2, 3, 4, 5, 6, 7 });
     EXPECT_EQ(many.level(3, Punctuality::Late, 10), 3U);
-    EXPECT_EQ(many.level(14, Punctuality::OnTime, 10), 9U) << "the last level holds the rest";
+    EXPECT_EQ(many.level(14, Punctuality::OnTime, 10), 9U) << "the last level holds the remaining ranks";
 }
 
 TEST(UrgencyTest, WithoutPrioritiesThereIsOneRank)
