--- a/Source/RouteServing/Routing/FleetConnectivity.cpp
+++ b/Source/RouteServing/Routing/FleetConnectivity.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// What was heard counts for so long: longer than the users' sheets cut routers off (up to 12 s). After it, a fleet that
-// lost half of its routers goes on with the rest. Chosen, not measured.
+// How long a peak counts: longer than the expected network partitions (up to 12 s). After this, a fleet that lost half
+// of its routers continues with the rest.
 static constexpr Common::Milliseconds peakRetention = 15'000ms;
 
 void FleetConnectivity::record(unsigned routers, Common::TimePoint now)
--- a/Source/RouteServing/Routing/FleetConnectivity.h
+++ b/Source/RouteServing/Routing/FleetConnectivity.h
@@ -7,18 +7,18 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Whether a router still hears of most of its fleet. One that is cut off does not know what the others served, so it
-// should not do duties for all of them. Compared with what it heard itself a while ago, since the roster also lists
-// routers that ended for good. Not safe for several threads.
+// Detects whether this router is cut off from most of its fleet. Such a router does not know what the others served, so
+// it should not perform duties for the whole fleet. Compares the reachable routers with their recent peak, because the
+// roster also lists routers that have ended for good. Not thread-safe.
 class FleetConnectivity {
 public:
-    // Other routers whose load is known now.
+    // Records the number of other routers whose load is known now.
     void record(unsigned routers, Common::TimePoint now);
     bool isPartitioned(Common::TimePoint now) const;
-    // Routers that are heard now over those that were heard at most lately, this one counted in both.
+    // Returns the reachable routers divided by their recent peak, both including this router.
     double reachableShare(Common::TimePoint now) const;
-    // Routers that were heard at most lately over those that are heard now, this one counted in both: the load of the
-    // others is not gone. At most two.
+    // Returns the factor from the known load to that of the whole fleet: the recent peak of reachable routers divided
+    // by those reachable now, both including this router; at most 2. The load of unreachable routers has not gone away.
     double unreachableLoadFactor(Common::TimePoint now) const;
 
 private:
@@ -26,7 +26,7 @@
         Common::TimePoint at;
         unsigned routers { 0 };
     };
-    std::deque<Sample> m_peaks; // Falling: each is the most that was heard since the one before it.
+    std::deque<Sample> m_peaks; // Decreasing: each is the maximum since the one before it.
     unsigned m_routers { 0 };
 };
 
--- a/Source/RouteServing/Routing/FleetMember.cpp
+++ b/Source/RouteServing/Routing/FleetMember.cpp
@@ -13,7 +13,7 @@
 {
     m_start.setOwnEndpoint(self);
     m_peers.setOwnEndpoint(self);
-    // A router that starts among others plays no role before it knows them.
+    // A router that queries seeds has no role until it has the roster.
     m_isHub = m_readsStore = !isQueryingSeeds(now);
 }
 
@@ -70,9 +70,9 @@
     return m_peers.peers().size() + 1;
 }
 
-// The store
+// Platform store
 
-// A single failure may be chance. Chosen, not measured.
+// A single failure may be transient.
 static constexpr unsigned storeFailuresBeforeBackoff = 2;
 
 void FleetMember::recordStoreRead(bool hasSucceeded, Common::TimePoint now)
@@ -97,7 +97,7 @@
         backoff.recordLeaving(now);
 }
 
-// Whom to ask
+// Target of the requests
 
 std::optional<std::string> FleetMember::handleOverdueHub(Common::TimePoint now)
 {
@@ -114,7 +114,7 @@
     return hub;
 }
 
-// Whether another seed is asked now, or none any more.
+// Returns whether the queried seed has changed, also to none.
 bool FleetMember::updateSeed(Common::TimePoint now)
 {
     auto seed = isQueryingSeeds(now) ? m_start.seed() : std::nullopt;
--- a/Source/RouteServing/Routing/FleetMember.h
+++ b/Source/RouteServing/Routing/FleetMember.h
@@ -13,69 +13,75 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// One router as a member of its fleet: whom it knows, which role it has, whom it asks, and what it owes the platform's
-// store. Decides only: messages and calls are Gateway/PeerExchange's and RosterWatcher's. Not safe for several threads.
+// One router's membership in its fleet: its peers, its role, where it requests snapshots, and its duties towards the
+// platform's store. Only makes decisions; Gateway/PeerExchange and RosterWatcher send the messages and calls. Not
+// thread-safe.
 class FleetMember {
 public:
-    // `jitter`: random, in [0, 1).
+    // `jitter` is random, in [0, 1).
     FleetMember(std::string id, StartPhase::Settings, Common::TimePoint started, double jitter);
-    // Where this router's peers connect. Must be told before all else.
+    // Sets where peers connect to this router. Must be called before all other functions.
     void setOwnEndpoint(const Common::Endpoint&, Common::TimePoint now);
 
-    // Another router has stated its address; true when it is new.
+    // Records an address that another router stated itself. Returns whether the router or its address is new.
     bool addContact(const std::string& id, const Common::Endpoint&, Common::TimePoint now);
-    // True when an address is new.
+    // Returns whether an address is new.
     bool addRoster(std::span<const RosterEntry>);
     void recordRosterRead() { m_isRosterKnown = true; }
     void recordAnnounced() { m_isAnnounced = true; }
 
-    // A part of a peer's roster, whose entries were added. `incarnation`: of the process that sent it.
+    // A range of revisions of a peer's roster.
     struct RosterRange {
         uint64_t after { 0 };
         uint64_t revision { 0 };
-        bool isComplete { false }; // The peer knows the whole fleet.
+        bool isComplete { false }; // The peer has the roster of the whole fleet.
     };
-    // True when this router has come to know the whole fleet by it.
+    // Records that a part of a peer's roster was received, after its entries were added. `incarnation` identifies the
+    // process that sent it. Returns whether the part completed this router's roster.
     bool recordRosterPart(const std::string& peer, uint64_t incarnation, const RosterRange&);
-    // What this router's roster may be taken for.
+    // Whether this router's roster may be taken for that of the whole fleet.
     bool hasCompleteRoster(Common::TimePoint now) const { return m_isRosterKnown && m_start.isSettled(now); }
     RosterSituation rosterSituation(Common::TimePoint now) const;
 
-    // Whom this router asks from now on.
+    // Where this router requests snapshots from now on.
     struct Target {
-        // Under an id of our own, since a seed's own id is not known yet. None: the ranking holds.
+        // Has a generated id, since the seed's own id is not known yet. If empty, the ranking decides.
         std::optional<RosterEntry> seed;
         HubRanking ranking;
         bool seedHasChanged { false };
         bool roleHasChanged { false };
     };
-    // Leaves out a target that does not answer, then chooses.
+    // Updates the role and the target, leaving out routers that do not respond.
     Target update(Common::TimePoint now);
-    // The peer that has not answered in time since the last update; none when it was a seed, or there is none.
+    // Records a timeout if the target has not responded in time. Returns its id, or nullopt if it was a seed or nothing
+    // is overdue.
     std::optional<std::string> handleOverdueHub(Common::TimePoint now);
     const std::optional<RosterEntry>& seed() const { return m_seed; }
     void recordSeedFailure() { m_start.recordSeedFailure(); }
 
-    // A read of the platform's store has ended. A router that cannot read it lets others read.
+    // Records the result of a read of the platform's store. After repeated failures, the router leaves reading to
+    // others.
     void recordStoreRead(bool hasSucceeded, Common::TimePoint now);
     bool canReadStore(Common::TimePoint now) const { return !m_storeBackoff.isIgnored(now); }
-    // A peer has said whether it can read the store.
+    // Records what a peer stated about its own access to the store.
     void recordPeerStoreAvailability(const std::string& peer, bool isAvailable, Common::TimePoint now);
 
     bool isHub() const { return m_isHub; }
     bool readsStore() const { return m_readsStore; }
-    // Whether the first state is expected from another router. A hub reads the store for those that wait for it.
+    // Whether the first state is expected from another router. A hub that has the roster reads the store instead,
+    // because other routers wait for it.
     bool awaitsFirstState(Common::TimePoint now) const
     {
         return m_start.awaitsState(now) && !(m_isRosterKnown && m_isHub);
     }
-    // How many routers may be at work, this one included: all that were ever announced. None before that is known.
+    // Returns how many routers may be running, including this one: all that were ever announced. Nullopt before the
+    // roster is known.
     std::optional<size_t> fleetSize() const;
 
     PeerDirectory& peers() { return m_peers; }
     const PeerDirectory& peers() const { return m_peers; }
     OutstandingRequests& outstanding() { return m_outstanding; }
-    // How much of the target's roster was received.
+    // Returns how far the target's roster was received.
     const RosterPosition& rosterPosition(const std::string& target);
 
 private:
@@ -85,10 +91,10 @@
     PeerDirectory m_peers;
     StartPhase m_start;
     OutstandingRequests m_outstanding;
-    std::optional<RosterEntry> m_seed; // While one is asked.
-    RosterPosition m_seedRoster; // What it has sent of its roster.
+    std::optional<RosterEntry> m_seed; // Set while a seed is queried.
+    RosterPosition m_seedRoster; // How far its roster was received.
     HubBackoff m_storeBackoff;
-    unsigned m_storeFailures { 0 }; // In a row.
+    unsigned m_storeFailures { 0 }; // Consecutive.
     bool m_isRosterKnown { false };
     bool m_isAnnounced { false };
     bool m_isHub { true };
--- a/Source/RouteServing/Routing/PeerDirectory.cpp
+++ b/Source/RouteServing/Routing/PeerDirectory.cpp
@@ -5,8 +5,8 @@
 
 using namespace std::chrono_literals;
 
-// A peer counts as a subscriber this long after its last request. Chosen, not measured: fifteen exchange intervals, so
-// that a few lost requests do not matter.
+// A peer counts as a subscriber this long after its last request: fifteen exchange intervals, to tolerate a few lost
+// requests.
 static constexpr Common::Milliseconds subscriberTimeout = 1500ms;
 
 void PeerState::recordContact(uint64_t sender)
@@ -36,7 +36,7 @@
     if (peer.endpoint == endpoint)
         return false;
     peer.endpoint = endpoint;
-    // What was sent went to the address before, or nowhere.
+    // Everything sent so far went to the old address.
     peer.forgetSent();
     peer.backoff.recordResponse();
     return true;
--- a/Source/RouteServing/Routing/PeerDirectory.h
+++ b/Source/RouteServing/Routing/PeerDirectory.h
@@ -14,40 +14,39 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// What a router knows of one other router.
+// The state that a router keeps about one peer.
 struct PeerState {
-    // A copy of the configuration that is lost without a word is sent again after this. Not soon: the end of a
-    // connection is told (Inner/PeerLink.h), so it only matters when the peer dropped what it received; and that peer
-    // reads the store itself meanwhile. Computed: nine plain copies of 2.6 MB, the size of FrameCodec.h, take 19 s on a
-    // hub's link of 10 Mbit/s.
+    // A copy of the configuration that the peer dropped is sent again after this; meanwhile the peer reads the store
+    // itself. The time must be longer than the transfer of several copies on a slow link. A lost connection does not
+    // need it, because its end is reported (Inner/PeerLink.h).
     static constexpr Common::Milliseconds configurationLostAfter { 30'000 };
-    // A list of upstreams is only used when its request is not overdue (OutstandingRequests), so it is sent again after
-    // the same time. Chosen, not measured: five exchange intervals.
+    // The peer ignores a list of upstreams if its request is overdue (OutstandingRequests), so the list is sent again
+    // after the same time: five exchange intervals.
     static constexpr Common::Milliseconds upstreamsLostAfter { 500 };
 
-    // It is alive. Another life of the process has nothing of what the one before was sent.
+    // The peer is alive. `sender` identifies its process; a new process has received nothing yet.
     void recordContact(uint64_t sender);
-    // It sent a request, and relies on this router from then on.
+    // The peer sent a request, and relies on this router from then on.
     void recordRequest(uint64_t sender, uint64_t version, Common::TimePoint now);
-    // What was in flight to it is lost.
+    // Marks everything in flight to the peer as lost.
     void forgetSent();
 
     Common::Endpoint endpoint;
-    uint64_t rosterVersion { 0 }; // Of its announcement that the address is from, or was at the time.
+    uint64_t rosterVersion { 0 }; // Of the peer's newest known announcement.
     uint64_t rosterRevision { 0 }; // Of this router's roster when the entry last changed.
     HubBackoff backoff;
-    HubBackoff storeBackoff; // Said that it cannot read the store.
-    Common::TimePoint lastRequest {}; // When it last requested a snapshot from this router.
-    uint64_t incarnation { 0 }; // Of that request's sender.
-    uint64_t configurationVersion { 0 }; // That it had then.
-    bool readsPacked { false }; // Whether it takes a packed configuration.
+    HubBackoff storeBackoff; // Active while the peer cannot read the store.
+    Common::TimePoint lastRequest {}; // When the peer last requested a snapshot from this router.
+    uint64_t incarnation { 0 }; // Of the peer's process at its last contact.
+    uint64_t configurationVersion { 0 }; // The version that the peer had at its last request.
+    bool readsPacked { false }; // Whether the peer accepts a packed configuration.
     LastSentVersion configuration { configurationLostAfter };
-    LastSentVersion upstreams { upstreamsLostAfter }; // The version is the list's digest.
-    RosterCursor rosterSent; // Of this router's roster to the peer.
-    RosterPosition rosterReceived; // Of the peer's roster.
+    LastSentVersion upstreams { upstreamsLostAfter }; // The version is the digest of the list.
+    RosterCursor rosterSent; // How far this router's roster was sent to the peer.
+    RosterPosition rosterReceived; // How far the peer's roster was received.
 };
 
-// The other routers of the fleet, and with them this router's role. Not safe for several threads.
+// The other routers of the fleet. Derives this router's role from them. Not thread-safe.
 class PeerDirectory {
 public:
     explicit PeerDirectory(std::string self)
@@ -55,29 +54,30 @@
     {
     }
 
-    // Where this router's peers connect; must be told before all else.
+    // Sets where peers connect to this router. Must be called before all other functions.
     void setOwnEndpoint(const Common::Endpoint&);
-    // A peer that has just stated its address itself. True when it is new or has a new address.
+    // Records an address that a peer stated itself. Returns whether the peer or its address is new.
     bool addContact(const std::string& id, const Common::Endpoint&);
-    // What the platform or a peer says of a router, also of this one. An entry is used only when its version is newer
-    // than what is known, so that routers whose rosters differ do not replace each other's addresses again and again.
-    // True when a peer is new or has a new address.
+    // Adds an entry that the platform or a peer has of a router; it may be this router's. A known entry is replaced
+    // only by a newer version, so that routers with different rosters do not replace each other's addresses again and
+    // again. Returns whether a peer or its address is new.
     bool add(const RosterEntry&);
-    // Rises with each entry that changes.
+    // Increases with each entry that changes.
     uint64_t rosterRevision() const { return m_revision; }
-    // The entries that changed after that revision.
+    // Returns the entries that changed after the revision.
     std::vector<RosterEntry> rosterAfter(uint64_t revision) const;
-    // Whether the platform has this router's address, as far as is known.
+    // Whether the platform has this router's current address, as far as known.
     bool isAnnounced() const { return m_selfVersion && m_announced == m_selfEndpoint; }
-    // The state of a peer; an entry without an address is made for one that is not known yet.
+    // Returns the state of a peer. Adds an entry without an address if the peer is unknown.
     PeerState& state(const std::string& id) { return m_peers[id]; }
-    // Null for a peer that is not known.
+    // Returns null if the peer is unknown.
     PeerState* find(const std::string& id);
     const std::map<std::string, PeerState>& peers() const { return m_peers; }
 
-    // Which routers are hubs now, and where this router requests snapshots. `canReadStore`: of this router.
+    // Returns which routers are hubs now and where this router requests snapshots. `canReadStore` applies to this
+    // router.
     HubRanking ranking(bool canReadStore, Common::TimePoint now) const;
-    // Peers that requested a snapshot from this router lately, and so rely on it.
+    // Returns the peers that requested a snapshot from this router recently and therefore rely on it.
     std::vector<std::string> subscribers(Common::TimePoint now) const;
 
 private:
@@ -87,7 +87,7 @@
     std::map<std::string, PeerState> m_peers; // By id.
     uint64_t m_revision { 0 };
     Common::Endpoint m_selfEndpoint;
-    Common::Endpoint m_announced; // What the platform says of this router, as of `m_selfVersion`.
+    Common::Endpoint m_announced; // This router's address on the platform, as of `m_selfVersion`.
     uint64_t m_selfVersion { 0 };
     uint64_t m_selfRevision { 0 };
 };
--- a/Source/RouteServing/Routing/Roster.h
+++ b/Source/RouteServing/Routing/Roster.h
@@ -8,37 +8,36 @@
 #include <optional>
 #include <string>
 
-// The fleet's roster as routers pass it on to each other. A router that starts would otherwise read all of it from the
-// platform's store: calls that grow with the square of the fleet when all start at once. Pure.
+// The fleet's roster, as routers pass it on to each other. If each starting router read all of it from the platform's
+// store, the calls at a start of all routers would grow with the square of the fleet. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// One router of the fleet.
 struct RosterEntry {
     std::string id;
-    Common::Endpoint endpoint; // Where its peers connect.
-    uint64_t version { 0 }; // Rises with each announcement of the id on the platform; 0 before the first.
+    Common::Endpoint endpoint; // Where peers connect to the router.
+    uint64_t version { 0 }; // Increases with each announcement of the id on the platform; 0 before the first.
     bool operator==(const RosterEntry&) const = default;
 };
 
-// How far another process's roster was received. Its revisions start again with its process.
+// How far another process's roster was received. The revisions start again with each process.
 struct RosterPosition {
     uint64_t incarnation { 0 };
     uint64_t revision { 0 };
 
-    // The revision up to which that process need not send its roster.
+    // Returns the revision up to which the process need not send its roster.
     uint64_t revisionOf(uint64_t process) const { return process == incarnation ? revision : 0; }
-    // Entries between two of its revisions were received. Nothing is noted when some before them are missing.
+    // Records that the entries between two revisions were received. Records nothing if entries before them are missing.
     void advance(uint64_t process, uint64_t after, uint64_t to);
 };
 
-// How far this router's roster was sent to a peer: a part is not sent again while it may still be in flight. Not safe
-// for several threads.
+// How far this router's roster was sent to a peer. A part is not sent again while it may still be in flight. Not
+// thread-safe.
 class RosterCursor {
 public:
-    // The revision after which entries must be sent now; the rest up to `newest` counts as in flight from then on.
-    // `acknowledged`: what the peer says that it has.
+    // Returns the revision after which entries must be sent now. The entries up to `newest` count as in flight from
+    // then on. `acknowledged` is the revision that the peer reports.
     uint64_t beginSend(uint64_t acknowledged, uint64_t newest, Common::TimePoint now);
-    // What was in flight is lost.
+    // Marks what was in flight as lost.
     void forget() { m_at.reset(); }
 
 private:
--- a/Source/RouteServing/Routing/RosterDuty.cpp
+++ b/Source/RouteServing/Routing/RosterDuty.cpp
@@ -7,9 +7,9 @@
 
 using namespace std::chrono_literals;
 
-// After the first read. Chosen, not measured: all routers of a fleet start within 0.3 s.
+// After the first read; longer than the routers of a fleet take to start together.
 static constexpr Common::Milliseconds initialInterval = 1000ms;
-// From then on. Routers that started meanwhile are known to those that they ask before this. Chosen, not measured.
+// Routers that start between two reads contact a peer, so they are known without a read.
 static constexpr Common::Milliseconds longestInterval = 6000ms;
 
 Common::Milliseconds rosterInterval(unsigned reads)
@@ -24,7 +24,7 @@
 {
     if (!situation.isKnown && situation.awaitsPeers)
         return RosterStep::Wait;
-    // Before the first read: of two routers that start together, at least one sees the other.
+    // Announcing comes before the first read: if two routers start together, at least one sees the other.
     if (!situation.isAnnounced)
         return RosterStep::Announce;
     if (!situation.isKnown)
--- a/Source/RouteServing/Routing/RosterDuty.h
+++ b/Source/RouteServing/Routing/RosterDuty.h
@@ -6,28 +6,27 @@
 #include <cstdint>
 #include <optional>
 
-// What a router owes the fleet's roster on the platform, and when it reads it. Pure.
+// Decides when a router announces itself in the fleet's roster on the platform and when it reads the roster. Pure.
 namespace Brassladder::RouteServing::Routing {
 
 enum class RosterStep : uint8_t { Wait, Announce, Read };
 
-// What the step follows from.
+// The input of nextRosterStep().
 struct RosterSituation {
-    bool isKnown { false }; // The roster was read, or received from a router that knows it.
-    bool awaitsPeers { false }; // It is expected from another router (StartPhase).
-    bool isAnnounced { false }; // The platform has this router's present address.
-    bool isStoreReader { false }; // It reads the store for others (HubRanking).
-    unsigned reads { 0 }; // By this router so far.
+    bool isKnown { false }; // Read from the store, or received from a router that has it.
+    bool awaitsPeers { false }; // The roster is expected from another router (StartPhase).
+    bool isAnnounced { false }; // The platform has this router's current address.
+    bool isStoreReader { false }; // This router reads the store for others (HubRanking).
+    unsigned reads { 0 }; // Reads by this router so far.
     std::optional<Common::Milliseconds> sinceLastRead;
 };
 
-// One announcement for each router that has not been at its address before, and no read but those of store readers,
-// which pass on what they read: with every hub as reader and each start reading, calls grew with the fleet and with its
-// square root times the day's length.
+// Each router announces itself once per address. It reads the roster only if no peer sent it; after that, only store
+// readers read it and pass it on, so that the calls do not grow with the fleet.
 RosterStep nextRosterStep(const RosterSituation&);
 
-// Between a store reader's reads: a second after its first one, when others may have started with it, and longer each
-// time.
+// Returns the interval between a store reader's reads. It is short after the first read, because other routers may have
+// started at the same time, and doubles up to a maximum.
 Common::Milliseconds rosterInterval(unsigned reads);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -8,8 +8,8 @@
 #include <memory>
 #include <set>
 
-// What a start costs the platform's store, and whether all routers come to know each other: the rules of many routers
-// together, on virtual time, with messages that arrive at once and a store that answers at once.
+// Simulates the start of many routers on virtual time; messages and the store respond at once. Checks how many calls to
+// the platform's store a start takes, and that all routers come to know each other.
 namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr Common::TimePoint s_start(1h);
-constexpr Common::Milliseconds s_stepInterval { 100 }; // As routers do, see PeerExchange.
+constexpr Common::Milliseconds s_stepInterval { 100 }; // The same as PeerExchange's.
 constexpr Common::Milliseconds s_tick { 10 };
 constexpr Common::Milliseconds s_startSpread { 300 }; // All routers start within this.
 
-// The roster on the platform, and what its use cost.
+// The roster on the platform; counts how often it is used.
 struct RosterStore {
     std::map<std::string, RosterEntry> entries;
     uint64_t end { 0 };
@@ -75,7 +75,7 @@
             m_seeds.push_back({ "127.0.0.1", static_cast<uint16_t>(index + 1) });
     }
 
-    // Starts all of them anew, within the spread; what they knew is gone.
+    // Restarts all routers within s_startSpread, without their earlier state.
     void startAll(Common::TimePoint at)
     {
         m_routers.clear();
@@ -99,7 +99,7 @@
         }
     }
 
-    // Whether all know all others, and agree on the roles.
+    // Whether all routers know all others and agree on the roles.
     bool isComplete() const
     {
         size_t hubs = 0;
@@ -115,7 +115,7 @@
     const FleetMember& member(size_t index) const { return m_routers[index]->member; }
 
     RosterStore store;
-    size_t entriesSent { 0 }; // Rows of rosters in all messages.
+    size_t entriesSent { 0 }; // Roster entries in all messages.
 
 private:
     bool isRunning(size_t index, Common::TimePoint now) const
@@ -192,13 +192,13 @@
 
 constexpr size_t s_seeds = 3;
 constexpr Common::Milliseconds s_runLength { 12'000 };
-// Each store reader reads four times in so long (RosterDuty), and each seed as often at most: it is a reader until it
-// knows the others.
+// In a run, each store reader reads four times (RosterDuty), and so does each seed at most: it is a store reader until
+// it has received the roster.
 constexpr size_t s_maxReadsPerRun = (3 + s_seeds) * 4;
 
 } // namespace
 
-// Each start read the roster, and each of the hubs read it every 6 s: 300 routers cost 300 reads and 17 every 6 s.
+// Guards against reads of the roster that grow with the fleet: by each starting router, or by all hubs.
 TEST(FleetStartTest, AFirstStartCostsTheStoreOneCallForEachRouterAndAFewReads)
 {
     for (size_t count : { 30, 100, 300 }) {
@@ -208,7 +208,7 @@
         EXPECT_TRUE(fleet.isComplete()) << count;
         EXPECT_EQ(fleet.store.announcements, count);
         EXPECT_LE(fleet.store.reads, s_maxReadsPerRun) << count << " routers: reads do not grow with the fleet";
-        EXPECT_LE(fleet.entriesSent, 8 * count * count) << "each router hears of each other one a few times";
+        EXPECT_LE(fleet.entriesSent, 8 * count * count) << "each router receives each entry a few times";
     }
 }
 
@@ -222,10 +222,10 @@
     fleet.store.announcements = fleet.store.reads = 0;
     fleet.startAll(s_start + s_runLength);
     fleet.run(s_start + s_runLength, 1000ms);
-    EXPECT_TRUE(fleet.isComplete()) << "a second later all have their roles again";
+    EXPECT_TRUE(fleet.isComplete()) << "after one second all have their roles again";
     fleet.run(s_start + s_runLength + 1000ms, s_runLength - 1000ms);
     EXPECT_TRUE(fleet.isComplete());
-    EXPECT_LE(fleet.store.announcements, s_seeds) << "these do not wait to hear that they are known";
+    EXPECT_LE(fleet.store.announcements, s_seeds) << "seeds do not wait for a roster that lists them";
     EXPECT_LE(fleet.store.reads, s_maxReadsPerRun);
 }
 
@@ -242,7 +242,7 @@
     EXPECT_LE(fleet.store.reads, reads + 3);
 }
 
-// The settings may be old: no seed lives.
+// The settings may be outdated: no seed is running.
 TEST(FleetStartTest, WithoutAReachableSeedTheStoreIsRead)
 {
     static constexpr size_t count = 30;
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -33,8 +33,8 @@
 {
     RosterCursor cursor;
     EXPECT_EQ(cursor.beginSend(0, 5, s_now), 0U);
-    EXPECT_EQ(cursor.beginSend(0, 5, s_now + 100ms), 5U) << "it may still be on its way";
-    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 200ms), 5U) << "only what is new since";
+    EXPECT_EQ(cursor.beginSend(0, 5, s_now + 100ms), 5U) << "the part may still be in flight";
+    EXPECT_EQ(cursor.beginSend(0, 7, s_now + 200ms), 5U) << "only the newer entries";
     EXPECT_EQ(cursor.beginSend(0, 7, s_now + 699ms), 7U);
     EXPECT_EQ(cursor.beginSend(5, 7, s_now + 700ms), 5U) << "what was not acknowledged is lost";
     cursor.forget();
@@ -47,12 +47,12 @@
     position.advance(1, 0, 5);
     EXPECT_EQ(position.revisionOf(1), 5U);
     position.advance(1, 7, 9);
-    EXPECT_EQ(position.revisionOf(1), 5U) << "the part between was lost";
+    EXPECT_EQ(position.revisionOf(1), 5U) << "the part in between was lost";
     position.advance(1, 3, 9);
     EXPECT_EQ(position.revisionOf(1), 9U);
     position.advance(1, 0, 5);
-    EXPECT_EQ(position.revisionOf(1), 9U) << "an old part that comes late";
-    EXPECT_EQ(position.revisionOf(2), 0U) << "another process counts anew";
+    EXPECT_EQ(position.revisionOf(1), 9U) << "an old part that arrives late";
+    EXPECT_EQ(position.revisionOf(2), 0U) << "another process has its own revisions";
     position.advance(2, 0, 3);
     EXPECT_EQ(position.revisionOf(2), 3U);
 }
@@ -70,19 +70,19 @@
     EXPECT_EQ(peers.rosterAfter(revision), (std::vector<RosterEntry> { { "a", s_new, 1 } }));
 }
 
-// Two routers whose rosters differ would otherwise replace an address by turns for ever.
+// Two routers with different rosters would otherwise replace an address again and again.
 TEST(PeerDirectoryTest, OnlyANewerAnnouncementReplacesAnAddress)
 {
     PeerDirectory peers("self");
     EXPECT_TRUE(peers.add({ "p", s_old, 4 }));
-    EXPECT_TRUE(peers.addContact("p", s_new)) << "what the peer says itself is newer than any roster";
+    EXPECT_TRUE(peers.addContact("p", s_new)) << "an address that the peer states itself is newer than any roster";
     auto revision = peers.rosterRevision();
     EXPECT_FALSE(peers.add({ "p", s_old, 4 }));
     EXPECT_FALSE(peers.add({ "p", s_old, 0 }));
     EXPECT_EQ(peers.find("p")->endpoint, s_new);
     EXPECT_EQ(peers.rosterRevision(), revision);
-    EXPECT_FALSE(peers.add({ "p", s_new, 5 })) << "its announcement follows";
-    EXPECT_EQ(peers.rosterAfter(revision).size(), 1U) << "which others must hear";
+    EXPECT_FALSE(peers.add({ "p", s_new, 5 })) << "the announcement has the known address";
+    EXPECT_EQ(peers.rosterAfter(revision).size(), 1U) << "other routers need the new version";
     EXPECT_TRUE(peers.add({ "p", s_old, 6 }));
 }
 
@@ -91,8 +91,8 @@
     PeerDirectory peers("self");
     peers.setOwnEndpoint(s_self);
     EXPECT_FALSE(peers.isAnnounced());
-    EXPECT_FALSE(peers.add({ "self", s_old, 3 })) << "it is no peer of its own";
-    EXPECT_FALSE(peers.isAnnounced()) << "an earlier life was elsewhere";
+    EXPECT_FALSE(peers.add({ "self", s_old, 3 })) << "this router is not its own peer";
+    EXPECT_FALSE(peers.isAnnounced()) << "an earlier process had another address";
     peers.add({ "self", s_self, 4 });
     EXPECT_TRUE(peers.isAnnounced());
     peers.add({ "self", s_old, 3 });
@@ -103,15 +103,15 @@
 {
     RosterSituation situation;
     situation.awaitsPeers = true;
-    EXPECT_EQ(nextRosterStep(situation), RosterStep::Wait) << "a seed may answer";
+    EXPECT_EQ(nextRosterStep(situation), RosterStep::Wait) << "a seed may respond";
     situation.awaitsPeers = false;
-    EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "nobody did";
+    EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "no seed responded";
     situation.isAnnounced = true;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Read);
     situation.isKnown = true;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Wait);
     situation.isStoreReader = true;
-    EXPECT_EQ(nextRosterStep(situation), RosterStep::Read) << "it has not read it itself";
+    EXPECT_EQ(nextRosterStep(situation), RosterStep::Read) << "the router has not read the roster itself";
     situation.reads = 1;
     situation.sinceLastRead = rosterInterval(1) - 1ms;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Wait);
@@ -119,7 +119,8 @@
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Read);
     situation.isAnnounced = false;
     situation.isStoreReader = false;
-    EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "it is known from peers, but not yet at this address";
+    EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce)
+        << "the roster is known, but the platform lacks this address";
 }
 
 TEST(RosterDutyTest, TheIntervalBetweenReadsDoublesUpToItsMaximum)
@@ -153,10 +154,10 @@
     EXPECT_FALSE(start.awaitsRoster(s_now + StartPhase::rosterTimeout));
     StartPhase later({ { s_old, s_new } }, s_now, 0.99);
     EXPECT_TRUE(later.awaitsRoster(s_now + StartPhase::rosterTimeout + StartPhase::rosterTimeoutJitter / 2))
-        << "not in step";
+        << "the jitter adds up to rosterTimeoutJitter";
 }
 
-// Callers wait for it.
+// Callers wait for the first state.
 TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyUntilASeedFails)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
@@ -164,8 +165,8 @@
     EXPECT_TRUE(start.awaitsState(s_now));
     EXPECT_FALSE(start.awaitsState(s_now + StartPhase::firstStateTimeout));
     start.recordSeedFailure();
-    EXPECT_FALSE(start.awaitsState(s_now)) << "more than this router is starting";
-    EXPECT_TRUE(start.awaitsRoster(s_now)) << "which is not urgent";
+    EXPECT_FALSE(start.awaitsState(s_now)) << "other routers may be starting as well";
+    EXPECT_TRUE(start.awaitsRoster(s_now)) << "callers do not wait for the roster";
 }
 
 TEST(StartPhaseTest, AtTheFleetsFirstStartTheStateIsAwaitedAsLongAsTheRoster)
@@ -184,10 +185,10 @@
     EXPECT_FALSE(start.awaitsRoster(s_now));
     EXPECT_TRUE(start.isSettled(s_now));
     start.recordUnlistedRouter(s_now + 100ms);
-    EXPECT_FALSE(start.isSettled(s_now + 299ms)) << "more may come";
+    EXPECT_FALSE(start.isSettled(s_now + 299ms)) << "more routers may appear";
     EXPECT_TRUE(start.isSettled(s_now + 300ms));
     start.recordUnlistedRouter(s_now + 1100ms);
-    EXPECT_TRUE(start.isSettled(s_now + 1150ms)) << "one more does not make a roster incomplete";
+    EXPECT_TRUE(start.isSettled(s_now + 1150ms)) << "after the roster timeout, the roster counts as complete";
 }
 
 } // namespace Brassladder::RouteServing::Routing
