--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -8,11 +8,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Fewer routers than this are all hubs: a single hub would leave nobody to take over at once. Chosen, not measured.
+// In a smaller fleet all routers are hubs, because a single hub would leave none to take over at once.
 static constexpr size_t minRoutersWithHubs = 4;
-// One may be lost and another one cut off from the store, and one is still there. Measured on the grown quiet-1: the
-// price of calls to the store was 0.125 with every router as reader, 0.030 with all nine hubs, 0.018 with three
-// (docs/DESIGN.md).
+// One store reader may fail and another may be cut off from the store; the third one remains.
 static constexpr size_t maxStoreReaders = 3;
 
 size_t HubRanking::hubCount(size_t routers)
@@ -24,7 +22,7 @@
 
 size_t HubRanking::storeReaderCount(size_t routers) { return std::min(hubCount(routers), maxStoreReaders); }
 
-// One of a few, spread over them by rendezvous hashing.
+// Selects one of `from`, spreading the requesters over them by rendezvous hashing.
 static std::string pickSource(std::span<const std::string> from, std::string_view requester)
 {
     auto seed = Common::stableHash(requester);
@@ -32,9 +30,8 @@
         [&](const auto& a, const auto& b) { return Common::stableHash(a, seed) < Common::stableHash(b, seed); });
 }
 
-// The first `count` routers by a hash of their ids. Each id is hashed once and only the first ones are sorted: each
-// router ranks all others ten times a second, and hashing in the comparison took most of a simulated start of 300
-// routers (FleetStartTest: 12 s before, 1.5 s after).
+// Returns the first `count` routers by a hash of their ids. Hashes each id once and sorts only the first routers,
+// because each router ranks the whole fleet ten times a second.
 static std::vector<HubRanking::Router> firstRanked(std::span<const HubRanking::Router> routers, size_t count)
 {
     std::vector<std::pair<uint64_t, size_t>> ranked;
@@ -48,7 +45,8 @@
     return first;
 }
 
-// The first hubs that can read the store; when none can, the first ones, so that they notice when it is back.
+// Returns the first hubs that can read the store. If none can, returns the first ones, so that they notice when it is
+// back.
 static std::vector<std::string> storeReaders(std::span<const HubRanking::Router> hubs, size_t count)
 {
     std::vector<std::string> readers;
--- a/Source/RouteServing/Routing/HubRanking.h
+++ b/Source/RouteServing/Routing/HubRanking.h
@@ -10,30 +10,29 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Who requests state from whom, in a fleet of any size. All routers are ranked by a hash of their ids; the first ones,
-// about as many as the square root of the fleet, are hubs, and the first few hubs are store readers. Store readers read
-// the platform's store, other hubs request snapshots from one of them, hubs send each other their loads, and every
-// other router requests snapshots from one hub. So calls to the store do not grow with the fleet, and a router's
-// messages grow with its square root.
+// Decides which router requests state from which, in a fleet of any size. All routers are ranked by a hash of their
+// ids. The first ones, about the square root of the fleet, are hubs, and the first few hubs are store readers. Store
+// readers read the platform's store, other hubs request snapshots from a store reader, hubs exchange their loads, and
+// every other router requests snapshots from one hub. Calls to the store therefore do not grow with the fleet, and the
+// messages of a router grow with the square root of the fleet.
 //
-// A hub that cannot read the store is no store reader while others can: when the store turned a third of 295 routers
-// away for nine seconds, all that relied on such a reader had stale state and read the store themselves, 1,373 calls
-// (a log line for each call). Pure.
+// A hub that cannot read the store is no store reader while other hubs can; otherwise all routers that rely on it would
+// have stale state and read the store themselves. Pure.
 class HubRanking {
 public:
     struct Router {
         std::string_view id;
-        bool canReadStore { true }; // As far as is known.
+        bool canReadStore { true }; // As far as known.
     };
 
-    // `others`: the other routers that respond.
+    // `others` are the other routers that respond.
     HubRanking(std::span<const Router> others, const Router& self);
 
     bool isHub() const { return m_isHub; }
     bool readsStore() const { return !m_source; }
-    // Where this router requests snapshots: a hub, or for a hub a store reader; none when it reads the store itself.
+    // Where this router requests snapshots: a hub, or for a hub a store reader. Nullopt if it reads the store itself.
     const std::optional<std::string>& source() const { return m_source; }
-    // The other hubs, when this router is one.
+    // The other hubs; empty if this router is not a hub.
     const std::vector<std::string>& otherHubs() const { return m_otherHubs; }
 
     static size_t hubCount(size_t routers);
--- a/Source/RouteServing/Routing/LoadSums.h
+++ b/Source/RouteServing/Routing/LoadSums.h
@@ -10,8 +10,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Sums the newest load reports of other routers. Reports that are older than `maxAge` are ignored: their sender may be
-// gone. Not safe for several threads.
+// Sums the newest load reports of other routers. Ignores reports older than `maxAge`, because their sender may be gone.
+// Not thread-safe.
 class LoadSums {
 public:
     explicit LoadSums(Common::Milliseconds maxAge)
@@ -19,12 +19,12 @@
     {
     }
 
-    // Replaces the sender's last report. `routers`: for how many routers the report speaks.
+    // Replaces the sender's last report. `routers` is the number of routers that the report covers.
     void record(const std::string& sender, LoadsByUpstream, unsigned routers, Common::TimePoint now);
     void forget(std::string_view sender);
-    // The sum over all senders but one.
+    // Returns the sum over all senders except one.
     LoadsByUpstream sumExcluding(std::string_view sender, Common::TimePoint now) const;
-    // For how many routers all recent reports speak.
+    // Returns how many routers all recent reports cover.
     unsigned routers(Common::TimePoint now) const;
 
 private:
--- a/Source/RouteServing/Routing/OutstandingRequests.cpp
+++ b/Source/RouteServing/Routing/OutstandingRequests.cpp
@@ -5,8 +5,7 @@
 
 using namespace std::chrono_literals;
 
-// A round trip between routers takes at most this long unless one of them is dead or cut off. Chosen, not measured:
-// five exchange intervals.
+// Five exchange intervals. A router that takes longer to respond is dead or cut off.
 static constexpr Common::Milliseconds responseTimeout = 500ms;
 
 void OutstandingRequests::setTarget(std::string target, bool asHub)
--- a/Source/RouteServing/Routing/OutstandingRequests.h
+++ b/Source/RouteServing/Routing/OutstandingRequests.h
@@ -11,25 +11,25 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The snapshot requests of this router that have no response yet: more than one when the round trip takes longer than
-// the interval between two requests. Decides when the target counts as unresponsive. Not safe for several threads.
+// Tracks this router's snapshot requests that have no response yet. There are several if the round trip takes longer
+// than the interval between requests. Decides when the target counts as unresponsive. Not thread-safe.
 class OutstandingRequests {
 public:
-    // Where requests go from now on: a hub, or for a hub a store reader; empty when there is no target. Requests to
-    // another target are forgotten.
+    // Sets where requests go from now on: a hub, or for a hub a store reader; empty if there is no target. Drops the
+    // requests to another target.
     void setTarget(std::string target, bool asHub);
     const std::string& target() const { return m_target; }
     // Whether this router sends its requests as a hub.
     bool asHub() const { return m_asHub; }
 
-    // Records a request, and returns the number that its response will carry. None, and nothing is recorded, when the
-    // target has changed since the request was prepared: it must not be sent.
+    // Records a request and returns the number that its response will carry. If the target has changed since the
+    // request was prepared, records nothing and returns nullopt; the request must not be sent then.
     std::optional<uint64_t> add(std::string_view target, bool asHub, Common::TimePoint now);
-    // When the request was sent that a response belongs to; older requests count as answered too. None when the
-    // response belongs to no outstanding request.
+    // Returns when the request was sent that a response belongs to, or nullopt if no such request is outstanding. Older
+    // requests count as answered too.
     std::optional<Common::TimePoint> take(std::string_view from, uint64_t number);
 
-    // Whether a response is overdue: the target is dead or cut off.
+    // Whether a response is overdue. The target is then dead or cut off.
     bool isOverdue(Common::TimePoint now) const;
     void clear() { m_sent.clear(); }
 
@@ -40,19 +40,19 @@
     std::map<uint64_t, Common::TimePoint> m_sent; // By number.
 };
 
-// The version of something that a peer was sent last: it is not sent again with each response while the first copy may
-// still be in flight. Not safe for several threads.
+// The version of a piece of state that was last sent to a peer. It is not sent again with each response while the first
+// copy may still be in flight. Not thread-safe.
 class LastSentVersion {
 public:
-    // `lostAfter`: how long a copy may be in flight before it counts as lost.
+    // `lostAfter` is how long a copy may be in flight before it counts as lost.
     explicit LastSentVersion(Common::Milliseconds lostAfter)
         : m_lostAfter(lostAfter)
     {
     }
 
-    // Whether the version must be sent now; it is in flight from then on.
+    // Returns whether the version must be sent now. If so, it counts as in flight from then on.
     bool beginSend(uint64_t version, Common::TimePoint now);
-    // What was in flight is lost.
+    // Marks the copy in flight as lost.
     void forget() { m_at.reset(); }
 
 private:
--- a/Source/RouteServing/Routing/PeerLoads.cpp
+++ b/Source/RouteServing/Routing/PeerLoads.cpp
@@ -5,8 +5,8 @@
 
 using namespace std::chrono_literals;
 
-// Load reports older than this are ignored. Chosen, not measured: fifteen exchange intervals, so that a few lost
-// messages do not make a loaded upstream look idle.
+// Load reports older than this are ignored: fifteen exchange intervals, so that a few lost messages do not make a
+// loaded upstream look idle.
 static constexpr Common::Milliseconds reportMaxAge = 1500ms;
 
 PeerLoads::PeerLoads()
--- a/Source/RouteServing/Routing/PeerLoads.h
+++ b/Source/RouteServing/Routing/PeerLoads.h
@@ -7,29 +7,30 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The loads that other routers reported to this one, and the sums that it passes on, so that each router's load is
-// counted once everywhere. Subscribers report their own load to their hub; hubs report the sum of their subscribers and
-// themselves to the other hubs; a subscriber receives the sum of all others. Not safe for several threads.
+// The loads that other routers reported to this one, and the sums that this router passes on. Each router's load is
+// counted exactly once everywhere: subscribers report their own load to their hub, hubs report the sum of their
+// subscribers and themselves to the other hubs, and a subscriber receives the sum of all others. Not thread-safe.
 class PeerLoads {
 public:
     PeerLoads();
 
-    // A subscriber's own load, with its snapshot request.
+    // Records a subscriber's own load, which its snapshot request carries.
     void recordSubscriber(const std::string& id, LoadsByUpstream, Common::TimePoint now);
-    // The load of `routers` routers, from another hub or with a snapshot of this router's own hub.
+    // Records the load of `routers` routers, from another hub or from a snapshot of this router's own hub.
     void recordHub(const std::string& id, LoadsByUpstream, unsigned routers, Common::TimePoint now);
-    // The hub does not respond: its last report is not counted any more.
+    // Drops the last report of a hub that does not respond.
     void forgetHub(const std::string& id) { m_hubs.forget(id); }
 
-    // All that other routers have outstanding.
+    // Returns the load of all other routers.
     LoadsByUpstream sumOfOthers(Common::TimePoint now) const;
-    // What this router reports to other hubs, or, with `target`, to the hub that it requests snapshots from.
+    // Returns the load that this router reports to other hubs or, with `target`, to the hub that it requests snapshots
+    // from. What `target` reported as a subscriber is left out.
     LoadsByUpstream sumWithSubscribers(
         LoadsByUpstream own, Common::TimePoint now, const std::string& target = {}) const;
-    // What this hub sends to a subscriber: the load of all routers but that one.
+    // Returns the load that this hub sends to a subscriber: that of all routers except the subscriber.
     LoadsByUpstream sumForSubscriber(const std::string& id, LoadsByUpstream own, Common::TimePoint now) const;
 
-    // For how many other routers the recent reports of subscribers speak; of hubs.
+    // Return how many other routers the recent reports of subscribers and of hubs cover.
     unsigned subscriberRouters(Common::TimePoint now) const { return m_subscribers.routers(now); }
     unsigned hubRouters(Common::TimePoint now) const { return m_hubs.routers(now); }
 
--- a/Source/RouteServing/Routing/RefreshIntervals.cpp
+++ b/Source/RouteServing/Routing/RefreshIntervals.cpp
@@ -5,21 +5,19 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// All in percent of a bound, so that they scale with the settings. A read confirms what was in force when it began.
-// While nothing changes it takes the whole long poll, so a confirmation is up to two long polls old when it reaches
-// another router: half of the bound. Chosen, not measured.
+// All values are percentages of a bound. A read confirms the configuration as of its start and, while nothing changes,
+// takes the whole long poll. A confirmation is therefore up to two long polls old when it reaches another router: half
+// of the bound.
 static constexpr int configurationLongPollPercent = 25;
-// Leaves the rest of the bound for a read of one's own. Measured: 48% of the key lease instead broke the bound on
-// configurations in bursts on seven routers (docs/DESIGN.md, "when state is stale").
+// Leaves the rest of the bound for a read by the router itself.
 static constexpr int configurationStalePercent = 70;
-// While the store cannot be read, it is asked again after at most this long. Chosen, not measured.
+// Maximum backoff while the store cannot be read.
 static constexpr int maxBackoffPercent = 35;
-// The rest of the bound is for a slow response and for the request that was just sent. Chosen, not measured.
+// Leaves the rest of the bound for a slow response and for requests that were just sent.
 static constexpr int upstreamIntervalPercent = 45;
-// As for configurations: leaves time for a read of one's own. Chosen, not measured.
+// Leaves the rest of the bound for a read by the router itself.
 static constexpr int upstreamsStalePercent = 72;
 static constexpr int wholePercent = 100;
-// After the first failed read. Chosen, not measured.
 static constexpr Common::Milliseconds initialBackoff { 100 };
 
 RefreshIntervals RefreshIntervals::within(Common::Milliseconds configurationBound, Common::Milliseconds leavingBound)
@@ -39,7 +37,7 @@
     return exponentialBackoff(initialBackoff, maxBackoff, failures);
 }
 
-// So many times the longest backoff of a store reader. Chosen, not measured.
+// In maximum backoffs of a store reader.
 static constexpr int nonReaderBackoffFactor = 4;
 
 Common::Milliseconds RefreshIntervals::nonReaderBackoffAfter(unsigned failures) const
--- a/Source/RouteServing/Routing/RevisionCursor.cpp
+++ b/Source/RouteServing/Routing/RevisionCursor.cpp
@@ -5,8 +5,8 @@
 
 using namespace std::chrono_literals;
 
-// Without an acknowledgement for so long, a part is lost: the peer dropped it. The end of a connection is told, so this
-// is rare. Chosen, not measured: a part of 2,000 rows (about 20 KB) takes 16 ms on a link of 10 Mbit/s.
+// A part that is not acknowledged within this time counts as lost. This is rare, because the end of a connection is
+// reported.
 static constexpr Common::Milliseconds acknowledgementTimeout = 3000ms;
 
 std::optional<uint64_t> RevisionCursor::next(Common::TimePoint now)
@@ -24,7 +24,7 @@
 
 void RevisionCursor::acknowledge(uint64_t revision)
 {
-    // Of an earlier process of this router.
+    // The acknowledgement belongs to an earlier process of this router.
     if (revision > m_sent)
         return;
     bool hasRestarted = revision < m_acknowledged;
--- a/Source/RouteServing/Routing/RevisionCursor.h
+++ b/Source/RouteServing/Routing/RevisionCursor.h
@@ -8,20 +8,18 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// How far the changes of a table (usage counts, suspects) were sent to one peer, which acknowledges the revision up to
-// which it has them.
-//
-// One part is in flight at a time, so that a slow link holds one of them and not a copy for each 500 ms. A guard: in
-// the one play with 300 routers it changed nothing that was measured. Not safe for several threads.
+// Tracks how far the changes of a table (usage counts, suspects) were sent to one peer. The peer acknowledges the
+// revision up to which it has them. Only one part is in flight at a time, so that copies do not pile up on a slow link.
+// Not thread-safe.
 class RevisionCursor {
 public:
-    // The revision after which changes may be sent now; none while a part is in flight.
+    // Returns the revision after which changes may be sent now, or nullopt while a part is in flight.
     std::optional<uint64_t> next(Common::TimePoint now);
-    // Changes up to that revision were sent.
+    // Records that changes up to the revision were sent.
     void recordSent(uint64_t revision, Common::TimePoint now);
-    // What the peer has. Less than before after it was started again.
+    // Records the revision that the peer has. It is lower than before if the peer has restarted.
     void acknowledge(uint64_t revision);
-    // The connection has ended: what was in flight is lost.
+    // The connection has ended: marks what was in flight as lost.
     void forgetSent() { m_sent = m_acknowledged; }
 
 private:
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -22,7 +22,7 @@
     return ids;
 }
 
-// The role of one of them, while all others but `lost` respond.
+// The role of `self` while all other routers except `lost` respond.
 HubRanking rankingOf(const std::string& self, const std::vector<std::string>& ids, const std::string& lost = {})
 {
     std::vector<HubRanking::Router> others;
@@ -54,7 +54,8 @@
         EXPECT_EQ(hubs.size(), HubRanking::hubCount(count)) << count;
         for (const auto& [hub, subscribers] : asked) {
             EXPECT_TRUE(hubs.contains(hub)) << count;
-            EXPECT_LE(subscribers, 3 * hubs.size() + 3) << "no hub carries much more than the others, of " << count;
+            EXPECT_LE(subscribers, 3 * hubs.size() + 3)
+                << "no hub has many more subscribers than the others, fleet of " << count;
         }
         for (const auto& hub : hubs)
             EXPECT_EQ(rankingOf(hub, ids).otherHubs().size(), hubs.size() - 1);
@@ -75,7 +76,7 @@
     }
 }
 
-// Calls to the store are paid for: their number must not grow with the fleet.
+// Calls to the store are billed, so their number must not grow with the fleet.
 TEST(HubRankingTest, OnlyAFewHubsReadTheStoreAndTheOthersRequestFromThem)
 {
     auto ids = routers(350);
@@ -92,7 +93,7 @@
     EXPECT_EQ(asked, readers);
 }
 
-// The store may turn some routers away and serve the others.
+// The store may reject some routers and serve the others.
 TEST(HubRankingTest, AHubThatCannotReadTheStoreRequestsFromOneThatCan)
 {
     auto ids = routers(100);
@@ -107,7 +108,7 @@
             others.push_back({ id });
     }
     HubRanking unable(others, { reader, false });
-    EXPECT_TRUE(unable.isHub()) << "it still serves its subscribers";
+    EXPECT_TRUE(unable.isHub()) << "the hub still serves its subscribers";
     EXPECT_FALSE(unable.readsStore());
     EXPECT_NE(*unable.source(), reader);
     others.push_back({ reader, false });
--- a/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -11,7 +11,7 @@
 
 static constexpr Common::TimePoint s_now(1h);
 
-// With a round trip longer than the exchange interval, each response came after the next request.
+// If the round trip is longer than the exchange interval, each response arrives after the next request.
 TEST(OutstandingRequestsTest, AResponseCountsAlsoAfterLaterRequests)
 {
     OutstandingRequests requests;
@@ -21,8 +21,8 @@
     auto third = requests.add("h1", false, s_now + 200ms);
     ASSERT_TRUE(first && second && third);
     EXPECT_EQ(requests.take("h1", *second), s_now + 100ms);
-    EXPECT_FALSE(requests.take("h1", *second)) << "once";
-    EXPECT_FALSE(requests.take("h1", *first)) << "the later response covers it";
+    EXPECT_FALSE(requests.take("h1", *second)) << "the response was already taken";
+    EXPECT_FALSE(requests.take("h1", *first)) << "the later response covers the earlier request";
     EXPECT_FALSE(requests.take("h2", *third)) << "nothing was requested from it";
     EXPECT_EQ(requests.take("h1", *third), s_now + 200ms);
     EXPECT_FALSE(requests.take("h1", 0)) << "a notification answers no request";
@@ -38,12 +38,12 @@
     EXPECT_FALSE(requests.isOverdue(s_now + 499ms));
     EXPECT_TRUE(requests.isOverdue(s_now + 500ms));
     requests.setTarget("h1", false);
-    EXPECT_TRUE(requests.isOverdue(s_now + 500ms)) << "the same target";
+    EXPECT_TRUE(requests.isOverdue(s_now + 500ms)) << "setting the same target keeps its requests";
     requests.setTarget("h2", false);
     EXPECT_FALSE(requests.isOverdue(s_now + 500ms));
 }
 
-// Between the choice of the target and the request, another thread may have set another target.
+// Another thread may set another target between the choice of the target and the request.
 TEST(OutstandingRequestsTest, ARequestThatWasPreparedForAnotherTargetIsNotRecorded)
 {
     OutstandingRequests requests;
@@ -51,7 +51,7 @@
     requests.setTarget("", false); // This router reads the store itself now.
     EXPECT_FALSE(requests.add("h1", false, s_now));
     requests.setTarget("h1", true);
-    EXPECT_FALSE(requests.add("h1", false, s_now)) << "as a hub now";
+    EXPECT_FALSE(requests.add("h1", false, s_now)) << "the router sends as a hub now";
     EXPECT_FALSE(requests.add("h2", true, s_now));
     EXPECT_FALSE(requests.isOverdue(s_now + 500ms)) << "nothing was recorded";
     EXPECT_TRUE(requests.add("h1", true, s_now));
@@ -62,12 +62,12 @@
 {
     LastSentVersion sent(500ms);
     EXPECT_TRUE(sent.beginSend(0, s_now));
-    EXPECT_TRUE(sent.beginSend(7, s_now)) << "another version is news";
+    EXPECT_TRUE(sent.beginSend(7, s_now)) << "another version is sent at once";
     EXPECT_FALSE(sent.beginSend(7, s_now + 499ms));
-    EXPECT_TRUE(sent.beginSend(7, s_now + 500ms)) << "it counts as lost";
-    EXPECT_FALSE(sent.beginSend(7, s_now + 501ms)) << "and then the second copy is in flight";
+    EXPECT_TRUE(sent.beginSend(7, s_now + 500ms)) << "the first copy counts as lost";
+    EXPECT_FALSE(sent.beginSend(7, s_now + 501ms)) << "the second copy is in flight";
     sent.forget();
-    EXPECT_TRUE(sent.beginSend(7, s_now + 502ms)) << "it is known to be lost";
+    EXPECT_TRUE(sent.beginSend(7, s_now + 502ms)) << "the copy in flight is lost";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -25,11 +25,11 @@
     }
     EXPECT_EQ(backoff.timeouts(), 7U);
     backoff.recordRequest();
-    EXPECT_FALSE(backoff.isIgnored(s_now)) << "it is alive";
+    EXPECT_FALSE(backoff.isIgnored(s_now)) << "the router is alive";
     EXPECT_EQ(backoff.timeouts(), 7U) << "but has not responded";
     backoff.recordResponse();
     backoff.recordTimeout(s_now);
-    EXPECT_FALSE(backoff.isIgnored(s_now + 2000ms)) << "it starts again from the beginning";
+    EXPECT_FALSE(backoff.isIgnored(s_now + 2000ms)) << "the backoff starts again from its initial value";
     backoff.recordResponse();
     backoff.recordLeaving(s_now);
     EXPECT_TRUE(backoff.isIgnored(s_now + 1999ms));
@@ -38,7 +38,7 @@
 TEST(PeerDirectoryTest, APeerWithANewAddressIsUsedAtOnce)
 {
     PeerDirectory peers("self");
-    EXPECT_FALSE(peers.addContact("self", { "127.0.0.1", 1 })) << "this router itself is no peer";
+    EXPECT_FALSE(peers.addContact("self", { "127.0.0.1", 1 })) << "this router is not its own peer";
     EXPECT_TRUE(peers.addContact("p", { "127.0.0.1", 1 }));
     EXPECT_FALSE(peers.addContact("p", { "127.0.0.1", 1 }));
     peers.state("p").backoff.recordTimeout(s_now);
@@ -55,14 +55,14 @@
     peer.recordRequest(1, 0, s_now);
     EXPECT_TRUE(peer.configuration.beginSend(7, s_now));
     peer.recordRequest(1, 0, s_now + 20s);
-    EXPECT_FALSE(peer.configuration.beginSend(7, s_now + 20s)) << "it may still wait on a slow link";
+    EXPECT_FALSE(peer.configuration.beginSend(7, s_now + 20s)) << "the copy may still be in flight on a slow link";
     peer.recordRequest(2, 0, s_now + 20s);
-    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "it has started again";
+    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "the peer has restarted";
     EXPECT_TRUE(peers.addContact("p", { "127.0.0.1", 2 }));
-    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "it has moved";
+    EXPECT_TRUE(peer.configuration.beginSend(7, s_now + 20s)) << "the peer has a new address";
     EXPECT_FALSE(peers.addContact("p", { "127.0.0.1", 2 }));
     EXPECT_FALSE(peer.configuration.beginSend(7, s_now + 20s));
-    EXPECT_TRUE(peer.configuration.beginSend(8, s_now + 20s)) << "another version is news";
+    EXPECT_TRUE(peer.configuration.beginSend(8, s_now + 20s)) << "another version is sent at once";
 }
 
 TEST(PeerDirectoryTest, FindDoesNotAddAPeer)
@@ -82,7 +82,7 @@
     EXPECT_TRUE(peers.subscribers(s_now + 1500ms).empty());
 }
 
-// Two hubs with a subscriber each: every load is counted once at each of the four routers.
+// Two hubs with a subscriber each: each of the four routers counts every load once.
 TEST(PeerLoadsTest, EachLoadIsCountedOnceEverywhere)
 {
     auto load = [](unsigned requests) { return LoadsByUpstream { { 7, { requests, 0, 0 } } }; };
@@ -91,16 +91,17 @@
     hub.recordHub("other", load(20), 2, s_now);
     EXPECT_EQ(hub.sumOfOthers(s_now).at(7).requests, 21U);
     EXPECT_EQ(hub.sumWithSubscribers(load(300), s_now).at(7).requests, 301U) << "for the other hub";
-    EXPECT_EQ(hub.sumForSubscriber("subscriber", load(300), s_now).at(7).requests, 320U) << "without its own";
+    EXPECT_EQ(hub.sumForSubscriber("subscriber", load(300), s_now).at(7).requests, 320U)
+        << "without the subscriber's own load";
     EXPECT_EQ(hub.subscriberRouters(s_now) + hub.hubRouters(s_now), 3U);
     hub.forgetHub("other");
     EXPECT_EQ(hub.sumOfOthers(s_now).at(7).requests, 1U);
-    EXPECT_TRUE(hub.sumOfOthers(s_now + 1500ms).empty()) << "reports that old are ignored";
+    EXPECT_TRUE(hub.sumOfOthers(s_now + 1500ms).empty()) << "the reports have expired";
 
     PeerLoads subscriber;
     subscriber.recordHub("hub", load(320), 3, s_now);
     EXPECT_EQ(subscriber.sumWithSubscribers(load(1), s_now, "hub").at(7).requests, 1U)
-        << "only its own goes to its hub";
+        << "a subscriber reports only its own load to its hub";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RevisionCursorTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RevisionCursorTest.cpp
@@ -16,7 +16,7 @@
     RevisionCursor cursor;
     EXPECT_EQ(cursor.next(s_start), 0U);
     cursor.recordSent(10, s_start);
-    EXPECT_FALSE(cursor.next(s_start + 2999ms)) << "however much has changed meanwhile";
+    EXPECT_FALSE(cursor.next(s_start + 2999ms)) << "one part is in flight, however much has changed since";
     cursor.acknowledge(10);
     EXPECT_EQ(cursor.next(s_start + 100ms), 10U);
     cursor.recordSent(20, s_start + 100ms);
@@ -25,9 +25,9 @@
     cursor.recordSent(20, s_start + 200ms);
     EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "the peer dropped it";
     cursor.acknowledge(5000);
-    EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "of an earlier process of this router";
+    EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "the acknowledgement belongs to an earlier process of this router";
     cursor.acknowledge(0);
-    EXPECT_EQ(cursor.next(s_start + 3300ms), 0U) << "the peer was started again";
+    EXPECT_EQ(cursor.next(s_start + 3300ms), 0U) << "the peer has restarted";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -15,7 +15,7 @@
 
 static constexpr Common::TimePoint s_now(1h);
 
-// A state that is just not stale, and one read of the store with its backoff, stay within the bound.
+// State that is just not stale, plus one read of the store with its backoff, stays within the bound.
 TEST(RefreshIntervalsTest, AllFollowFromTheBounds)
 {
     auto intervals = RefreshIntervals::within(2000ms, 1000ms);
@@ -48,7 +48,7 @@
 TEST(FreshnessLeaseTest, ItExpiresBeforeItsBound)
 {
     EXPECT_EQ(FreshnessLease::durationWithin(5000ms), 4750ms);
-    EXPECT_EQ(FreshnessLease::durationWithin(0ms), 0ms) << "no bound, no expiry";
+    EXPECT_EQ(FreshnessLease::durationWithin(0ms), 0ms) << "without a bound the lease never expires";
 }
 
 TEST(RetryWindowTest, TheAllowanceIsSharedWithSlack)
@@ -74,7 +74,7 @@
     EXPECT_FALSE(shouldReplicate(route, longResponse, false, true)) << "the engine cannot replicate";
     EXPECT_FALSE(shouldReplicate(route, longPrompt, true, true));
     route.resumable = true;
-    EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "it can start over elsewhere";
+    EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "the request can start over on another engine";
     route.kind = RouteKind::OnceOnly;
     EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "not a stream";
 }
