--- a/Source/RouteServing/Routing/ReplicaPolicy.cpp
+++ b/Source/RouteServing/Routing/ReplicaPolicy.cpp
@@ -7,8 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// How long after an engine broke off replicas are kept. Keeping them always cost 0.005 of worth on days without a crash
-// (docs/DESIGN.md, "Ways weighed, on the users' days"); the length itself was chosen, not measured.
+// How long replicas are kept after an engine failed in the middle of a response.
 static constexpr Common::Milliseconds failureRetention = 60'000ms;
 
 bool MidStreamFailures::areLikely(Common::TimePoint now) const { return m_last && now - *m_last < failureRetention; }
--- a/Source/RouteServing/Routing/ReplicaPolicy.h
+++ b/Source/RouteServing/Routing/ReplicaPolicy.h
@@ -7,11 +7,11 @@
 
 #include <optional>
 
-// When a run's KV cache is replicated to a second engine while it grows. Pure.
+// Decides when a run's KV cache is replicated to a second engine while it grows.
 namespace Brassladder::RouteServing::Routing {
 
-// Remembers whether an engine broke off in the middle of a response lately. Replicas cost transfers and memory, so they
-// are kept only while such failures are likely to repeat. Not safe for several threads.
+// Tracks whether an engine failed in the middle of a response recently. Replicas cost transfers and memory, so they are
+// kept only while such failures are likely to repeat. Not thread-safe.
 class MidStreamFailures {
 public:
     void record(Common::TimePoint now) { m_last = now; }
@@ -21,9 +21,9 @@
     std::optional<Common::TimePoint> m_last;
 };
 
-// Whether a run on this route gets a replica. Only long responses that must not run twice: a repeatable request can
-// start over elsewhere, and a short one is done before its replica is complete. `engineReplicates`: the service's
-// engines support it.
+// Whether a run on this route gets a replica. Only long responses that must not run twice get one: a repeatable request
+// can start over on another engine, and a short response ends before its replica is complete. `engineReplicates` is
+// whether the service's engines support replication. Pure.
 bool shouldReplicate(const Route&, const Prompt&, bool engineReplicates, bool midStreamFailuresAreLikely);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RetryPolicy.cpp
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -8,14 +8,12 @@
 using Common::ErrorKind;
 using Common::Ran;
 
-// Connection attempts that may fail in a row for one request before it is given up. A connection that fails costs no
-// upstream any work, so these do not count against the retry budget; several upstreams may have just ended at once.
-// Chosen, not measured.
+// Connection attempts that may fail for one request before it is given up. A failed connection costs no upstream any
+// work, so it does not count against the retry budget, and several upstreams may have just ended at once.
 static constexpr unsigned maxConnectFailures = 4;
 
-// When a caller comes back whose request one upstream refused while others have room: soon enough to be served within
-// an objective of 300 ms, and after this router has told the others of its load (100 ms between two exchanges).
-// Measured against one second: see retryAfterRefusal's test.
+// Retry-after for a request that one upstream refused while others have room. Short enough to meet an objective of 300
+// ms, and the mean time until the next exchange of loads between routers (every 100 ms).
 static constexpr Common::Milliseconds retryAfterWithFreeUpstream { 50 };
 
 void AttemptHistory::record(AttemptOutcome outcome)
@@ -40,12 +38,12 @@
     if (isPastDeadline)
         return RetryDecision::GiveUp;
     if (history.mayHaveRun && !route.mayRepeat()) {
-        // A failover is no second run: the same run goes on from its replica. Before the first event there may be no
-        // replica yet, and an engine without one might run the request anew.
+        // A failover is not a second run: the same run continues from its replica. Before the first event there may be
+        // no replica yet, and an engine without one might run the request again.
         bool isRunBrokenOff = ranAfter(last) != Ran::No && hasRelayedEvents;
         return isRunBrokenOff ? RetryDecision::FailOver : RetryDecision::GiveUp;
     }
-    // Each upstream is tried once, so that this ends.
+    // Each upstream is tried at most once, so this ends.
     if (last == AttemptOutcome::Withheld)
         return RetryDecision::Retry;
     if (last == AttemptOutcome::ConnectFailed || last == AttemptOutcome::CancelledBeforeSending)
--- a/Source/RouteServing/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -3,11 +3,10 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The share of the ratio that is used. The rest is slack, because the windows of different routers do not begin at the
-// same moment. Chosen, not measured.
+// The share of the ratio that is used. The rest is slack, because the windows of different routers are not aligned.
 static constexpr double ratioSafetyFactor = 0.9;
 // The share of the fleet's allowance that is used. The rest is slack for routers that have just started and do not know
-// the size of the fleet. Chosen, not measured.
+// the size of the fleet.
 static constexpr double allowanceSafetyFactor = 0.8;
 
 double retryAllowanceShare(double fleetAllowance, size_t routers)
--- a/Source/RouteServing/Routing/RetryWindow.h
+++ b/Source/RouteServing/Routing/RetryWindow.h
@@ -10,20 +10,19 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Bounds the retries that the whole fleet sends to one service: within any sliding window, at most a ratio of the
-// requests for it plus a fixed allowance. Each router keeps to the ratio of its own requests and to its share of the
-// allowance, so that the sum over all routers keeps to the whole without coordination.
+// Bounds the retries that the whole fleet sends to one service: within any sliding window, at most a ratio of its
+// requests plus a fixed allowance. Each router keeps to the ratio of its own requests and to its share of the
+// allowance, so the fleet keeps to the bound without coordination.
 //
-// Class serving has another limit, ClassServing/Scheduling/RetryBudget.h: a token bucket that saves up unused retries
-// over time. It would not do here, because the operators' rule counts within a window; and a window would not do there,
-// where a pool with few requests still gets a retry each second.
+// Class serving uses a token bucket instead (ClassServing/Scheduling/RetryBudget.h). A bucket saves up unused retries
+// over time, which the operators' rule for a window does not allow.
 //
-// Safe to use from several threads.
+// Thread-safe.
 class RetryWindow {
 public:
     struct Bounds {
-        double ratio { 0 }; // Retries for each request.
-        double allowance { 0 }; // Retries beyond that in one window; this router's share.
+        double ratio { 0 }; // Retries per request.
+        double allowance { 0 }; // Additional retries in one window; this router's share.
         Common::Milliseconds window { 0 };
     };
 
@@ -31,12 +30,12 @@
 
     void setAllowance(double);
     void countRequest(Common::TimePoint now);
-    // True when a retry may be sent now; it is counted.
+    // Returns whether a retry may be sent now. If so, it is counted.
     bool takeRetry(Common::TimePoint now);
 
 private:
-    // Slices of the window, plus one: the oldest one, partly outside of it, still counts for retries but no longer for
-    // requests, which errs on the safe side. 40 slices keep that error at 2.5%; chosen, not measured.
+    // The slices of the window plus one. The oldest slice is partly outside of the window: its retries count but its
+    // requests do not, so the bound holds. With 40 slices per window the error is at most 2.5%.
     static constexpr size_t sliceCount = 41;
     struct Slice {
         int64_t number { -1 };
@@ -52,7 +51,7 @@
     std::array<Slice, sliceCount> m_slices;
 };
 
-// This router's share of the allowance of a fleet of `routers` (at least one).
+// Returns this router's share of the fleet's allowance. `routers` is the size of the fleet, at least 1.
 double retryAllowanceShare(double fleetAllowance, size_t routers);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -27,7 +27,7 @@
     return route;
 }
 
-// The decision after these outcomes, with time left.
+// The decision after these outcomes, before the deadline.
 RetryDecision decideAfter(const Route& route, std::vector<AttemptOutcome> outcomes, bool hasRelayedEvents = false)
 {
     AttemptHistory history;
@@ -49,7 +49,7 @@
             "not_sent", "not_sent", "refused", "maybe_ran", "maybe_ran", "ran", "ran", "not_sent" }));
 }
 
-// The rule that matters most: whatever happened before, a once-only request that may have run is not sent again.
+// A once-only request that may have run is never sent again, whatever happened before.
 TEST(RetryPolicyTest, ARequestThatMustRunOnceIsNotSentAgainOnceItMayHaveRun)
 {
     for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Stream) }) {
@@ -98,7 +98,7 @@
         RetryDecision::RetryWithinBudget);
 }
 
-// Before the first event there may be no replica, and an engine without one might run the request anew.
+// Before the first event there may be no replica, and an engine without one might run the request again.
 TEST(RetryPolicyTest, ARunFailsOverOnlyAfterItsFirstEvent)
 {
     auto route = routeOf(RouteKind::Stream);
@@ -144,8 +144,7 @@
     EXPECT_EQ(maxIdleTime(routeOf(RouteKind::Repeatable)), Common::Milliseconds::max());
 }
 
-// A caller that is told to wait for a second is late whatever its objective; where others have room nothing speaks for
-// the wait.
+// Waiting for a second would miss shorter objectives, and is not needed while other upstreams have room.
 TEST(RetryPolicyTest, RetryAfterIsShorterWhileOtherUpstreamsHaveRoom)
 {
     EXPECT_EQ(retryAfterRefusal(true), 50ms);
