--- a/Source/Inner/FrameCodec.cpp
+++ b/Source/Inner/FrameCodec.cpp
@@ -7,7 +7,7 @@
 
 using Common::ErrorKind;
 
-// Width of the length in front of each frame.
+// Width of the length prefix of each frame.
 static constexpr size_t lengthPrefixBytes = sizeof(uint32_t);
 
 std::string encodeFrame(const Wire::Frame& frame)
@@ -28,12 +28,12 @@
         uint32_t length
             = boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(m_buffer.data() + consumed));
         if (length > maxFrameBytes)
-            return Common::makeError(ErrorKind::BadRequest, "a frame is larger than the limit");
+            return Common::makeError(ErrorKind::BadRequest, "frame exceeds the size limit");
         if (m_buffer.size() - consumed - lengthPrefixBytes < length)
             break;
         Wire::Frame frame;
         if (!frame.ParseFromArray(m_buffer.data() + consumed + lengthPrefixBytes, static_cast<int>(length)))
-            return Common::makeError(ErrorKind::BadRequest, "not a frame");
+            return Common::makeError(ErrorKind::BadRequest, "frame is not a valid Frame message");
         frames.push_back(std::move(frame));
         consumed += lengthPrefixBytes + length;
     }
--- a/Source/Inner/FrameCodec.h
+++ b/Source/Inner/FrameCodec.h
@@ -10,16 +10,16 @@
 
 namespace Brassladder::Inner {
 
-// The largest frame that is taken from a peer: a full configuration of 4,300 workspaces at about 600 bytes is 2.6 MB.
+// The largest frame that is accepted from a peer; a configuration of 4,300 workspaces takes about 2.6 MB.
 inline constexpr uint32_t maxFrameBytes = 16 * 1024 * 1024;
 
-// A frame with its length (four bytes, most significant first) in front.
+// Serializes a frame behind its length prefix (four bytes, big-endian).
 std::string encodeFrame(const Wire::Frame&);
 
-// Cuts a stream of bytes into frames.
+// Splits a byte stream into frames.
 class FrameDecoder {
 public:
-    // Adds bytes and returns the frames that are whole by now; BadRequest when a frame is too large or is no frame.
+    // Appends bytes and returns all frames that are complete. Returns BadRequest if a frame is too large or malformed.
     Common::Result<std::vector<Wire::Frame>> feed(std::string_view);
 
 private:
--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -11,14 +11,14 @@
 
 namespace asio = boost::asio;
 
-// A peer behind a network cut neither responds nor resets: the connection ends when bytes stay unacknowledged for this
-// long (TCP_USER_TIMEOUT). The kernel of a stopped process acknowledges: there the connection ends when bytes have
-// waited for the peer's HTTP/2 window for as long. Chosen, not measured.
+// The connection is closed when sent bytes stay unacknowledged for this long (TCP_USER_TIMEOUT), for example during a
+// network partition. The kernel of a stopped process still acknowledges bytes, so the connection is also closed when
+// outbound bytes wait this long for the peer's HTTP/2 window.
 static constexpr int writeStallTimeoutMs = 2000;
 
-// Buffer for one read: HTTP/2's default maximum frame size (RFC 9113, 6.5.2).
+// Buffer size of one read: the default maximum HTTP/2 frame size (RFC 9113, 6.5.2).
 static constexpr size_t readBufferBytes = 16 * 1024;
-// HTTP/2 window: room for a burst of frames without waiting for window updates. Chosen, not measured.
+// HTTP/2 flow control window: holds a burst of frames without a wait for window updates.
 static constexpr int32_t flowControlWindowBytes = 1 << 20;
 
 Http2Session::Http2Session(Socket socket, Hooks hooks)
@@ -101,7 +101,7 @@
     std::copy_n(self.m_outbound.data() + self.m_outboundConsumed, bytes, target);
     self.m_outboundConsumed += bytes;
     self.m_totalConsumed += bytes;
-    // Also for a peer that always lags a little: what was taken never exceeds what was not.
+    // Compaction at the halfway point bounds the consumed prefix even if the peer never catches up completely.
     if (self.m_outboundConsumed >= self.m_outbound.size() - self.m_outboundConsumed) {
         self.m_outbound.erase(0, self.m_outboundConsumed);
         self.m_outboundConsumed = 0;
@@ -167,7 +167,7 @@
     close();
 }
 
-// Outside nghttp2, so that the hook may do anything, also with this session.
+// Runs outside of nghttp2's callbacks, because the hook may call any function of this session.
 bool Http2Session::deliverReceived()
 {
     if (m_received.empty())
@@ -193,14 +193,15 @@
     awaitOutboundConsumed();
 }
 
-// Another fiber may be writing, or the peer's window may be used up: then the reader goes on when the window opens.
+// Waits until nghttp2 has consumed all outbound bytes. Another fiber may be writing, or the peer's flow control window
+// may be exhausted; in that case the reader fiber resumes sending when the window opens.
 void Http2Session::awaitOutboundConsumed()
 {
     std::unique_lock lock(m_progressMutex);
     while (m_open && !m_outbound.empty()) {
         auto consumedBefore = m_totalConsumed;
         auto status = m_progress.wait_for(lock, std::chrono::milliseconds(writeStallTimeoutMs));
-        // Bytes that are on their way to the socket are the kernel's to judge.
+        // TCP_USER_TIMEOUT covers bytes that are already being written to the socket.
         bool isStuck
             = status == boost::fibers::cv_status::timeout && m_totalConsumed == consumedBefore && !m_flushing && m_open;
         if (isStuck)
@@ -208,7 +209,7 @@
     }
 }
 
-// One fiber writes at a time; what another adds meanwhile is written by the first before it leaves.
+// One fiber writes at a time. It also writes the bytes that other fibers add in the meantime.
 void Http2Session::flush()
 {
     if (m_flushing)
@@ -217,8 +218,8 @@
     m_flushing = true;
     writePending();
     m_flushing = false;
-    // The stream ended inside nghttp2, or the session ended itself after an error of the protocol: nothing more comes
-    // of it, and the reader must not wait for it.
+    // The stream was closed, or nghttp2 ended the session after a protocol error. No more data follows, so the reader
+    // fiber must not wait for it.
     if (!m_open || (!nghttp2_session_want_read(m_session) && !nghttp2_session_want_write(m_session)))
         close();
     m_progress.notify_all();
--- a/Source/Inner/Http2Session.h
+++ b/Source/Inner/Http2Session.h
@@ -8,15 +8,15 @@
 
 namespace Brassladder::Inner {
 
-// One HTTP/2 connection that carries one stream of bytes from the client to the server: the client opens a POST to
-// `/inner` whose body never ends. Belongs to one thread; a reader fiber runs `run`, any fiber of the thread may `send`.
+// An HTTP/2 connection that carries one byte stream from the client to the server. The client sends a POST to `/inner`
+// whose body never ends. Bound to one thread: a reader fiber runs `run`, and any fiber of the thread may `send`.
 class Http2Session : public std::enable_shared_from_this<Http2Session> {
 public:
     using Socket = boost::asio::ip::tcp::socket;
     struct Hooks {
-        // Server: whether the peer's key is right. A refused stream is answered 401 and reset.
+        // Server: returns whether the authorization is valid. Otherwise the stream is answered with 401 and reset.
         std::function<bool(std::string_view authorization)> authorize;
-        // Server: bytes of the stream. False ends the connection.
+        // Server: receives bytes of the stream. Returning false closes the connection.
         std::function<bool(std::string_view)> onData;
     };
 
@@ -26,8 +26,9 @@
 
     // Reads until the connection ends.
     void run();
-    // Client: sends bytes of the stream. Suspends the calling fiber until the peer's window has taken all of them or
-    // the connection has ended, also because the peer took nothing for a while; one fiber at a time.
+    // Client: sends bytes of the stream. Suspends the calling fiber until all bytes fit into the peer's flow control
+    // window, or the connection ends, including when the peer makes no progress before the timeout. One fiber at a
+    // time.
     void send(std::string bytes);
     void close();
     bool isOpen() const { return m_open; }
@@ -53,15 +54,15 @@
     int32_t m_stream { 0 };
     std::string m_authorization;
     bool m_authorized { false };
-    std::string m_received; // Of the stream, not handed over yet.
+    std::string m_received; // Bytes of the stream that are not delivered to the hook yet.
     std::string m_outbound;
     size_t m_outboundConsumed { 0 };
-    uint64_t m_totalConsumed { 0 }; // Since the connection began.
+    uint64_t m_totalConsumed { 0 }; // Bytes over the lifetime of the connection.
     bool m_deferred { false };
     bool m_flushing { false };
     bool m_open { true };
     boost::fibers::mutex m_progressMutex;
-    boost::fibers::condition_variable m_progress; // Notified when bytes were taken, and at the end.
+    boost::fibers::condition_variable m_progress; // Notified when bytes were consumed and when the connection ends.
 };
 
 } // namespace Brassladder::Inner
--- a/Source/Inner/Mesh.cpp
+++ b/Source/Inner/Mesh.cpp
@@ -69,20 +69,20 @@
     m_links = std::move(next);
 }
 
-// The link in use, if it leads there, or a new one. The caller holds the lock.
+// Returns the existing link if the peer is unchanged, otherwise a new one. The caller holds m_mutex.
 std::shared_ptr<PeerLink> Mesh::linkTo(const Peer& peer)
 {
     auto old = m_links.find(peer.id);
     if (old != m_links.end() && old->second->peer() == peer)
         return old->second;
-    // All links to one id are on one thread: the end of one comes before anything of the next, also when the peer was
-    // gone from the list for a while.
+    // All links to one id run on the same thread. This orders the end of a link before any event of its successor, even
+    // if the peer was absent from the list for a while.
     return std::make_shared<PeerLink>(m_linkContext, peer, m_runtime.threadFor(peer.id));
 }
 
 void Mesh::send(const std::string& peer, Wire::Item item)
 {
-    // Held while the item is handed over: it is in the outbox before `setPeers` can remove the link.
+    // The lock is held until the item is in the outbox, so `setPeers` cannot remove the link in between.
     std::lock_guard lock(m_mutex);
     auto found = m_links.find(peer);
     if (found == m_links.end())
--- a/Source/Inner/Mesh.h
+++ b/Source/Inner/Mesh.h
@@ -9,31 +9,31 @@
 
 namespace Brassladder::Inner {
 
-// Carries items between routers, in order, over one connection in each direction that is opened when there is
-// something to send. The mesh never repeats an item: when a connection breaks, items in flight are lost, the sender's
-// hook is called, and the owner of the state sends it again (PeerLink.h says what it may rely on). Items that wait for
-// one peer are sent in one frame. Safe to use from several threads.
+// Sends items between routers, in order. Each direction uses its own connection, which is opened when there is an item
+// to send. Delivery is at most once: when a connection breaks, items in flight are lost and the mesh does not resend
+// them. It calls the sender's `onDisconnected` hook, and the owner of the state sends it again (see PeerLink.h for the
+// guarantees). Items that wait for the same peer are batched into frames. Thread-safe.
 class Mesh {
 public:
     struct Sender {
         std::string id;
-        uint64_t incarnation { 0 }; // Differs each time the instance starts.
+        uint64_t incarnation { 0 }; // Differs for each start of the instance.
     };
     struct Hooks {
-        // Called on a thread of the runtime, in the order of sending. Must not block.
+        // Called on a thread of the runtime, in sending order. Must not block.
         std::function<void(const Sender&, const Wire::Item&)> onItem;
-        // A connection to the peer is open: state that the peer needs must be sent now. Must not block.
+        // A connection to the peer was opened; the callee must send the state that the peer needs. Must not block.
         std::function<void(const std::string& peer)> onConnected;
-        // The connection ended or could not be opened: what was sent may be lost. Must not block.
+        // A connection ended or could not be opened; sent items may be lost. Must not block.
         std::function<void(const std::string& peer)> onDisconnected;
     };
 
     Mesh(Common::FiberRuntime&, Sender self, std::string_view fleetKey);
 
-    // Listens for peers; the port in use, or PlatformUnavailable.
+    // Listens for peers. Returns the bound port, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&, Hooks);
     void setPeers(std::span<const Peer>);
-    // Drops the item when the peer is unknown.
+    // Drops the item if the peer is unknown.
     void send(const std::string& peer, Wire::Item);
     const Sender& self() const { return m_self; }
 
--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -11,16 +11,15 @@
 using tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
 
-// For a connection between routers. One-way latency inside a region is a few milliseconds (brief, "Sizes of today").
+// Connection timeout between routers. One-way latency within a region is a few milliseconds.
 static constexpr Common::Milliseconds connectTimeout { 500 };
-// From the end of a connection, or of an attempt to get one, to the next attempt. An owner that sends again whenever it
-// is notified would otherwise make a router connect as fast as it can to a peer that refuses it. Chosen, not measured.
+// Minimum delay between the end of a connection or failed attempt and the next attempt. An owner that resends on every
+// notification would otherwise cause a busy loop of connection attempts to a peer that refuses them.
 static constexpr Common::Milliseconds reconnectDelay { 10 };
-// A connection is closed when more than this waits behind the first item that the peer does not take; that one may have
-// any size. Chosen, not measured.
+// A connection is closed when more than this is queued behind the first item. The first item may have any size.
 static constexpr size_t maxBacklogBytes = 8 * 1024 * 1024;
-// Items that wait are sent in one frame up to this; a larger item has a frame of its own. Far below maxFrameBytes, and
-// what a slow peer makes a router hold twice, encoded and not. Chosen, not measured.
+// Queued items are batched into one frame up to this size; a larger item gets a frame of its own. For a slow peer, the
+// router holds a batch of this size twice: as items and encoded.
 static constexpr size_t maxBatchBytes = 1024 * 1024;
 
 PeerLink::PeerLink(Context& context, Peer peer, size_t thread)
@@ -63,7 +62,7 @@
     m_removed = true;
 }
 
-// Sends what waits, one frame at a time, until nothing waits. At most one fiber does so.
+// Sends queued items frame by frame until the outbox is empty. At most one fiber runs this at a time.
 void PeerLink::drain()
 {
     while (continueDrain()) {
@@ -94,7 +93,7 @@
         bytes += m_outbox.front().bytes;
         batch.push_back(std::move(m_outbox.front().item));
         m_outbox.pop_front();
-        // The next one is the first now.
+        // The backlog excludes the new first item.
         m_backlogBytes -= m_outbox.empty() ? m_backlogBytes : m_outbox.front().bytes;
     }
     m_stalled = m_backlogBytes > maxBacklogBytes;
@@ -129,7 +128,7 @@
 {
     if (m_session && m_session->isOpen())
         return m_session;
-    // The connection ended while it was written to, and its reader has not noticed yet.
+    // The connection ended during a write, and its reader fiber has not handled that yet.
     if (auto ended = m_session) {
         closeConnection(ended);
         return nullptr;
@@ -137,7 +136,7 @@
     awaitReconnectDelay();
     auto session = m_removed ? nullptr : connect();
     if (m_removed) {
-        // The owner was notified by `remove`.
+        // `remove` has already notified the owner.
         dropOutbox();
         return nullptr;
     }
@@ -181,7 +180,7 @@
 void PeerLink::closeConnection(const Session& session)
 {
     session->close();
-    // Another fiber was first.
+    // Another fiber has already handled the end of this connection.
     if (m_session != session)
         return;
     m_session = nullptr;
@@ -195,7 +194,7 @@
         if (!m_stalled)
             return;
     }
-    // An attempt to connect has a time limit of its own.
+    // If there is no session yet, the connection attempt has its own timeout.
     if (auto session = m_session)
         closeConnection(session);
 }
--- a/Source/Inner/PeerLink.h
+++ b/Source/Inner/PeerLink.h
@@ -20,24 +20,24 @@
     bool operator==(const Peer&) const = default;
 };
 
-// Sends items to one peer: an outbox, and one connection that is opened when there is something to send.
+// Sends items to one peer. Owns an outbox and one connection, which is opened when there is an item to send.
 //
-// Connecting and writing suspend the sending fiber, and meanwhile the fiber that reads the connection, or `remove`, may
-// end it. So no fiber keeps what it knew of the link across a suspension: it holds a reference to its own session, and
-// looks at the link again afterwards. Whoever notices the end of a connection first calls `closeConnection`, which does
-// in one step all that belongs to it; the others find it done.
+// Connecting and writing suspend the sending fiber. Meanwhile the reader fiber or `remove` may end the connection, so a
+// fiber holds a reference to its own session and checks the state of the link again after each suspension. The fiber
+// that first notices the end of a connection calls `closeConnection`, which handles it in one step; later calls do
+// nothing.
 //
-// What the owner may rely on: an item is written to an open connection, or it is dropped and `onDisconnected` is called
-// afterwards. An item that is sent after that call goes to another connection. `onDisconnected` is called once for each
-// connection, before the next one is open, and never after the link was removed.
+// Guarantees: an item is either written to an open connection, or dropped with a call of `onDisconnected` afterwards.
+// Items sent after that call use another connection. `onDisconnected` is called once per connection, before the next
+// one opens, and never after the link was removed.
 //
-// `send` and `remove` may be called from any thread; all else runs on the link's thread.
+// `send` and `remove` are thread-safe; everything else runs on the link's thread.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
-    // What all links of one mesh share. Outlives them.
+    // State that all links of one mesh share. Must outlive them.
     struct Context {
         Common::FiberRuntime& runtime;
-        std::string sender; // The id of this instance.
+        std::string sender; // Id of this instance.
         uint64_t incarnation { 0 };
         std::string authorization;
         std::function<void(const std::string& peer)> onConnected;
@@ -50,30 +50,30 @@
     const Peer& peer() const { return m_peer; }
 
     void send(Wire::Item);
-    // Ends the connection for good; what still waits is dropped. The link of a peer with the same id must be on the
-    // same thread and get its first item after this call.
+    // Ends the connection permanently and drops queued items. A later link to a peer with the same id must use the same
+    // thread and receive its first item after this call.
     void remove();
 
 private:
     using Session = std::shared_ptr<Http2Session>;
 
     void drain();
-    // Whether something waits; otherwise the drain is over and the next `send` starts another one. For the drain alone.
+    // Returns whether items are queued. If not, marks the drain as finished, and the next `send` starts a new one. Only
+    // for `drain`.
     bool continueDrain();
     bool hasPendingItems();
-    // What goes into one frame.
+    // Takes the items for one frame from the outbox.
     std::vector<Wire::Item> takeBatch();
     void dropOutbox();
     void write(const Session&, std::vector<Wire::Item>);
-    // The open session, connecting if there is none; null when the outbox was discarded instead.
+    // Returns the open session and connects if there is none. Returns nullptr if the outbox was dropped instead.
     Session openSession();
     Session connect();
     void awaitReconnectDelay() const;
     void startReading(const Session&);
     void closeConnection(const Session&);
-    // Ends the connection of a peer that does not take what it is sent.
+    // Closes the connection to a peer that does not accept items fast enough.
     void closeStalledConnection();
-    // Drops what waits, and notifies the owner.
     void dropOutboxAndNotify();
     void removeOnLinkThread();
 
@@ -85,14 +85,14 @@
     Context& m_context;
     const Peer m_peer;
     const size_t m_thread;
-    Session m_session; // Null when there is no connection.
+    Session m_session; // Null if not connected.
     bool m_removed { false };
-    Common::TimePoint m_lastConnectionEnd {}; // Of a connection, or of an attempt to get one.
-    std::mutex m_mutex; // Guards the rest.
+    Common::TimePoint m_lastConnectionEnd {}; // End of a connection or of a failed attempt.
+    std::mutex m_mutex; // Guards the members below.
     std::deque<QueuedItem> m_outbox;
-    size_t m_backlogBytes { 0 }; // Of all items in the outbox but the first.
-    bool m_stalled { false }; // More waits than may.
-    bool m_draining { false }; // A fiber is on its way to empty the outbox.
+    size_t m_backlogBytes { 0 }; // Size of all queued items except the first.
+    bool m_stalled { false }; // The backlog exceeds its limit.
+    bool m_draining { false }; // A fiber is emptying the outbox.
 };
 
 } // namespace Brassladder::Inner
