--- a/Source/RouteServing/Duties/CapacityDemand.cpp
+++ b/Source/RouteServing/Duties/CapacityDemand.cpp
@@ -10,24 +10,22 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// The prompts that an engine has before it may take this share of the shortest objective: the rest is for those that
-// come meanwhile and for the engine's own first step. Chosen, not measured on its own.
+// Share of the shortest objective that queued prompts of an engine may take. The rest is left for prompts that arrive
+// meanwhile and for the engine's own first step.
 static constexpr double backlogShareOfObjective = 0.25;
-// Share of a batch that long responses may take. The same as Routing/DecodeReservation.h keeps for them.
+// Share of a batch that long responses may take; equal to the share that Routing/DecodeReservation.h reserves.
 static constexpr double decodeShareOfBatch = 0.5;
 static constexpr double maxHeadroomFactor = 3;
-// Weight of a new sample: samples come twice a second, and single ones vary by half with the size of prompts. Chosen,
-// not measured.
+// Weight of a new sample in the moving average. Single samples vary with the size of prompts.
 static constexpr double sampleWeight = 0.5;
-// A need lasts when it was there for so long: bursts of the users' sheets take 5 to 10 s, and waves 11 s.
+// A load counts as sustained if it has persisted for this long; it exceeds the length of common bursts.
 static constexpr Milliseconds sustainedLoadWindow = 12'000ms;
-// For how long the largest need counts for the headroom: some bursts of the users' sheets come 11 s apart. Chosen, not
-// measured.
+// The largest need within this time determines the headroom; it spans the gaps between recurring bursts.
 static constexpr Milliseconds peakLoadWindow = 60'000ms;
-// The list of upstreams is settled when as many stood for so long: upstreams write their entries at intervals of 1.2 s
-// (the users' sheets), and the list is read about as often.
+// The number of serving engines counts as stable if it has not changed for this long. It exceeds the interval at which
+// upstreams announce themselves.
 static constexpr Milliseconds servingCountStableTime = 2000ms;
-// A load is known when it was seen for so long: the first prompts tell little. Chosen, not measured.
+// The load counts as known if it has been observed for this long.
 static constexpr Milliseconds minLoadObservation = 5000ms;
 
 CapacityDemand::CapacityDemand(double spotPrice)
@@ -77,7 +75,7 @@
             least = std::min(least, sample.engines);
     }
     auto withHeadroom = engines(m_headroom * most);
-    // A holder that is new knows no burst yet; what stands may be there for one.
+    // A new holder may not have observed a burst yet; serving engines may exist for one.
     if (now - *m_firstLoadAt < peakLoadWindow)
         withHeadroom = std::max(withHeadroom, *m_initialEngines);
     return CapacityNeed { engines(least), withHeadroom };
--- a/Source/RouteServing/Duties/CapacityDemand.h
+++ b/Source/RouteServing/Duties/CapacityDemand.h
@@ -8,45 +8,42 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// What all routers have outstanding at the engines of one service, as its holder of the duties hears it.
+// Outstanding work of all routers at the engines of one service, as reported to the holder of the duties.
 struct EngineLoad {
-    double decodeHeavy { 0 }; // Generations whose decoding takes longer than their prefill.
+    double decodeHeavy { 0 }; // Generations whose decode takes longer than their prefill.
     double prefillTokens { 0 }; // Of prompts that wait for their first event.
-    double millisecondsPerToken { 0 }; // Of prefill, as learned; 0 while nothing is known.
-    unsigned batch { 1 }; // Generations that one engine runs at once.
-    Common::Milliseconds objective { 0 }; // The shortest time until a first event that a route promises.
+    double millisecondsPerToken { 0 }; // Learned prefill time; 0 if unknown.
+    unsigned batch { 1 }; // Generations that an engine runs concurrently.
+    Common::Milliseconds objective { 0 }; // The shortest time to first event that a route promises.
 };
 
-// Engines that a service needs.
+// Number of engines that a service needs.
 struct CapacityNeed {
-    unsigned sustained { 0 }; // So that prompts begin in time, under the load that lasts.
-    unsigned withHeadroom { 0 }; // With headroom for bursts that are over before another engine has booted.
+    unsigned sustained { 0 }; // To meet the objective under the sustained load.
+    unsigned withHeadroom { 0 }; // With headroom for bursts that end before another engine has booted.
     bool operator==(const CapacityNeed&) const = default;
 };
 
-// How many engines a service needs, from the work that is outstanding.
+// Computes how many engines a service needs from its outstanding work.
 //
-// Bursts of two to three times a class's traffic begin within a second and are over before another engine has booted,
-// so only engines that stand already serve them. How many may stand idle follows from their price: the headroom is the
-// inverse of the price's square root, so that it doubles where an engine costs a quarter, within bounds. The most that
-// was needed lately counts for it. What lasts is the least of the last seconds: engines on demand that were ordered in
-// each burst came when it was over, and took the room of the spot engines that served it (worth 0.508 against 0.774 on
-// a quiet day, 0.505 against 0.747 on a heavy one, trials).
+// Bursts begin within a second and end before another engine has booted, so only engines that already serve can absorb
+// them. The headroom factor is the inverse square root of the spot price, within bounds, and applies to the recent
+// maximum of the need. The sustained need is the recent minimum: on-demand engines that are ordered for a burst would
+// serve only after it has ended and displace spot engines.
 //
-// While no load has been seen, what stood first is needed, and for a minute after that nothing less: a
-// new holder that went by its first seconds alone gave back 10 of 39 spot engines of a domain, and ordered them again
-// (a day on 88 routers). Not safe for several threads.
+// While the load is unknown, the need equals the initial number of serving engines. For one minute after that, the need
+// with headroom does not fall below it; otherwise a new holder could release engines too early. Not thread-safe.
 class CapacityDemand {
 public:
-    // `spotPrice`: of an engine that carries the headroom, as a share of one on demand.
+    // `spotPrice`: price of a spot engine relative to an on-demand engine.
     explicit CapacityDemand(double spotPrice);
 
-    // `servingEngines`: engines that serve now.
+    // `servingEngines`: number of engines that serve now.
     void observe(const EngineLoad&, unsigned servingEngines, Common::TimePoint now);
-    // None before what stands is settled: nothing is ordered then.
+    // Returns nullopt until the number of serving engines is stable; nothing may be ordered before.
     std::optional<CapacityNeed> need(Common::TimePoint now) const;
 
-    // Engines for the load, without headroom.
+    // Returns the engines that the load requires, without headroom.
     static double enginesFor(const EngineLoad&);
 
 private:
@@ -60,7 +57,7 @@
     double m_smoothed { 0 };
     unsigned m_servingEngines { 0 };
     std::optional<Common::TimePoint> m_servingEnginesSince;
-    std::optional<unsigned> m_initialEngines; // What stood when it had settled first.
+    std::optional<unsigned> m_initialEngines; // Serving engines when their number first became stable.
     std::optional<Common::TimePoint> m_firstLoadAt;
 };
 
--- a/Source/RouteServing/Duties/CapacityOrders.cpp
+++ b/Source/RouteServing/Duties/CapacityOrders.cpp
@@ -6,15 +6,14 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// When none are to be had; the users' sheets name eight to ten seconds of that. Chosen, not measured: one call in two
-// seconds and failure domain.
+// Delay after the platform reported that it has no such engines; limits the calls per failure domain.
 static constexpr Common::Milliseconds noCapacityRetryDelay = 2000ms;
-// After a refusal for other reasons or no answer. Chosen, not measured.
+// Delay after another rejection or a missing response.
 static constexpr Common::Milliseconds failureRetryDelay = 500ms;
-// The list of upstreams lags (`DrainMs` is 2 to 4 s in the users' sheets). Chosen, not measured.
+// Allowance for the delay of the upstream list.
 static constexpr Common::Milliseconds upstreamListLag = 3000ms;
 
-// None, so that it is ordered again, when the platform accepted a number long ago and fewer stand.
+// Returns nullopt, which causes a new order, if the platform accepted a number long ago and fewer engines serve.
 std::optional<unsigned> CapacityOrders::orderedNumber(
     const Subject& subject, unsigned servingEngines, TimePoint now) const
 {
@@ -58,7 +57,7 @@
     case Outcome::Accepted:
         state.accepted = order.desired;
         state.acceptedAt = now;
-        // A late one with a lower token is refused from now on; one with the same number does no harm.
+        // The platform now rejects a late order with a lower token; a late order with the same number changes nothing.
         if (state.unansweredToken < token || state.unanswered == order.desired)
             state.unanswered.reset();
         return;
--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -12,27 +12,28 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// What one holder of the duties has ordered, and which order may be sent next.
+// Tracks the orders of one holder of the duties and selects the order to send next.
 //
-// An order without an answer may be carried out seconds later, after newer ones. Its token is checked then, so the next
-// order that differs from it bears a new token, which makes the platform refuse the late one. The same number may be
-// repeated as it is. Not safe for several threads.
+// An order without a response may be carried out seconds later, after newer orders. The platform checks its token at
+// that time. An order for a different number therefore needs a new token, which makes the platform reject the late one.
+// An order for the same number may be repeated with the same token. Not thread-safe.
 class CapacityOrders {
 public:
-    // A number that the list of upstreams does not reach `boot` and a while after it was accepted is ordered again.
+    // `boot`: boot time of an engine. An accepted number is ordered again if the upstream list does not reach it within
+    // this time plus an allowance.
     explicit CapacityOrders(Common::Milliseconds boot)
         : m_boot(boot)
     {
     }
 
-    // Sets what was ordered in each domain.
+    // Sets the ordered numbers of each domain.
     void setOrderedNumbers(const std::string& service, std::span<DomainCapacity>, Common::TimePoint now);
 
     struct Next {
         CapacityOrder order;
         bool needsNewToken { false };
     };
-    // The first of the wanted orders that may be sent now. `token`: of the holder.
+    // Returns the first of the wanted orders that may be sent now. `token`: the holder's token.
     std::optional<Next> next(std::span<const CapacityOrder> wanted, uint64_t token, Common::TimePoint now) const;
 
     enum class Outcome : uint8_t {
@@ -49,7 +50,7 @@
         std::optional<unsigned> accepted;
         Common::TimePoint acceptedAt {};
         Common::TimePoint notBefore {};
-        std::optional<unsigned> unanswered; // May be carried out yet,
+        std::optional<unsigned> unanswered; // Number that may still be carried out,
         uint64_t unansweredToken { 0 }; // with this token.
     };
     static Subject subjectOf(const CapacityOrder& order) { return { order.service, order.domain, order.kind }; }
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -7,19 +7,17 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// On-demand engines of a domain that are kept whatever is needed. They serve when all spot engines of all domains are
-// taken away. Chosen, not measured.
+// Minimum of on-demand engines per domain, independent of the need. They serve when all spot engines of all domains are
+// taken away.
 static constexpr unsigned onDemandFloor = 1;
 
-// Spot engines are given back only when they are so many more than wanted: a new one starts with an empty cache.
-// Chosen, not measured: about what the need varies by under a load that does not change.
+// Hysteresis for the release of spot engines, because a new engine starts with an empty cache: the surplus must exceed
+// both an eighth of the ordered number and a minimum.
 static constexpr unsigned spotSurplusDivisor = 8;
 static constexpr unsigned minSpotSurplus = 2;
 
-// Engines of a kind and domain that come or go at one time; the next ones when these serve or have left. Each change of
-// the list of upstreams is passed on to every router: when 3,000 engines were replaced at once before 300 routers, hubs
-// sent 15 MB a second and grew to 263 MB. Chosen, not measured: more than the bound of a domain on the users' sites
-// (40).
+// Engines of a kind that are added to or removed from a domain in one step. Each change of the upstream list is sent to
+// every router, so a large change in one step would overload the hubs.
 static constexpr unsigned maxEnginesPerStep = 60;
 
 static unsigned limitStep(unsigned servingEngines, unsigned wanted)
@@ -45,7 +43,8 @@
     return order;
 }
 
-// Spread evenly, so that the others carry the load when one domain's are gone. A single domain has no others.
+// Spreads the engines evenly, so that the remaining domains carry the load if one domain loses its spot engines. A
+// single domain has no others.
 unsigned CapacityPlan::spotTarget(size_t domains, unsigned needed) const
 {
     auto carriers = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
@@ -66,8 +65,8 @@
                 = std::min(spotTarget(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
         carried += floor + std::min(domain.spot, targets.back().spot);
     }
-    // What spot engines do not carry yet, or no more, in the cheapest domains first, and never in the place of a spot
-    // engine that serves. What stands is given back last.
+    // On-demand engines cover the sustained need that spot engines do not, in the cheapest domains first, and never
+    // displace a serving spot engine. Serving on-demand engines are kept before new ones are added.
     auto missing = need.sustained - std::min(need.sustained, carried);
     for (bool keepsServing : { true, false }) {
         for (size_t index : domainsByPrice(domains)) {
@@ -90,7 +89,7 @@
     std::vector<CapacityOrder> orders;
     for (size_t index = 0; index < domains.size(); ++index) {
         const auto& domain = domains[index];
-        // Before the first order of this holder, what stands is what was ordered, as far as is known.
+        // Before this holder's first order, the serving engines are the best estimate of what was ordered.
         auto onDemand = domain.orderedOnDemand.value_or(domain.onDemand);
         auto spot = domain.orderedSpot.value_or(domain.spot);
         auto room = [&](unsigned other) { return m_terms.max - std::min(m_terms.max, other); };
--- a/Source/RouteServing/Duties/CapacityPlan.h
+++ b/Source/RouteServing/Duties/CapacityPlan.h
@@ -13,13 +13,13 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// What the operators allow and pay for a service whose engines the fleet orders.
+// Limits and prices that operators set for a service whose engines the fleet orders.
 struct ScalingTerms {
-    unsigned min { 0 }; // Engines of a failure domain, of both kinds together.
+    unsigned min { 0 }; // Engines per failure domain, of both kinds together.
     unsigned max { 0 };
-    Common::Milliseconds boot { 0 }; // From the order until the engine serves.
-    double spotPrice { 1 }; // Of an engine that may be taken away, as a share of one that may not.
-    std::map<std::string, double> domainPrices; // Of an engine's second, by failure domain.
+    Common::Milliseconds boot { 0 }; // Time from the order until the engine serves.
+    double spotPrice { 1 }; // Price of a spot engine relative to an on-demand engine.
+    std::map<std::string, double> domainPrices; // Price of an engine per second, by failure domain.
     bool operator==(const ScalingTerms&) const = default;
 };
 
@@ -28,7 +28,7 @@
     Spot, // May be taken away at short notice, all of one failure domain at once.
 };
 
-// So many engines of a kind are wanted in a failure domain.
+// The wanted number of engines of one kind in a failure domain.
 struct CapacityOrder {
     std::string service;
     std::string domain;
@@ -37,24 +37,23 @@
     bool operator==(const CapacityOrder&) const = default;
 };
 
-// Engines of one failure domain.
+// State of the engines of one failure domain.
 struct DomainCapacity {
     std::string domain;
-    unsigned onDemand { 0 }; // Serving, not leaving.
+    unsigned onDemand { 0 }; // Serving and not draining.
     unsigned spot { 0 };
     std::optional<unsigned> orderedOnDemand; // The last number that the platform accepted from this holder.
     std::optional<unsigned> orderedSpot;
     bool operator==(const DomainCapacity&) const = default;
 };
 
-// How many engines of each kind a service should have in each failure domain.
+// Computes how many engines of each kind a service should have in each failure domain.
 //
-// Spot engines cost a fraction, so they carry the load, with headroom for bursts that are over before another engine
-// has booted: as many as are needed when the largest domain's spot engines are taken away at once. On-demand engines
-// are the floor that is never taken away, and fill in while spot engines are fewer than needed. On-demand engines are
-// given back only for spot engines that serve already.
+// Spot engines are cheaper and carry the load with headroom for bursts. Their number suffices even if the spot engines
+// of one domain are all taken away at once. On-demand engines form a permanent minimum and fill in while there are
+// fewer spot engines than needed. They are released only when spot engines already serve in their place.
 //
-// Every order is within `min` and `max` of its domain, both kinds together, whatever is needed. Pure.
+// Targets are within `min` and `max` of their domain, for both kinds together, independent of the need. Pure.
 class CapacityPlan {
 public:
     explicit CapacityPlan(ScalingTerms terms)
@@ -62,7 +61,7 @@
     {
     }
 
-    // The numbers wanted now, in the order of `domains`.
+    // Numbers that are wanted now, in the order of `domains`.
     struct Target {
         unsigned onDemand { 0 };
         unsigned spot { 0 };
@@ -70,8 +69,9 @@
     };
     std::vector<Target> targets(std::span<const DomainCapacity> domains, const CapacityNeed&) const;
 
-    // The next orders towards the targets: what is lowered first, so that both kinds together stay within the bounds
-    // at each step, also when only some are accepted.
+    // Returns the next orders towards the targets. A kind is raised only into the room that the ordered number of the
+    // other kind leaves below `max`, because only some orders may be accepted. On-demand engines are also raised as far
+    // as `min` requires.
     std::vector<CapacityOrder> orders(
         const std::string& service, std::span<const DomainCapacity> domains, std::span<const Target> targets) const;
 
--- a/Source/RouteServing/Duties/FleetClock.cpp
+++ b/Source/RouteServing/Duties/FleetClock.cpp
@@ -10,12 +10,11 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// A smaller difference is drift or the time between two calls. Chosen, not measured.
+// Smaller differences are attributed to drift or to the time between two calls.
 static constexpr Milliseconds jumpThreshold = 50ms;
-// A jump that lasts longer is a correction. Jumps there and back take seconds (the users' sheets). Chosen, not
-// measured.
+// A jump that persists for this long is adopted as a correction. Temporary jumps last for seconds.
 static constexpr Milliseconds jumpConfirmationTime = 60'000ms;
-// What others said counts for so long: some dozens of exchange intervals. Chosen, not measured.
+// Times from other routers expire after this long, which spans several dozen exchange intervals.
 static constexpr Milliseconds maxOffsetAge = 5000ms;
 
 static Milliseconds sinceEpoch(TimePoint now) { return Common::toMilliseconds(now.time_since_epoch()); }
--- a/Source/RouteServing/Duties/FleetClock.h
+++ b/Source/RouteServing/Duties/FleetClock.h
@@ -8,23 +8,22 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// The time of day that the routers of a fleet agree on, in milliseconds since the start of 1970.
+// The wall-clock time that the routers of a fleet agree on, in Unix milliseconds.
 //
-// Usage windows are spans of the wall clock, and the time of day of single instances may jump by seconds and back. Each
-// router takes the time of day at its start and goes on by the monotonic clock; it follows a jump only when it lasts.
-// That is its own time. A hub takes the middle one of its own and its subscribers' times, and tells them; a
-// subscriber uses what its hub says. So one whose clock was wrong at its start is corrected as soon as it is in touch
-// with others. Not safe for several threads.
+// Usage windows are spans of wall-clock time, but the clock of a single instance may jump temporarily. A router's own
+// time starts at the system time and advances with the monotonic clock; it adopts a jump only if it persists. A hub
+// uses the median of its own time and its subscribers' times; a subscriber uses the time of its hub. This corrects a
+// router whose clock was wrong at its start. Not thread-safe.
 class FleetClock {
 public:
-    // `system`: the instance's time of day now.
+    // `system`: the current system time of the instance.
     FleetClock(Common::Milliseconds system, Common::TimePoint now);
 
-    // To be called regularly.
+    // Must be called regularly.
     void observeSystem(Common::Milliseconds system, Common::TimePoint now);
-    // A subscriber has sent its own time.
+    // Records the own time of a subscriber.
     void recordSubscriber(const std::string& id, Common::Milliseconds own, Common::TimePoint now);
-    // The hub has sent the agreed time; `sent` and `now`: of the request and of the response.
+    // Records the agreed time from the hub. `sent`, `now`: times of the request and of the response.
     void recordHub(Common::Milliseconds agreed, Common::TimePoint sent, Common::TimePoint now);
 
     Common::Milliseconds own(Common::TimePoint now) const;
@@ -36,7 +35,7 @@
         Common::TimePoint at {};
     };
 
-    Common::Milliseconds m_ownOffset; // Of the time of day to the monotonic clock.
+    Common::Milliseconds m_ownOffset; // Own time minus monotonic time.
     std::map<std::string, ClockOffset> m_subscribers;
     ClockOffset m_hub;
     Common::TimePoint m_jumpedSince {};
--- a/Source/RouteServing/Duties/Lease.cpp
+++ b/Source/RouteServing/Duties/Lease.cpp
@@ -8,7 +8,7 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// Leaves room for more offsets than a log gets, and stays a whole number in JSON for two million eras.
+// 32 bits exceed the offsets of any log, and JSON represents the token exactly for two million eras.
 static constexpr unsigned offsetBits = 32;
 
 uint64_t tokenAt(const LogEnd& end) { return (end.era << offsetBits) + end.offset + 1; }
@@ -37,11 +37,11 @@
     return m_state.newest->token;
 }
 
-// When this router, if it reads nothing new, may take what another one holds or has released.
+// Returns when this router may claim the lease if it reads no newer record.
 TimePoint Lease::claimableFrom() const
 {
-    // What was released is free at once, but not to a router that may have held it a moment ago, before it was started
-    // again: holders would change back and forth.
+    // A released lease is claimable at once, except by a router that has just started. Its previous process may have
+    // held the lease, and the lease would alternate between holders.
     auto from = m_state.newest->isReleased ? m_started + m_times.duration : m_state.newestSeen + m_times.duration;
     return m_state.lastHeld ? std::max(from, *m_state.lastHeld + m_times.reclaimDelay) : from;
 }
@@ -55,13 +55,13 @@
 {
     if (m_state.readStarted < eraClaimableFrom())
         return false;
-    // Nobody ever held the duties.
+    // The duties were never held.
     if (!m_state.newest)
         return true;
-    // An earlier process of this very instance: nobody else has acted since.
+    // An earlier process of this instance holds the lease, so no other router has acted since.
     if (m_state.newest->holder == m_id && m_state.newest->incarnation != m_incarnation && !m_state.newest->isReleased)
         return true;
-    // A read that began before may have missed a renewal.
+    // A read that began earlier may have missed a renewal.
     auto seenUntil = m_state.newest->isReleased ? now : m_state.readStarted;
     return seenUntil >= claimableFrom();
 }
@@ -102,8 +102,8 @@
     bool isOver = newest && (lease.token < newest->token || (isKnown && newest->isReleased));
     if (isOver || (isOfEarlierEra && isKnown))
         return;
-    // It stands in the copy that the store came back from, or was appended by a router that did not know of that. It
-    // was no claim in this era, also not of this router.
+    // The record is part of the copy that the store was restored from, or its writer had not noticed the restore. It is
+    // no valid claim in this era, even if this router wrote it.
     lease.isReleased |= isOfEarlierEra;
     m_state.newest = std::move(lease);
 }
@@ -127,7 +127,7 @@
 void Lease::beginEra(uint64_t era, TimePoint started)
 {
     m_state.mustReclaim = isHolder() && started < validUntil();
-    // Another one may have followed meanwhile, whose claim the store has lost.
+    // Another router may have claimed the expired lease, and the store may have lost that claim.
     if (isHolder() && !m_state.mustReclaim)
         m_state.newest->isReleased = true;
     m_state.end.era = era;
@@ -141,7 +141,7 @@
     if (end.era > m_state.end.era)
         beginEra(end.era, started);
     for (const auto& record : records) {
-        // What was appended at the end that this router knew tells the fate of its own append there.
+        // A newer record occupies the offset of this router's unresolved append and thereby decides that append.
         if (m_state.newestOffset && record.offset <= *m_state.newestOffset)
             continue;
         apply(record, now);
--- a/Source/RouteServing/Duties/Lease.h
+++ b/Source/RouteServing/Duties/Lease.h
@@ -11,109 +11,110 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// Times of the lease.
 struct LeaseTimes {
-    Common::Milliseconds duration { 0 }; // Others take over when they have seen nothing of the holder for so long.
-    Common::Milliseconds margin { 0 }; // The holder stops acting so much sooner.
-    // A holder that gave the lease back, or that another one followed, does not come back sooner.
+    Common::Milliseconds duration { 0 }; // Other routers take over if they see no record of the holder for this long.
+    Common::Milliseconds margin { 0 }; // The holder stops acting this much earlier.
+    // Minimum time before a holder that released or lost the lease claims it again.
     Common::Milliseconds reclaimDelay { 0 };
 
-    // From what the operators promise: the length of a lease, and how long an instance that was stopped may act on.
+    // `duration`: length of the lease. `margin`: how long an instance that was stopped may continue to act on it.
     static LeaseTimes fromDurationAndMargin(Common::Milliseconds duration, Common::Milliseconds margin)
     {
         return { duration, std::min(margin, duration / 2), 2 * duration };
     }
-    // Leaves time for a renewal without an answer (one second) before the holder stops acting, and costs half of a call
-    // a second.
+    // Leaves time for one renewal that times out (one second) before the holder stops acting.
     Common::Milliseconds renewalInterval() const { return duration * renewalPercent / wholePercent; }
 
     static constexpr int renewalPercent = 60;
     static constexpr int wholePercent = 100;
 };
 
-// Where the log ends. A store that has come back from a copy gives out offsets again, in a later era.
+// End of the log. A store that was restored from a copy assigns offsets again, in a later era.
 struct LogEnd {
-    uint64_t era { 0 }; // 0 where the store names none.
-    uint64_t offset { 0 }; // Where the next record goes.
+    uint64_t era { 0 }; // 0 if the store has no eras.
+    uint64_t offset { 0 }; // Offset of the next record.
 };
 
-// The fencing token of a claim that is appended there: higher than that of any claim before, also of one that the store
-// has lost since.
+// Returns the fencing token of a claim that is appended at this end of the log. It is higher than the token of any
+// earlier claim, including claims that the store has lost.
 uint64_t tokenAt(const LogEnd&);
 
-// A record of the duties' log with its place.
+// A record of the duty log with its offset.
 struct LoggedRecord {
     uint64_t offset { 0 };
-    std::optional<DutyRecord> record; // None for bytes of another writer.
+    std::optional<DutyRecord> record; // Nullopt for bytes of another writer.
 };
 
-// Which one router does the fleet's duties: those that the platform accepts from one holder at a time.
+// Decides which router performs the fleet's duties, that is, work that the platform accepts from one holder at a time.
 //
-// The log decides: a claim is appended at the end that its router has read, so of two only one succeeds, and its place
-// is the fencing token, which therefore belongs to one holder for ever, also after all routers started anew. The clock
-// only decides who tries: a router claims what was released, or what it has seen no record of for the lease's duration,
-// measured on its own monotonic clock from the moment when it saw the last one. So a holder whose renewals fail has
-// stopped acting before, and one that was frozen has a lower token.
+// The log decides: a claim is appended only at the end that its router has read, so one of two concurrent claims
+// succeeds. Its position is the fencing token, which is unique to one holder even across restarts. Clocks only
+// determine when a router tries: it claims a released lease, or one without new records for the lease duration,
+// measured on its own monotonic clock. By then a holder whose renewals fail has stopped acting, and a frozen holder has
+// a lower token.
 //
-// When the store has come back from a copy, a lease may stand there that is over, and one that holds may be missing. So
-// a router that holds the duties claims them anew before it acts, and the others wait for as long as a lease lasts.
+// A store that was restored from a copy may contain an expired lease or lack a valid one. The holder therefore claims
+// the lease again before it acts, and other routers wait for one lease duration.
 //
-// An append without an answer may be done later. Nothing more is appended before the log was read again, and then
-// at the same end or at one that shows what became of it: either the record is there, or it can never be.
+// An append without a response may be carried out later. The log is read again before the next append. The next append
+// either uses the same offset, or a newer end has decided the unresolved one.
 //
-// Pure: told what was read and appended, it says what to do next. Not safe for several threads.
+// Pure: computes the next step from what was read and appended. Not thread-safe.
 class Lease {
 public:
     Lease(LeaseTimes, std::string id, uint64_t incarnation, Common::TimePoint started);
 
     enum class Step : uint8_t { Wait, Read, Claim, Renew, Release };
-    // What the step follows from, besides the log.
+    // Inputs to the next step besides the log.
     struct Situation {
-        bool isCandidate { false }; // May hold the duties; a holder that may not any more gives them back.
-        bool isStopping { false }; // In a planned stop.
+        bool isCandidate { false }; // May hold the duties; a holder that is no longer a candidate releases the lease.
+        bool isStopping { false }; // A planned stop is in progress.
     };
     Step nextStep(const Situation&, Common::TimePoint now) const;
-    // How long a read may wait for a record: until this router might claim.
+    // Returns how long a read may block for new records: until this router might claim the lease.
     Common::Milliseconds readWait(Common::TimePoint now) const;
 
-    // All records after `end()`, or in a new era the newest of each key; `end`: of the log. `started`: of the read.
+    // Records a read: all records from `end()` on, or in a new era the newest record of each key. `end`: end of the
+    // log. `started`: start of the read.
     void recordRead(std::span<const LoggedRecord>, const LogEnd& end, Common::TimePoint started, Common::TimePoint now);
 
-    // The record of a step, to be appended at `end()`.
+    // Returns the record of a step, to be appended at `end()`.
     LeaseRecord recordFor(Step) const;
-    // An append at `end()` is about to be sent.
+    // Must be called before an append at `end()` is sent.
     void recordSent(Common::TimePoint now);
-    // It was done.
+    // The append succeeded.
     void recordAppended(const DutyRecord&);
-    // The log ends elsewhere, or there was no answer.
+    // The append failed because the log ends elsewhere, or there was no response.
     void recordAppendUncertain() { m_state.mustRead = true; }
 
-    // The token to act with; none unless this router holds the duties now. Checked before each call.
+    // Returns the token to act with, or nullopt unless this router holds the duties now. Must be checked before each
+    // call.
     std::optional<uint64_t> token(Common::TimePoint now) const;
-    // The next different order must bear a new token: an earlier one may still be carried out with this one.
+    // Requires a new token for the next order, because an earlier one may still be carried out with the current token.
     void requireNewToken() { m_state.wantsNewToken = true; }
-    // Usage windows before this one need no report; goes into the next record.
+    // Usage windows before `window` need no report. Written with the next record.
     void setFirstUnreported(uint64_t window) { m_state.firstUnreported = window; }
 
-    // What this router knows of the log, and of its own appends.
+    // This router's view of the log and of its own appends.
     struct State {
         LogEnd end;
-        std::optional<Common::TimePoint>
-            eraFirstReadAt; // When the first read of this era began; none where there are none.
-        bool mustReclaim { false }; // It held the duties when the era rose.
+        // Start of the first read in this era; nullopt if the store has no eras.
+        std::optional<Common::TimePoint> eraFirstReadAt;
+        bool mustReclaim { false }; // The router held the lease when the era changed.
         bool mustRead { true };
         bool wantsNewToken { false };
         uint64_t firstUnreported { 0 };
         std::optional<LeaseRecord> newest;
-        std::optional<uint64_t> newestOffset; // Of the last record under the newest lease.
-        Common::TimePoint newestSeen {}; // When this router first saw it.
-        Common::TimePoint readStarted {}; // Of the last read, which showed nothing newer.
-        std::optional<Common::TimePoint> unresolvedAppendAt; // The first append at `end` whose fate is not known.
-        Common::TimePoint validFrom {}; // When the last record of our own was sent.
+        std::optional<uint64_t> newestOffset; // Offset of the newest valid record that was applied.
+        Common::TimePoint newestSeen {}; // When this router first read or sent that record.
+        Common::TimePoint readStarted {}; // Start of the last read.
+        // Send time of the first append at `end` whose outcome is unknown.
+        std::optional<Common::TimePoint> unresolvedAppendAt;
+        Common::TimePoint validFrom {}; // Send time of this router's last record.
         std::optional<Common::TimePoint> lastHeld;
     };
     const State& state() const { return m_state; }
-    // Whether the log says that this process holds the duties; it may have run out.
+    // Returns whether this process is the holder according to the log; the lease may have expired.
     bool isHolder() const;
     uint64_t end() const { return m_state.end.offset; }
     const std::optional<LeaseRecord>& newest() const { return m_state.newest; }
@@ -122,9 +123,9 @@
     bool isOwn(const LeaseRecord&) const;
     bool mayClaim(Common::TimePoint now) const;
     Common::TimePoint claimableFrom() const;
-    // When the holder stops acting unless it renews.
+    // Returns when the holder stops acting unless it renews the lease.
     Common::TimePoint validUntil() const { return m_state.validFrom + m_times.duration - m_times.margin; }
-    // Before this, a holder may act whose claim the store has lost.
+    // Before this time, a holder may be active whose claim the store has lost.
     Common::TimePoint eraClaimableFrom() const;
     void beginEra(uint64_t era, Common::TimePoint started);
     void apply(const LoggedRecord&, Common::TimePoint now);
--- a/Source/RouteServing/Duties/UsageLedger.cpp
+++ b/Source/RouteServing/Duties/UsageLedger.cpp
@@ -6,7 +6,7 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// Stands for the open window of a process that counts nothing more.
+// Value of `openWindow` for a process that has stopped counting.
 static constexpr uint64_t allWindowsFinal = std::numeric_limits<uint64_t>::max();
 
 UsageLedger::UsageLedger(RouterProcess self, uint64_t openWindow)
@@ -90,7 +90,7 @@
             process.revision = ++m_revision;
         }
         for (const auto& row : usage.rows) {
-            // A row beyond the process's open window, or of a clock that is far ahead, cannot be true.
+            // Rows of windows that are no longer retained or too far in the future are ignored.
             if (!isRetained(row.window) || row.window > m_open + retainedWindows)
                 continue;
             auto count = std::min<uint64_t>(row.count, std::numeric_limits<uint32_t>::max());
@@ -99,7 +99,7 @@
     }
 }
 
-// The revision up to which there are no more than so many changes after the first one.
+// Returns the highest revision with at most `maxRows` changes after `revision`.
 uint64_t UsageLedger::revisionAfter(uint64_t revision, size_t maxRows) const
 {
     std::vector<uint64_t> revisions;
@@ -152,7 +152,7 @@
     return counts;
 }
 
-// A process that started after the window has nothing to say of it.
+// A process that started after the window has no counts for it.
 bool UsageLedger::hasUnfinishedWindow(const Process& process, uint64_t window) const
 {
     return process.openWindow <= window && process.firstCompleteWindow <= window + 1;
--- a/Source/RouteServing/Duties/UsageLedger.h
+++ b/Source/RouteServing/Duties/UsageLedger.h
@@ -10,18 +10,18 @@
 #include <string_view>
 #include <vector>
 
-// How many requests of each workspace began to run in each usage window, over the whole fleet. A window is a span of
-// the wall clock; windows are numbered from the start of 1970.
+// Counts of requests that began to run, by workspace and usage window, over the whole fleet. A window is a span of
+// wall-clock time; windows are numbered from the Unix epoch.
 namespace Brassladder::RouteServing::Duties {
 
-// One process of a router. Its counts only rise.
+// One process of a router. Its counts never decrease.
 struct RouterProcess {
     std::string id;
     uint64_t incarnation { 0 };
     auto operator<=>(const RouterProcess&) const = default;
 };
 
-// What one process counted, as far as it is passed on.
+// Counts of one process, as exchanged between routers.
 struct RouterUsage {
     struct Row {
         uint64_t window { 0 };
@@ -30,30 +30,30 @@
         bool operator==(const Row&) const = default;
     };
     RouterProcess router;
-    uint64_t firstCompleteWindow { 0 }; // The first window that it counted from the window's start on.
+    uint64_t firstCompleteWindow { 0 }; // The first window that the process counted from its start.
     uint64_t openWindow { 0 }; // Windows before this one are final.
     std::vector<Row> rows;
     bool operator==(const RouterUsage&) const = default;
 };
 
-// The counts that this router knows of: its own and those that it received. Counts are cumulative by process and merged
-// by their maximum, so a message may be lost, doubled, late, or arrive by two ways. Not safe for several threads.
+// Counts of this router and those received from others. Counts are cumulative per process and merged by maximum, so
+// messages may be lost, duplicated, delayed or arrive on several paths. Not thread-safe.
 class UsageLedger {
 public:
-    // `openWindow`: the window that is open when this process starts.
+    // `openWindow`: the current window when this process starts.
     UsageLedger(RouterProcess self, uint64_t openWindow);
 
-    // A request of the workspace began to run now.
+    // Counts a request of the workspace that begins to run now.
     void count(std::string_view workspace, uint64_t openWindow);
-    // The wall clock has come to this window. Windows that can no longer be due are forgotten.
+    // Advances to the current window. Evicts windows that can no longer be due.
     void advance(uint64_t openWindow);
     void merge(std::span<const RouterUsage>);
-    // This process counts nothing more: all of its windows are final.
+    // Marks all windows of this process as final.
     void finish();
 
-    // Rises with each change.
+    // Increases with each change.
     uint64_t revision() const { return m_revision; }
-    // The first changes after a revision, about `maxRows` rows, and the revision that they lead to.
+    // Returns the first changes after a revision, at most `maxRows` rows, and the revision that they lead to.
     struct Changes {
         std::vector<RouterUsage> routers;
         uint64_t upTo { 0 };
@@ -61,22 +61,21 @@
     Changes changesAfter(uint64_t revision, size_t maxRows = defaultMaxRows) const;
 
     WorkspaceCounts total(uint64_t window) const;
-    // Whether all processes that are known to have been up in the window, or before it and not since, say that it is
-    // final.
+    // Returns whether all known processes that may have counted the window have finished it.
     bool isFinal(uint64_t window) const;
-    // Whether some process counted the window from its start to its end.
+    // Returns whether at least one process counted the window from start to end.
     bool isFullyCounted(uint64_t window) const;
-    // Processes that have not said so.
+    // Returns the number of processes that have not finished the window.
     size_t unfinishedProcesses(uint64_t window) const;
 
-    // Windows that are kept, the open one included: those that are due within two windows of their end (the users'
-    // sheets), and one for a report that is late.
+    // Number of retained windows, including the open one: windows are due within two windows of their end, and one more
+    // allows for a late report.
     static constexpr uint64_t retainedWindows = 4;
     // About 20 KB on the wire.
     static constexpr size_t defaultMaxRows = 2000;
 
 private:
-    // Ids are kept once: a store reader of 295 routers with 40 workspaces holds 47,000 rows.
+    // Rows refer to workspaces by index to save memory in large fleets.
     struct Row {
         uint32_t workspace { 0 };
         uint32_t count { 0 };
@@ -85,7 +84,7 @@
     struct Process {
         uint64_t firstCompleteWindow { 0 };
         uint64_t openWindow { 0 };
-        uint64_t revision { 0 }; // Of the two above.
+        uint64_t revision { 0 }; // Revision of the last change of the members above.
         std::map<uint64_t, std::vector<Row>> windows;
     };
 
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -8,11 +8,11 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// Counts travel from a router over its hub and a store reader to the holder, at each step within an interval of the
-// exchange (100 ms); a router that has just started is known after as long. Chosen, not measured.
+// Time for counts to travel from a router over its hub and a store reader to the holder. Each hop takes at most one
+// exchange interval (100 ms).
 static constexpr Milliseconds countPropagationTime = 500ms;
-// Before the report is due, for writing it to the log and sending it, with a second try of either: calls take some
-// milliseconds, and a second without an answer. Chosen, not measured.
+// Time before the due time that is reserved to write and send the report, with one retry each. A call without a
+// response takes one second.
 static constexpr Milliseconds reportLeadTime = 1200ms;
 
 void UsageReports::recordWritten(const WindowRecord& record)
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -10,27 +10,26 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// When usage is due, from what the operators promise.
+// When usage reports are due.
 struct UsageTimes {
-    Common::Milliseconds window { 0 }; // Length of a window of the wall clock.
-    Common::Milliseconds delay { 0 }; // A window's report is due so long after its end.
+    Common::Milliseconds window { 0 }; // Length of a usage window in wall-clock time.
+    Common::Milliseconds delay { 0 }; // Time from the end of a window until its report is due.
 
-    // The window of a moment, in milliseconds since the start of 1970.
+    // Returns the window that contains a wall-clock time in Unix milliseconds.
     uint64_t windowAt(Common::Milliseconds wall) const { return static_cast<uint64_t>(wall / window); }
     Common::Milliseconds endOf(uint64_t index) const { return window * (static_cast<int64_t>(index) + 1); }
 };
 
-// Which usage window the holder of the duties writes or sends next. Windows are taken in order.
+// Decides which usage window the holder of the duties writes or sends next. Windows are handled in order.
 //
-// Two reports of one window that differ must never be accepted, and a call without an answer may be carried out later.
-// So the counts are written to the log first, under the lease, and every send by any holder repeats what is written.
+// The platform must never accept two different reports of one window, and a call without a response may be carried out
+// later. The counts are therefore written to the log first, under the lease, and every holder sends exactly those.
 //
-// A window is written as soon as all routers say that it is final. Routers that do not, because they were killed or cut
-// off, are waited for until shortly before the report is due, not longer: 31 of 88 routers cut off for 12 s come back
-// in time for each window of 5 s that is due 10 s after its end. A window that no router counted whole is not sent: its
-// counts would be guessed, and a missing report can be seen while a wrong one cannot.
+// A window is written when all routers have finished it, or shortly before its report is due if routers are killed or
+// unreachable. A window that no router counted completely is not sent, because a missing report is detectable and a
+// wrong one is not.
 //
-// Pure. Not safe for several threads.
+// Pure. Not thread-safe.
 class UsageReports {
 public:
     explicit UsageReports(UsageTimes times)
@@ -38,20 +37,20 @@
     {
     }
 
-    // A record of the log. The first one of a window stands.
+    // Adds a record of the log. The first record of a window is authoritative.
     void recordWritten(const WindowRecord&);
-    // Null when the counts of the window are not on the log.
+    // Returns nullptr if the log has no counts of the window.
     const WindowRecord* written(uint64_t window) const;
 
     enum class Step : uint8_t {
         Wait,
         Write, // Write the ledger's counts to the log.
-        Send, // Send what is written.
-        GiveUp, // The counts are not known, and will not be.
+        Send, // Send the logged counts.
+        GiveUp, // The counts are incomplete and will remain so.
     };
-    // `window`: the first one that was not accepted or given up. `wall`: milliseconds since the start of 1970.
+    // `window`: the first window that was neither accepted nor given up. `wall`: time in Unix milliseconds.
     Step next(uint64_t window, const UsageLedger&, Common::Milliseconds wall) const;
-    // The first window that can still be reported.
+    // Returns the first window that can still be reported.
     static uint64_t firstReportableWindow(uint64_t open);
 
 private:
--- a/Source/RouteServing/Duties/UsageStart.h
+++ b/Source/RouteServing/Duties/UsageStart.h
@@ -11,20 +11,20 @@
 // How an attempt without a relayed event ended.
 struct EndedAttempt {
     Routing::AttemptOutcome outcome { Routing::AttemptOutcome::Answered };
-    bool isGeneration { false }; // At an engine, whose first event tells that it began.
-    Common::Milliseconds elapsed { 0 }; // Since the upstream was chosen.
-    std::optional<Common::Milliseconds> expectedFirstEvent; // After the choice; none while nothing is known.
+    bool isGeneration { false }; // Runs on an engine, which signals the start with its first event.
+    Common::Milliseconds elapsed { 0 }; // Time since the upstream was chosen.
+    // Measured from the choice of the upstream; nullopt if unknown.
+    std::optional<Common::Milliseconds> expectedFirstEvent;
 };
 
-// Whether the request had begun to run, for the usage counts. Usage is what upstreams began, also when the caller got
-// nothing of it.
+// Returns whether an attempt counts as usage. Usage is every request that an upstream began to run, even if the caller
+// received no response.
 //
-// A response, or an upstream's own error, tells so. When the upstream broke off without either, a generation had begun
-// if its first event was due by then; before that it most likely waited. A plain request begins within milliseconds.
-// Without this, windows in which engines failed with errors, or ran requests and lost the answers, were 18% and 8% too
-// low (444 of 2,410 and 206 of 2,643 requests of a day on 88 routers).
+// A response or an error of the upstream itself proves that the request began. If the attempt was interrupted without
+// either, a generation is assumed to have begun if its first event was due by then; otherwise it was probably still
+// queued. A plain request begins within milliseconds.
 //
-// A generation that was answered is counted at its first event. Pure.
+// An answered generation is counted at its first event instead. Pure.
 inline bool hadStartedAtUpstream(const EndedAttempt& attempt)
 {
     switch (attempt.outcome) {
