--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -12,8 +12,8 @@
 #include <mutex>
 #include <thread>
 
-// What the mesh promises about messages when a connection ends: a message is written to an open connection, or its
-// owner is notified after it was dropped.
+// Guarantees of the mesh when a connection ends: an item is written to an open connection, or its owner is notified
+// after it was dropped.
 namespace Brassladder::Inner {
 
 using boost::asio::ip::tcp;
@@ -21,9 +21,9 @@
 
 namespace {
 
-// Bounds waits for what never comes; a test that passes does not wait for it.
+// Upper bound for waits; passing tests do not reach it.
 constexpr auto testTimeout = 20s;
-// More than the socket buffers of both sides hold.
+// Exceeds the socket buffers of both sides.
 constexpr size_t largeItemBytes = 15 * 1024 * 1024;
 
 Wire::Item numberedItem(uint64_t sequence)
@@ -40,24 +40,24 @@
     return item;
 }
 
-// A peer that speaks HTTP/2 just far enough to be written to, and reads only when it is told to.
+// A peer with the minimum of HTTP/2 that lets the sender write. It reads only on request.
 class StalledPeer {
 public:
     StalledPeer()
         : m_acceptor(m_io, { boost::asio::ip::address_v4::loopback(), 0 })
         , m_socket(m_io)
     {
-        // Small, so that a large message cannot be written whole. Taken over by accepted sockets.
+        // A small buffer prevents a large item from being written completely. Accepted sockets inherit it.
         m_acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
     }
 
     Peer asPeer(const std::string& id) const { return { id, { "127.0.0.1", m_acceptor.local_endpoint().port() } }; }
 
-    // Accepts one connection and reads so much of it that a large message must be on its way.
+    // Accepts one connection and reads until a large item must be in transit.
     void acceptAndStall()
     {
         m_acceptor.accept(m_socket);
-        // HTTP/2: SETTINGS with a large INITIAL_WINDOW_SIZE, and WINDOW_UPDATE for the connection.
+        // HTTP/2 SETTINGS with a large INITIAL_WINDOW_SIZE, and WINDOW_UPDATE for the connection.
         static constexpr char s_openWindows[] = "\0\0\6\4\0\0\0\0\0\0\4\x7f\xff\xff\xff"
                                                 "\0\0\4\x8\0\0\0\0\0\x7f\xff\0\0";
         boost::asio::write(m_socket, boost::asio::buffer(s_openWindows, sizeof s_openWindows - 1));
@@ -65,7 +65,7 @@
         boost::asio::read(m_socket, boost::asio::buffer(received));
     }
     void end() { m_socket.close(); }
-    // Takes a little at a time, so that the connection is never without progress, until it ends or `stop` is set.
+    // Reads in small pieces until the connection ends or `stop` is set. The connection always makes progress.
     void readSlowly(const std::atomic<bool>& stop)
     {
         boost::system::error_code error;
@@ -76,7 +76,7 @@
         }
     }
 
-    // Whether a new connection arrives in time.
+    // Returns whether a new connection arrives before the timeout.
     bool awaitReconnect()
     {
         bool connected = false;
@@ -91,7 +91,7 @@
     tcp::socket m_socket;
 };
 
-// A mesh that records the calls of its hooks in order. Lives until the process ends, as its fibers do.
+// A mesh that records the calls of its hooks in order. Never destroyed, because its fibers run until the process ends.
 class RecordingNode {
 public:
     explicit RecordingNode(const std::string& id, Common::FiberRuntime& runtime = testRuntime())
@@ -151,7 +151,7 @@
 {
     StalledPeer peer;
     auto& sender = *new RecordingNode("a");
-    // The node outlives the test, and so does its hook.
+    // The hook outlives the test, like the node.
     sender.onDisconnected = [&sender, sent = false]() mutable {
         if (!std::exchange(sent, true))
             sender.mesh().send("b", numberedItem(2));
@@ -179,7 +179,7 @@
     ASSERT_TRUE(successor.awaitEvent("item 2"));
     ASSERT_TRUE(sender.awaitEvent("disconnected b"));
     EXPECT_EQ(sender.events(), (std::vector<std::string> { "connected b", "disconnected b", "connected b" }));
-    EXPECT_EQ(successor.events(), std::vector<std::string> { "item 2" }) << "messages to the old one are not repeated";
+    EXPECT_EQ(successor.events(), std::vector<std::string> { "item 2" }) << "items to the replaced peer are not resent";
 }
 
 TEST(MeshConnectionTest, BacklogForASlowPeerIsBounded)
@@ -229,14 +229,14 @@
     EXPECT_EQ(sender.events(), (std::vector<std::string> { "connected b", "disconnected b", "connected b" }));
 }
 
-// A stopped process: its kernel accepts and acknowledges, and nothing else comes of it.
+// A stopped process, whose kernel still accepts connections and acknowledges bytes.
 TEST(MeshConnectionTest, PeerThatReadsNothingIsReportedDisconnected)
 {
     boost::asio::io_context io;
     tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
     auto& sender = *new RecordingNode("a");
     sender.setPeers({ { "b", { "127.0.0.1", acceptor.local_endpoint().port() } } });
-    // More than the window of a peer that sent no SETTINGS (65,535 bytes), and less than the kernel takes.
+    // Exceeds the default HTTP/2 window (65,535 bytes) and fits into the kernel's buffers.
     static constexpr size_t moreThanTheWindow = 100 * 1024;
     Wire::Item item;
     item.mutable_config_state()->add_files()->set_content(std::string(moreThanTheWindow, 'x'));
@@ -258,7 +258,7 @@
         sender.setPeers({});
         sender.setPeers({ receiver.asPeer("b") });
         sender.mesh().send("b", numberedItem(2));
-        // With the links on two threads, the one that is free would be ahead by now.
+        // If the links were on two threads, the link on the free thread would run first.
         std::this_thread::sleep_for(100ms);
         mayGoOn.set_value();
         ASSERT_TRUE(receiver.awaitEvent("item 2"));
@@ -267,13 +267,13 @@
     }
 }
 
-// Beside a connect that fails, with more behind it than may wait: one fiber goes on sending, over one connection.
+// The backlog exceeds its limit while connection attempts fail: one fiber continues to send, over one connection.
 TEST(MeshConnectionTest, LargeBacklogDuringAFailingConnectOpensOneConnection)
 {
     auto& runtime = Common::FiberRuntime::start(1);
     boost::asio::io_context io;
     tcp::acceptor acceptor(io, tcp::v4());
-    acceptor.bind({ boost::asio::ip::address_v4::loopback(), 0 }); // Not listening yet: refused.
+    acceptor.bind({ boost::asio::ip::address_v4::loopback(), 0 }); // Not listening yet, so connections are refused.
     auto& sender = *new RecordingNode("a", runtime);
     auto isOver = std::make_shared<std::atomic<bool>>(false);
     sender.onDisconnected = [&sender, isOver] {
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <thread>
 
-// What a mesh promises to its sender while peers end, whatever the moment and the way.
+// Guarantees of the mesh to the sender when peers terminate at any stage and in any way.
 namespace Brassladder::Inner {
 
 using Stage = TerminatingPeer::Stage;
@@ -18,13 +18,13 @@
 
 namespace {
 
-// More than the kernel takes from a sender to an `TerminatingPeer` that does not read.
+// Exceeds what the kernel accepts for a `TerminatingPeer` that does not read.
 constexpr size_t largeBytes = 2 * 1024 * 1024;
-// What is sent only to have a connection opened.
+// Sequence of items that are sent only to open a connection.
 constexpr uint64_t probeSequence = 100;
 
-// Sends a large message and small ones until the peer has come to the stage. As an owner of state does, it sends them
-// again when it hears that the connection has ended.
+// Sends a large item and small ones until the peer has reached its stage. Resends them after each disconnection, as an
+// owner of state does.
 bool sendUntilAtStage(MeshNode& sender, const std::string& id, const TerminatingPeer& peer, uint64_t smallItems)
 {
     int disconnections = -1;
@@ -40,7 +40,7 @@
     });
 }
 
-// A peer with its two lives: one that ends, and one that listens at the same address afterwards.
+// A peer that terminates, and its successor at the same address.
 struct RestartingPeer {
     RestartingPeer(std::string id, const TerminatingPeer::Plan& plan)
         : id(std::move(id))
@@ -51,11 +51,11 @@
     std::string id;
     ReservedPort port;
     TerminatingPeer beforeRestart;
-    int connectionsBefore { 0 }; // Of its first life.
+    int connectionsBefore { 0 };
     MeshNode* afterRestart { nullptr };
 };
 
-// One sender and its peers. The seed decides who ends how, and in which order.
+// One sender and its peers. The seed determines how and in which order the peers terminate.
 class RestartingFleet {
 public:
     explicit RestartingFleet(unsigned seed)
@@ -84,7 +84,7 @@
             thread.join();
     }
 
-    // In any order, while the sender goes on.
+    // Terminates the peers in random order while the sender continues to send.
     void terminateAllPeers()
     {
         std::shuffle(m_peers.begin(), m_peers.end(), m_random);
@@ -168,7 +168,7 @@
     fleet.expectDeliveryAfterRestart();
 }
 
-// While a message to the old one is being written and another one waits.
+// The address changes while one item is being written and another one is queued.
 TEST(MeshFailureTest, PeerWithANewAddressReceivesOnlyLaterItems)
 {
     auto& sender = *new MeshNode("a", "key");
@@ -190,7 +190,7 @@
     EXPECT_TRUE(sender.awaitDisconnected("b"));
 }
 
-// While a message to it is being written and another one waits.
+// The peer is removed while one item is being written and another one is queued.
 TEST(MeshFailureTest, RemovedPeerIsDisconnectedAndCanBeAddedAgain)
 {
     auto& sender = *new MeshNode("a", "key");
@@ -204,7 +204,7 @@
     sender.connectTo(std::map<std::string, uint16_t> {});
     sender.send("b", 2);
     EXPECT_TRUE(MeshNode::await([&] { return sender.disconnections("b") > disconnectionsBefore; }))
-        << "its connection is closed";
+        << "the connection to the removed peer is closed";
     old.end();
     old.awaitEnd();
     auto& added = *new MeshNode("b", "key", port.port());
--- a/Source/UnitTests/Inner/MeshNode.h
+++ b/Source/UnitTests/Inner/MeshNode.h
@@ -15,7 +15,7 @@
 
 namespace Brassladder::Inner {
 
-// A mesh that notes what it gets. Lives until the process ends, as its fibers do.
+// A mesh that records received items and connections. Never destroyed, because its fibers run until the process ends.
 class MeshNode {
 public:
     MeshNode(const std::string& id, std::string_view key, uint16_t port = 0)
@@ -35,7 +35,7 @@
 
     void connectTo(const MeshNode& other, const std::string& id) { connectTo(other.m_port, id); }
     void connectTo(uint16_t otherPort, const std::string& id) { connectTo({ { id, otherPort } }); }
-    // All other peers are removed.
+    // Replaces all peers.
     void connectTo(const std::map<std::string, uint16_t>& portOfPeer)
     {
         std::vector<Peer> peers;
@@ -82,7 +82,7 @@
     {
         return await([&] { return disconnections(peer) > 0; });
     }
-    // Sends the item until a connection is open that was not open before; what is sent from then on arrives.
+    // Sends the item until a new connection opens. Items sent after that arrive.
     bool sendUntilReconnected(const std::string& peer, int connectionsBefore, uint64_t sequence)
     {
         return await([&] {
@@ -90,7 +90,7 @@
             return connections(peer) > connectionsBefore;
         });
     }
-    // False after ten seconds without it.
+    // Returns false if the condition does not hold within ten seconds.
     static bool await(const std::function<bool()>& condition)
     {
         static constexpr int steps = 5000;
@@ -111,7 +111,7 @@
 
     Mesh m_mesh;
     uint16_t m_port { 0 };
-    std::mutex m_mutex; // Guards all below.
+    std::mutex m_mutex; // Guards the members below.
     std::vector<uint64_t> m_sequences;
     std::map<std::string, int> m_connected;
     std::map<std::string, int> m_disconnected;
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -39,8 +39,7 @@
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
 }
 
-// Found beside load: a router crashed when a peer was killed while a message to it was being written and another one
-// waited.
+// Guards against a crash when a connection ends while one item is being written and another one is queued.
 TEST(MeshTest, SenderSurvivesAConnectionThatEndsDuringAWrite)
 {
     using boost::asio::ip::tcp;
@@ -52,22 +51,22 @@
     std::thread peer([&] {
         boost::asio::io_context io;
         tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
-        // Small, so that the sender's write cannot end.
+        // A small buffer prevents the sender's write from completing.
         acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
         port.set_value(acceptor.local_endpoint().port());
         tcp::socket socket(io);
         acceptor.accept(socket);
-        // HTTP/2: SETTINGS with a large INITIAL_WINDOW_SIZE, and WINDOW_UPDATE for the connection.
+        // HTTP/2 SETTINGS with a large INITIAL_WINDOW_SIZE, and WINDOW_UPDATE for the connection.
         static constexpr char s_openWindows[] = "\0\0\6\4\0\0\0\0\0\0\4\x7f\xff\xff\xff"
                                                 "\0\0\4\x8\0\0\0\0\0\x7f\xff\0\0";
         boost::asio::write(socket, boost::asio::buffer(s_openWindows, sizeof s_openWindows - 1));
-        // Far more than the preface and a small frame: the large one is on its way.
+        // Exceeds the preface and a small frame, so the large frame must be in transit.
         std::string received(256 * 1024, '\0');
         boost::asio::read(socket, boost::asio::buffer(received));
         isWriting.set_value();
         mayEndFuture.wait();
         socket.shutdown(tcp::socket::shutdown_send);
-        // Held open until the sender closes.
+        // Stays open until the sender closes the connection.
         boost::system::error_code error;
         while (!error)
             socket.read_some(boost::asio::buffer(received), error);
@@ -82,10 +81,10 @@
     auto& receiver = *new MeshNode("b", "key");
     sender.connectTo(receiver, "b");
     sender.send("b", 2);
-    EXPECT_TRUE(receiver.awaitCount(1)) << "the sender goes on";
+    EXPECT_TRUE(receiver.awaitCount(1)) << "the sender still delivers items";
 }
 
-// A peer that breaks the protocol without ending its side: what it sent then was read and dropped without a word.
+// Guards against silently dropping all data after a protocol error of a peer that keeps its connection open.
 TEST(MeshTest, ProtocolErrorClosesTheConnection)
 {
     using boost::asio::ip::tcp;
@@ -93,7 +92,7 @@
     boost::asio::io_context io;
     tcp::socket peer(io);
     peer.connect({ boost::asio::ip::address_v4::loopback(), receiver.port() });
-    // SETTINGS, and then DATA for stream 0, which is an error of the whole connection (RFC 9113, 6.1).
+    // SETTINGS, followed by DATA for stream 0, which is a connection error (RFC 9113, 6.1).
     static constexpr char s_frames[] = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
                                        "\0\0\0\4\0\0\0\0\0"
                                        "\0\0\1\0\0\0\0\0\0x";
--- a/Source/UnitTests/Inner/TerminatingPeer.h
+++ b/Source/UnitTests/Inner/TerminatingPeer.h
@@ -16,8 +16,8 @@
 
 namespace Brassladder::Inner {
 
-// Keeps a port on loopback for one that listens on it later, so that a peer comes back at the address it had. Both set
-// SO_REUSEADDR; until the other one listens, connections are refused.
+// Reserves a loopback port for a peer that restarts at the same address. Both sockets set SO_REUSEADDR; connections are
+// refused until the peer listens.
 class ReservedPort {
 public:
     ReservedPort()
@@ -35,21 +35,21 @@
     uint16_t m_port { 0 };
 };
 
-// Stands in for a peer that takes a connection of a mesh and ends it: at a stage that the test names, in a way that it
-// names, when it says so. A connection that breaks off before, as it may beside load, does not count. Runs on a plain
-// thread of its own.
+// A peer that accepts a connection of a mesh and ends it at the planned stage and in the planned way, when the test
+// calls `end`. Connections that break before the stage is reached, for example under load, are replaced by the next
+// one. Runs on its own thread.
 class TerminatingPeer {
 public:
     enum class Stage {
-        Connecting, // Refused, or with `Silence` never accepted.
+        Connecting, // Refused, or never accepted with `Silence`.
         BeforeSettings,
-        DuringMessage, // `bytes` of the body are read.
-        AfterMessages, // `items` are read.
+        DuringMessage, // After `bytes` of the body were read.
+        AfterMessages, // After `items` were read.
     };
     enum class Termination {
-        Reset, // As of a process that is killed with unread bytes.
-        Shutdown, // As of a process that is killed with none, while the other side may still write.
-        Silence, // Nothing is read any more, as of a process that is stopped; it is killed in the end.
+        Reset, // Like a process that is killed with unread bytes.
+        Shutdown, // Like a process that is killed without unread bytes; the other side may still write.
+        Silence, // Like a stopped process that reads nothing more; `awaitEnd` kills it.
     };
     struct Plan {
         Stage stage { Stage::DuringMessage };
@@ -79,18 +79,18 @@
     TerminatingPeer& operator=(const TerminatingPeer&) = delete;
 
     bool isAtStage() const { return m_isAtStage; }
-    // Lets the connection end as planned.
+    // Ends the connection as planned.
     void end()
     {
         if (!std::exchange(m_isEnding, true))
             m_mayEnd.set_value();
     }
-    // Kills the silent ones too. Blocks until the connection is gone.
+    // Also kills a peer with `Silence`. Blocks until the connection is closed.
     void awaitEnd()
     {
         if (!std::exchange(m_isKilled, true))
             m_mayDie.set_value();
-        // After a failure it may still wait for a connection.
+        // If the stage was not reached, the thread may still wait for a connection.
         if (!isAtStage())
             ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
         if (m_thread.joinable())
@@ -100,8 +100,8 @@
 private:
     using tcp = boost::asio::ip::tcp;
     using MaximumSegment = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_MAXSEG>;
-    // With loopback's segments of 64 KB the kernel takes megabytes before a write has to wait; with these it takes a
-    // few hundred KB at most, as on a real network.
+    // Limits the data in the kernel's buffers to a few hundred KB, as on a real network. With loopback segments of 64
+    // KB, the kernel accepts megabytes before a write blocks.
     static constexpr int segmentBytes = 1400;
     static constexpr int receiveBytes = 16 * 1024;
     static constexpr size_t prefaceBytes = 24; // RFC 9113, 3.4.
@@ -120,7 +120,7 @@
         }
         m_acceptor.bind({ boost::asio::ip::address_v4::loopback(), port });
         m_acceptor.listen(m_plan.stage == Stage::Connecting ? 0 : 1);
-        // With a backlog of 0, one that waits to be accepted keeps all others out.
+        // With a backlog of 0, one pending connection blocks all others.
         if (m_plan.stage == Stage::Connecting)
             m_socket.connect(m_acceptor.local_endpoint());
     }
@@ -137,7 +137,7 @@
         finish();
     }
 
-    // False when it cannot be reached any more.
+    // Returns false if the acceptor was shut down.
     bool acceptUntilAtStage()
     {
         while (true) {
@@ -202,7 +202,7 @@
         m_acceptor.close(ignored);
     }
 
-    // Ends this side's bytes, and stays until the other side closes.
+    // Shuts down the sending side and reads until the other side closes.
     void shutDown()
     {
         boost::system::error_code error;
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -35,8 +35,7 @@
     return total;
 }
 
-// A platform that carries out each order: engines of spot serve after their boot, those that are given back leave at
-// once.
+// A platform that carries out each order. Spot engines serve after their boot; released engines leave at once.
 struct Platform {
     std::vector<DomainCapacity> domains;
 
@@ -75,7 +74,7 @@
     auto targets = plan.targets(threeDomains(20, 30), { 60, 60 });
     for (const auto& target : targets)
         EXPECT_EQ(target.spot, 30U);
-    EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "the floor";
+    EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "one on-demand engine per domain remains";
 }
 
 TEST(CapacityPlanTest, OnDemandEnginesStayUntilSpotEnginesServe)
@@ -92,7 +91,7 @@
     domains[2].spot = 0;
     auto targets = plan.targets(domains, { 80, 80 });
     EXPECT_EQ(sum(targets, &Target::onDemand), 20U);
-    EXPECT_EQ(targets[0].onDemand, 10U) << "north is cheapest, but its spot engines stay";
+    EXPECT_EQ(targets[0].onDemand, 10U) << "north is cheapest, but its serving spot engines limit the room";
     EXPECT_EQ(targets[0].spot, 30U);
     EXPECT_EQ(targets[2].onDemand, 9U);
 }
@@ -102,7 +101,7 @@
     CapacityDemand demand(0.15);
     unsigned servingEngines = 0;
     auto now = s_start;
-    // A list that fills while engines announce themselves.
+    // The upstream list fills while engines announce themselves.
     for (; servingEngines < 60; servingEngines += 6, now += 500ms) {
         demand.observe({}, servingEngines, now);
         EXPECT_FALSE(demand.need(now));
@@ -110,13 +109,13 @@
     for (int step = 0; step < 5; ++step, now += 500ms)
         demand.observe({}, servingEngines, now);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 60, 60 }));
-    // What was ordered meanwhile does not count as needed.
+    // Engines that were ordered meanwhile do not count as needed.
     demand.observe({}, 120, now + 5s);
     EXPECT_EQ(demand.need(now + 5s), (CapacityNeed { 60, 60 }));
 }
 
-// Prompts that wait, of 100,000 tokens at 0.0176 ms each, and a burst of three times as many for 8 s: the headroom
-// follows within two seconds and outlasts the pause to the next burst. What lasts does not follow it.
+// A load of 100,000 waiting prompt tokens at 0.0176 ms each, with a burst of three times that for 8 s. The headroom
+// follows within two seconds and persists until the next burst; the sustained need does not follow the burst.
 TEST(CapacityDemandTest, HeadroomFollowsABurstAndIsKeptForTheNext)
 {
     CapacityDemand demand(0.25);
@@ -128,7 +127,7 @@
             demand.observe(load(tokens), 60, now);
     };
     observeFor(100'000, 15s);
-    EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 60 })) << "what stood is held";
+    EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 60 })) << "the initial number of engines is the minimum";
     observeFor(100'000, 61s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
     observeFor(300'000, 2s);
@@ -140,10 +139,10 @@
     observeFor(100'000, 60s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
     observeFor(300'000, 15s);
-    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a load that lasts";
+    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a sustained load";
 }
 
-// Whatever is needed and whatever stands or was ordered: no order leaves the bounds, alone or with those before it.
+// No order exceeds `max`, alone or together with earlier ones, for any need and any state.
 TEST(CapacityPlanTest, OrdersStayWithinMax)
 {
     EXPECT_TRUE(rc::check([] {
@@ -179,7 +178,7 @@
     }));
 }
 
-// Under a load that does not change, the plan comes to rest, and never serves with fewer than needed on the way.
+// Under a constant load, the orders converge, and the number of serving engines never falls below the need.
 TEST(CapacityPlanTest, ConvergesWithoutDroppingBelowTheNeed)
 {
     CapacityPlan plan(terms());
@@ -198,7 +197,7 @@
     EXPECT_EQ(platform.domains[0].spot, 30U);
 }
 
-// A need that varies by a tenth around 60, for ten minutes: nothing is ordered after the first rounds.
+// A need that varies by about a tenth for ten minutes causes no orders after the first rounds.
 TEST(CapacityPlanTest, SmallVariationsOfTheNeedCauseNoOrders)
 {
     CapacityPlan plan(terms());
@@ -244,13 +243,13 @@
     CapacityOrder nine { "s", "north", EngineKind::Spot, 9 };
     EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)->needsNewToken);
     orders.record(six, 5, CapacityOrders::Outcome::NoResponse, s_start);
-    EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)) << "not at once";
+    EXPECT_FALSE(orders.next(std::array { six }, 5, s_start)) << "the order is not retried before the delay ends";
     auto later = s_start + 1s;
-    EXPECT_FALSE(orders.next(std::array { six }, 5, later)->needsNewToken) << "the same may be repeated";
+    EXPECT_FALSE(orders.next(std::array { six }, 5, later)->needsNewToken) << "the same number may be repeated";
     EXPECT_TRUE(orders.next(std::array { nine }, 5, later)->needsNewToken);
     EXPECT_FALSE(orders.next(std::array { nine }, 6, later)->needsNewToken);
     orders.record(nine, 6, CapacityOrders::Outcome::Accepted, later);
-    EXPECT_FALSE(orders.next(std::array { six }, 6, later)->needsNewToken) << "the late one is refused now";
+    EXPECT_FALSE(orders.next(std::array { six }, 6, later)->needsNewToken) << "the platform now rejects the late order";
 }
 
 TEST(CapacityOrdersTest, DomainWithoutCapacityIsSkippedUntilItsRetryDelayEnds)
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -8,12 +8,12 @@
 #include <sstream>
 #include <unordered_set>
 
-// All interleavings of two routers that compete for the duties and report one usage window, up to a depth: appends and
-// calls whose answers are lost, that are carried out later or never, planned stops, and time that passes between any
-// two steps. A router that is never stepped while time passes is one that is frozen.
+// Explores all interleavings, up to a depth, of two routers that compete for the duties and report one usage window.
+// Appends and calls may lose their responses or be carried out late; routers may stop; time passes between any two
+// steps. A router that takes no step while time passes models a frozen process.
 //
-// Judged by what the log and the platform saw. Each guard of the rules is taken out in turn, and the search must find
-// what it guards against.
+// Violations are detected in the log and in the calls that the platform receives. Each safeguard is disabled in turn,
+// and the search must then find the violation that it prevents.
 namespace Brassladder::RouteServing::Duties {
 
 using namespace std::chrono_literals;
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr Common::TimePoint s_start(1h);
-constexpr auto s_tick = 1500ms; // Half of a lease.
+constexpr auto s_tick = 1500ms; // Half of a lease duration.
 constexpr uint64_t s_window = 7;
 
 struct Guards {
@@ -36,11 +36,11 @@
 struct Limits {
     size_t depth { 0 };
     int ticks { 0 };
-    size_t lostOrLate { 2 }; // Appends and calls whose answer is lost.
-    uint64_t eras { 0 }; // Times that the store comes back from a copy.
+    size_t lostOrLate { 2 }; // Limit for appends and calls whose response is lost or that are carried out late.
+    uint64_t eras { 0 }; // Limit for restores of the store.
 };
 
-// What a violation is called in the test's output; empty: none.
+// Description of a violated invariant; empty if there is none.
 using Violation = std::string;
 
 class Model {
@@ -51,12 +51,12 @@
         auto times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
         if (!guards.delaysReclaim)
             times.reclaimDelay = 0ms;
-        // Both have been up for a while.
+        // Both routers started well before the test.
         m_routers.push_back({ Lease(times, "a", 1, s_start - 1min), false, std::nullopt });
         m_routers.push_back({ Lease(times, "b", 2, s_start - 1min), false, std::nullopt });
     }
 
-    // All states that one action leads to.
+    // Returns all states that one action leads to.
     std::vector<Model> next(const Limits& limits) const
     {
         std::vector<Model> states;
@@ -88,7 +88,7 @@
 
     const Violation& violation() const { return m_violation; }
 
-    // Equal for states that go on alike.
+    // Equal for states with the same future behaviour.
     std::string key() const
     {
         std::ostringstream out;
@@ -122,7 +122,7 @@
     struct Router {
         Lease lease;
         bool isStopping { false };
-        std::optional<uint64_t> written; // The window's count on the log, as far as this router has read it.
+        std::optional<uint64_t> written; // The window's count in the log, as read by this router.
     };
     struct LateAppend {
         size_t router { 0 };
@@ -191,7 +191,7 @@
         if (fate == Fate::Late)
             m_lateAppends.push_back({ index, record, at });
         bool isDone = fate != Fate::Late && store(record, at);
-        // The answer names the era.
+        // The response names the era.
         isLost |= m_guards.tracksEras && m_era != router.lease.state().end.era;
         if ((isDone && !isLost) || (isLost && !m_guards.readsAfterUncertainAppend)) {
             router.lease.recordAppended(record);
@@ -202,13 +202,13 @@
         return true;
     }
 
-    // The store comes back from a copy that ends there; what was sent to it before is gone.
+    // Restores the store from a copy that ends at `copyEnd`. Pending appends are lost.
     bool restoreFromCopy(size_t copyEnd)
     {
         ++m_era;
         m_log.resize(copyEnd);
         m_lateAppends.clear();
-        // A count that is lost with the store's may be counted anew by a router that has not read it: not judged.
+        // A router that has not read the lost count may count again, which is no violation.
         m_accepted.reset();
         return true;
     }
@@ -229,7 +229,7 @@
         return true;
     }
 
-    // The holder writes the window's count, or sends it, again and again.
+    // The holder writes or sends the window's count.
     bool act(size_t index, Fate fate)
     {
         auto& router = m_routers[index];
@@ -242,7 +242,7 @@
             if (m_era && other != index && mayAct)
                 m_violation = "two holders at once";
         }
-        // Each router has heard another part of the fleet.
+        // Each router has received different counts.
         auto own = 10 + index;
         if (m_guards.writesBeforeSending && !router.written)
             return append(index, WindowRecord { *token, s_window, { { "blue", own } } }, fate);
@@ -263,7 +263,7 @@
         return true;
     }
 
-    // The platform's side.
+    // Models the platform.
     void receive(const Call& call)
     {
         auto [token, isNew] = m_tokens.emplace(call.token, call.router);
@@ -292,8 +292,8 @@
     uint64_t m_era { 0 };
     std::vector<LateAppend> m_lateAppends;
     std::vector<Call> m_lateCalls;
-    std::deque<Act> m_acts; // The last three that were accepted.
-    std::map<uint64_t, size_t> m_tokens; // Who sent each.
+    std::deque<Act> m_acts; // The last three accepted calls.
+    std::map<uint64_t, size_t> m_tokens; // Sender of each token.
     uint64_t m_highestToken { 0 };
     std::optional<uint64_t> m_accepted;
     int m_ticks { 0 };
@@ -336,7 +336,6 @@
 
 } // namespace
 
-// 113,111 states in four seconds; 13 steps, once by hand: 992,057 states in 44 s, and nothing found.
 TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWithOneLostOrLateResponse)
 {
     auto outcome = explore({}, { 10, 3, 1 });
@@ -346,7 +345,7 @@
     EXPECT_GT(outcome.states, 10'000U);
 }
 
-// Deep enough for a holder that is followed, and whose follower gives the lease back.
+// The depth covers a takeover after which the new holder releases the lease.
 TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenAllResponsesArrive)
 {
     auto outcome = explore({}, { 16, 3, 0 });
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -16,7 +16,7 @@
 constexpr Lease::Situation s_candidate { true, false };
 const auto s_times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
 
-// The log, as a store keeps it, and routers that read and append to it.
+// Models the log of the store, and the reads and appends of routers.
 struct Log {
     std::vector<LoggedRecord> records;
 
@@ -29,7 +29,7 @@
         auto from = isWhole ? 0 : std::min<size_t>(lease.end(), records.size());
         lease.recordRead(std::span(records).subspan(from), { era, end() }, started, now);
     }
-    // The store comes back from a copy that ends there.
+    // Restores the store from a copy that ends at `copyEnd`.
     void restoreFromCopy(size_t copyEnd)
     {
         records.resize(copyEnd);
@@ -80,7 +80,7 @@
     EXPECT_EQ(a.nextStep(s_candidate, s_start + 1800ms), Step::Renew);
     EXPECT_TRUE(a.token(s_start + 2699ms));
     EXPECT_FALSE(a.token(s_start + 2700ms));
-    // Nobody has followed it: the next renewal makes it act again, with the same token.
+    // No other router has claimed the lease, so the next renewal extends it with the same token.
     EXPECT_TRUE(log.append(a, Step::Renew, s_start + 5s));
     EXPECT_EQ(a.token(s_start + 5s), 1U);
 }
@@ -94,14 +94,14 @@
     log.append(a, Step::Claim, s_start);
     auto seen = s_start + 100ms;
     log.read(b, seen);
-    // A read that began before the end of the lease may have missed a renewal.
+    // A read that began before the lease expired may have missed a renewal.
     log.read(b, seen + 2999ms, seen + 4s);
     EXPECT_EQ(b.nextStep(s_candidate, seen + 4s), Step::Read);
     log.read(b, seen + 3000ms);
     EXPECT_EQ(b.nextStep(s_candidate, seen + 3000ms), Step::Claim);
     EXPECT_TRUE(log.append(b, Step::Claim, seen + 3000ms));
     EXPECT_EQ(b.token(seen + 3000ms), 2U);
-    // The one before finds out when it renews.
+    // The former holder detects the takeover when its renewal fails.
     EXPECT_EQ(a.nextStep(s_candidate, seen + 3100ms), Step::Renew);
     EXPECT_FALSE(log.append(a, Step::Renew, seen + 3100ms));
     EXPECT_FALSE(a.token(seen + 3100ms));
@@ -121,7 +121,7 @@
     log.append(b, Step::Claim, s_start + 3s);
     log.append(b, Step::Release, s_start + 3100ms);
     log.read(a, s_start + 3200ms);
-    EXPECT_EQ(a.nextStep(s_candidate, s_start + 3200ms), Step::Read) << "A, B, A";
+    EXPECT_EQ(a.nextStep(s_candidate, s_start + 3200ms), Step::Read) << "a must not reclaim directly after b";
     log.read(a, s_start + 6s);
     EXPECT_EQ(a.nextStep(s_candidate, s_start + 6s), Step::Claim);
 }
@@ -137,7 +137,7 @@
     EXPECT_EQ(a.nextStep({ true, true }, stop), Step::Release);
     log.append(a, Step::Release, stop);
     EXPECT_FALSE(a.token(stop));
-    EXPECT_EQ(a.nextStep({ true, true }, stop + 1min), Step::Wait) << "it does not return";
+    EXPECT_EQ(a.nextStep({ true, true }, stop + 1min), Step::Wait) << "a stopping router does not reclaim";
     Lease again(s_times, "a", 3, stop + 1s);
     log.read(again, stop + 1s);
     EXPECT_EQ(again.nextStep(s_candidate, stop + 1s), Step::Read);
@@ -155,12 +155,12 @@
     a.recordAppendUncertain();
     EXPECT_EQ(a.nextStep(s_candidate, s_start), Step::Read);
     log.read(a, s_start + 1s);
-    EXPECT_FALSE(a.isHolder()) << "not done yet";
+    EXPECT_FALSE(a.isHolder()) << "the append is not in the log yet";
     log.records.push_back({ 0, record });
     log.read(a, s_start + 2s);
     ASSERT_TRUE(a.isHolder());
     EXPECT_TRUE(a.token(s_start + 2600ms));
-    EXPECT_FALSE(a.token(s_start + 2700ms)) << "counted from the read, it would act beyond its lease";
+    EXPECT_FALSE(a.token(s_start + 2700ms)) << "validity counts from the send, not from the read";
 }
 
 TEST(LeaseTest, RestartedInstanceReclaimsAtOnceWithANewToken)
@@ -210,14 +210,14 @@
     log.records.push_back({ 1, std::nullopt });
     log.read(b, s_start + 2999ms);
     log.read(b, s_start + 3000ms);
-    EXPECT_EQ(b.nextStep(s_candidate, s_start + 3000ms), Step::Claim) << "they renew nobody's lease";
+    EXPECT_EQ(b.nextStep(s_candidate, s_start + 3000ms), Step::Claim) << "foreign records renew no lease";
     EXPECT_FALSE(log.append(a, Step::Renew, s_start + 1s));
     log.read(a, s_start + 1s);
     EXPECT_TRUE(a.isHolder());
     EXPECT_TRUE(log.append(a, Step::Renew, s_start + 1s));
 }
 
-// The copy lacks the claim of the one that holds the duties, or names one before it.
+// The restored copy lacks the current holder's claim, or contains an earlier claim.
 TEST(LeaseTest, HolderWhoseClaimTheStoreLostReclaimsBeforeItActs)
 {
     for (size_t copyEnd : { 0, 1, 2 }) {
@@ -238,13 +238,13 @@
         EXPECT_FALSE(b.token(s_start + 2s));
         EXPECT_EQ(b.nextStep(s_candidate, s_start + 2s), Step::Claim);
         EXPECT_TRUE(log.append(b, Step::Claim, s_start + 2s));
-        EXPECT_GT(*b.token(s_start + 2s), token) << "though the log ends earlier";
+        EXPECT_GT(*b.token(s_start + 2s), token) << "although the log ends earlier";
         log.read(a, s_start + 2s);
         EXPECT_FALSE(a.isHolder());
     }
 }
 
-// What the copy says of others may be over: they wait for the holder that it does not know of.
+// The restored copy may lack the current holder's claim, so other routers wait until its lease has expired.
 TEST(LeaseTest, InANewEraOtherRoutersWaitOneLeaseDuration)
 {
     for (size_t copyEnd : { 0, 1 }) {
@@ -261,7 +261,7 @@
         EXPECT_GT(fresh.readWait(s_start), 2900ms);
         log.read(fresh, s_start + 2999ms);
         EXPECT_EQ(fresh.nextStep(s_candidate, s_start + 2999ms), Step::Read);
-        EXPECT_FALSE(a.token(s_start + 2999ms)) << "its own has run out";
+        EXPECT_FALSE(a.token(s_start + 2999ms)) << "the lease of a has expired";
         log.read(fresh, s_start + 3s);
         EXPECT_EQ(fresh.nextStep(s_candidate, s_start + 3s), Step::Claim);
     }
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -19,7 +19,7 @@
 const UsageTimes s_times { 5000ms, 10'000ms };
 constexpr uint64_t s_window = 100;
 
-// Passes everything that `from` knows on.
+// Merges all of `from` into `to`.
 void forwardAll(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
 
 } // namespace
@@ -44,11 +44,11 @@
     UsageLedger b({ "b", 1 }, s_window);
     forwardAll(b, a);
     a.advance(s_window + 1);
-    EXPECT_FALSE(a.isFinal(s_window)) << "b has not come to its end";
+    EXPECT_FALSE(a.isFinal(s_window)) << "b has not finished the window";
     b.advance(s_window + 1);
     forwardAll(b, a);
     EXPECT_TRUE(a.isFinal(s_window));
-    EXPECT_FALSE(a.isFullyCounted(s_window)) << "both started in it";
+    EXPECT_FALSE(a.isFullyCounted(s_window)) << "both processes started during the window";
     a.advance(s_window + 2);
     EXPECT_TRUE(a.isFullyCounted(s_window + 1));
     EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 1U);
@@ -77,7 +77,7 @@
     EXPECT_EQ(a.total(s_window).size(), 1U);
     a.advance(s_window + UsageLedger::retainedWindows);
     EXPECT_TRUE(a.total(s_window).empty());
-    EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only itself";
+    EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only its own process remains";
 }
 
 TEST(UsageLedgerTest, RowsFarInTheFutureAreIgnored)
@@ -88,7 +88,7 @@
     EXPECT_TRUE(a.total(s_window + 1000).empty());
 }
 
-// Messages are lost, doubled, late and arrive by two ways: what arrives in the end is what was counted.
+// Lost, duplicated, late and redundantly routed messages lead to the same totals.
 TEST(UsageLedgerTest, MergeIsCommutativeAndIdempotent)
 {
     EXPECT_TRUE(rc::check([] {
@@ -112,7 +112,7 @@
     }));
 }
 
-// A ledger that is sent in parts, each once the one before has arrived, arrives whole.
+// Partial updates that are sent in sequence add up to the complete ledger.
 TEST(UsageLedgerTest, PartialUpdatesOfAnySizeYieldTheCompleteLedger)
 {
     EXPECT_TRUE(rc::check([] {
@@ -146,12 +146,13 @@
     auto end = s_times.endOf(s_window);
     EXPECT_EQ(reports.next(s_window, ledger, end - 1ms), UsageReports::Step::Wait);
     ledger.advance(s_window + 1);
-    EXPECT_EQ(reports.next(s_window, ledger, end + 499ms), UsageReports::Step::Wait) << "counts are on their way";
+    EXPECT_EQ(reports.next(s_window, ledger, end + 499ms), UsageReports::Step::Wait)
+        << "counts may still be in transit";
     EXPECT_EQ(reports.next(s_window, ledger, end + 500ms), UsageReports::Step::Write);
     reports.recordWritten({ 1, s_window, { { "blue", 1 } } });
     reports.recordWritten({ 2, s_window, { { "blue", 2 } } });
     EXPECT_EQ(reports.next(s_window, ledger, end + 500ms), UsageReports::Step::Send);
-    EXPECT_EQ(reports.written(s_window)->counts.at("blue"), 1U) << "the first record of a window stands";
+    EXPECT_EQ(reports.written(s_window)->counts.at("blue"), 1U) << "the first record of a window is authoritative";
 }
 
 TEST(UsageReportsTest, UnreachableRouterDelaysAReportUntilItIsNearlyDue)
@@ -184,7 +185,8 @@
     EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
     EXPECT_TRUE(hadStartedAtUpstream({ Outcome::ServerError, true, 10ms, 100ms }));
     EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, true, 100ms, 100ms }));
-    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 99ms, 100ms })) << "it waited for its turn";
+    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 99ms, 100ms }))
+        << "the generation was still queued";
     EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 10s, std::nullopt }));
     EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, false, 1ms, std::nullopt }));
     for (auto outcome : { Outcome::NotExecuted, Outcome::ConnectFailed, Outcome::CancelledBeforeSending,
@@ -201,7 +203,7 @@
     clock.observeSystem(1'032'000ms, s_start + 30s);
     EXPECT_EQ(clock.agreed(s_start + 30s), 1'030'000ms);
     clock.observeSystem(1'092'000ms, s_start + 90s);
-    EXPECT_EQ(clock.agreed(s_start + 90s), 1'092'000ms) << "it has lasted for a minute";
+    EXPECT_EQ(clock.agreed(s_start + 90s), 1'092'000ms) << "the jump has persisted for a minute";
 }
 
 TEST(FleetClockTest, HubUsesTheMedianTimeAndSubscribersFollowIt)
@@ -209,12 +211,12 @@
     FleetClock hub(5'002'000ms, s_start);
     for (const char* id : { "a", "b", "c" })
         hub.recordSubscriber(id, 5'000'000ms, s_start);
-    EXPECT_EQ(hub.agreed(s_start), 5'000'000ms) << "its own clock was ahead at its start";
+    EXPECT_EQ(hub.agreed(s_start), 5'000'000ms) << "the hub's clock was ahead at its start";
     FleetClock subscriber(4'998'000ms, s_start);
     subscriber.recordHub(hub.agreed(s_start + 10ms), s_start, s_start + 20ms);
     EXPECT_EQ(subscriber.agreed(s_start + 20ms), 5'000'020ms);
-    EXPECT_EQ(subscriber.own(s_start + 20ms), 4'998'020ms) << "what it tells is its own time";
-    EXPECT_EQ(subscriber.agreed(s_start + 10s), 5'008'000ms) << "alone again";
+    EXPECT_EQ(subscriber.own(s_start + 20ms), 4'998'020ms) << "a subscriber reports its own time";
+    EXPECT_EQ(subscriber.agreed(s_start + 10s), 5'008'000ms) << "the time of the hub has expired";
 }
 
 } // namespace Brassladder::RouteServing::Duties
