--- a/Source/RouteServing/Gateway/CapacityView.cpp
+++ b/Source/RouteServing/Gateway/CapacityView.cpp
@@ -6,7 +6,8 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The failure domains that have a price, and those where engines stand.
+// Counts the engines per failure domain, excluding those that are leaving. The result covers the failure domains that
+// have a price and those that have engines.
 static std::vector<Duties::DomainCapacity> domainCapacities(
     const Routing::Service& service, std::span<const Routing::UpstreamRecord> upstreams)
 {
@@ -27,7 +28,7 @@
     return result;
 }
 
-// The shortest objective of the routes that lead to the service.
+// Returns the shortest objective of the routes that lead to the service, or the maximum if none has an objective.
 static Common::Milliseconds shortestObjective(const Routing::RouteTable& table, const std::string& service)
 {
     auto shortest = Common::Milliseconds::max();
--- a/Source/RouteServing/Gateway/CapacityView.h
+++ b/Source/RouteServing/Gateway/CapacityView.h
@@ -9,9 +9,10 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// What stands and what is outstanding of the services whose engines the fleet orders, by the configuration in force,
-// the list of upstreams and the loads that routers told. None before all are known. `loadFactor`: the load of all
-// routers over that of those that are heard.
+// Returns the engines and the outstanding load of every service with scaling terms, from the active configuration, the
+// list of upstreams and the loads that routers have reported. Returns an empty list until the configuration and the
+// list of upstreams are known. `loadFactor` scales the known load up to the load of all routers, including those whose
+// reports are missing.
 std::vector<ServiceCapacity> collectServiceCapacities(
     const PlatformWatcher&, const Routing::UpstreamRegistry&, double loadFactor, Common::TimePoint now);
 
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -15,15 +15,13 @@
 using Duties::CapacityOrders;
 using namespace std::chrono_literals;
 
-// How often it checks what is due: the interval of the exchange between routers. Chosen, not measured.
+// Pause between two checks for due work. Equals the exchange interval of PeerExchange.
 static constexpr Milliseconds checkInterval = 100ms;
-// How often the plan of capacity is made anew. Chosen, not measured: an engine takes seconds to boot.
+// Interval between two capacity plans.
 static constexpr Milliseconds planInterval = 500ms;
-// A read of the log by a router that waits for the lease returns with a record or after this at the latest. Chosen, not
-// measured.
+// Upper bound for a long poll of the log.
 static constexpr Milliseconds maxReadWait = 10'000ms;
-// After the first failed call, and the bound of its doubling: at most two calls a second while the store or the
-// platform is away, and all windows that are due caught up within seconds. Chosen, not measured.
+// Backoff after failed calls: doubles from the initial value up to the maximum.
 static constexpr Milliseconds initialBackoff = 200ms;
 static constexpr Milliseconds maxBackoff = 1000ms;
 
@@ -98,7 +96,7 @@
     resolveConflict();
 }
 
-// Says who holds the duties when that has changed.
+// Logs and counts a change of the lease holder. Clears the capacity state when this router no longer holds the lease.
 void DutyRunner::handleLeaseChange()
 {
     const auto& newest = m_lease.newest();
@@ -124,8 +122,9 @@
     DutyMetrics::leaseChanged(wasReleased ? DutyMetrics::LeaseChange::Released : DutyMetrics::LeaseChange::Lost);
 }
 
-// The log was read since a call met a conflict. When nobody has followed this holder, the conflict was not about the
-// lease: an order of capacity cannot be met now; anything else needs a token above all that were seen.
+// Called after a read of the log that follows a Conflict response. If this router still holds the lease, the conflict
+// was not about the lease. A capacity order was refused because the platform has no capacity now. Any other call needs
+// a fencing token above all tokens that the platform has seen.
 void DutyRunner::resolveConflict()
 {
     if (!m_hasUnresolvedConflict)
@@ -151,7 +150,7 @@
         return true;
     }
     m_lease.recordAppendUncertain();
-    // The read that follows may succeed where appends do not.
+    // The next step reads the log. That read may succeed while appends fail, so the backoff happens here.
     if (isError(appended))
         Common::sleepFor(backoffAfter(++m_appendFailures));
     return false;
@@ -270,7 +269,7 @@
     m_nextCapacityPlanAt = now + planInterval;
     for (const auto& service : m_parts.capacity()) {
         observeDemand(service, now);
-        // The next order follows at once.
+        // Plan again without delay: further orders may be due.
         if (orderCapacity(service, now))
             m_nextCapacityPlanAt = now;
     }
@@ -339,7 +338,7 @@
     return true;
 }
 
-// For others
+// State for other threads
 
 void DutyRunner::publish()
 {
--- a/Source/RouteServing/Gateway/DutyRunner.h
+++ b/Source/RouteServing/Gateway/DutyRunner.h
@@ -16,7 +16,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The engines of one service that the fleet orders.
+// One service whose engines the fleet orders: its scaling terms, its engines per failure domain and its load.
 struct ServiceCapacity {
     std::string service;
     Duties::ScalingTerms terms;
@@ -24,8 +24,9 @@
     Duties::EngineLoad load;
 };
 
-// Does the duties of the fleet while this router holds their lease: reports usage and orders capacity. The rules stand
-// in Duties/; this class makes the calls, one at a time. Runs as one fiber.
+// Performs the duties of the fleet while this router holds the duty lease: reports usage and orders capacity. The rules
+// are in Duties/; this class reads and appends to the log and calls the platform, one call at a time. Runs as one
+// fiber; only view() is thread-safe.
 class DutyRunner {
 public:
     struct Parts {
@@ -44,14 +45,14 @@
 
     DutyRunner(Parts, Settings);
 
-    // Runs until the process ends, as a fiber of its own.
+    // Runs until the process ends. Must be started in its own fiber.
     void run();
 
-    // What this router knows of the duties. Safe to call from several threads.
+    // The state of the duties as this router last read it. view() is thread-safe.
     struct View {
-        std::string holder; // Empty when nobody holds them, or that is not known.
+        std::string holder; // Empty if no router holds the duties, or if the holder is unknown.
         uint64_t token { 0 };
-        uint64_t firstUnreported { 0 }; // Usage window.
+        uint64_t firstUnreported { 0 }; // The first usage window that still has to be reported.
         bool isOwn { false };
     };
     View view() const;
@@ -59,16 +60,17 @@
 private:
     using Step = Duties::Lease::Step;
 
-    // One step; how long to wait before the next.
+    // Performs one step and returns the time to wait before the next one.
     Common::Milliseconds step();
     Common::Milliseconds read(Common::TimePoint now);
     void recordChanges(const DutyLogSource::Changes&, Common::TimePoint started);
     void handleLeaseChange();
     void resolveConflict();
-    // Whether the record is on the log.
+    // Returns whether the record was appended to the log. False also if the outcome is unknown.
     bool append(const Duties::DutyRecord&);
     void appendLease(Step);
-    // The lease's token, checked again right before a call.
+    // Returns this router's id and fencing token, or nullopt if the lease is not valid now. Called right before each
+    // call to the platform.
     std::optional<DutyCaller> caller() const;
 
     bool reportUsage();
@@ -87,19 +89,19 @@
     Settings m_settings;
     Duties::Lease m_lease;
     Duties::UsageReports m_reports;
-    std::map<std::string, Duties::CapacityOrders> m_orders; // By service, as the next.
+    std::map<std::string, Duties::CapacityOrders> m_orders; // By service, like `m_demands`.
     std::map<std::string, Duties::CapacityDemand> m_demands;
-    std::optional<Duties::LeaseRecord> m_lastLoggedLease; // The newest lease that was logged.
-    uint64_t m_firstUnreported { 0 }; // Usage window; goes into the lease's next record.
-    uint64_t m_heldToken { 0 }; // Of the lease that this process holds; 0: none.
-    unsigned m_readFailures { 0 }; // Of reads, in a row.
+    std::optional<Duties::LeaseRecord> m_lastLoggedLease;
+    uint64_t m_firstUnreported { 0 }; // Usage window; written with the next lease record.
+    uint64_t m_heldToken { 0 }; // Fencing token while this process holds the lease, else 0.
+    unsigned m_readFailures { 0 }; // Consecutive failed reads.
     unsigned m_appendFailures { 0 };
-    unsigned m_usageFailures { 0 }; // Of reports, in a row.
+    unsigned m_usageFailures { 0 }; // Consecutive failed usage reports.
     Common::TimePoint m_nextUsageReportAt {};
     Common::TimePoint m_nextCapacityPlanAt {};
-    bool m_hasUnresolvedConflict { false }; // A call met a conflict that the log has not explained yet.
+    bool m_hasUnresolvedConflict { false }; // A call returned Conflict, and the log has not been read since.
     std::optional<Duties::CapacityOrder> m_conflictingOrder;
-    mutable std::mutex m_mutex; // Guards the next.
+    mutable std::mutex m_mutex; // Guards m_view.
     View m_view;
 };
 
