--- a/Source/RouteServing/Gateway/PlatformSources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -19,11 +19,11 @@
 #include <string_view>
 #include <vector>
 
-// Where the gateway reads the platform's state, as hooks that an adapter fills. Each hook is called by one fiber at a
-// time and may suspend it. The only error is PlatformUnavailable: the present state is not known.
+// Access to the platform's state as hooks that an adapter implements. Unless stated otherwise, one fiber at a time
+// calls a hook, and the hook may suspend it. The only error is PlatformUnavailable: the current state is unknown.
 namespace Brassladder::RouteServing::Gateway {
 
-// One version of the configuration: compiled, and as the operators wrote it, to send it to other routers.
+// One version of the configuration: the compiled table, and the original text that is sent to other routers.
 struct Configuration {
     Routing::RouteTable table;
     std::string text;
@@ -31,37 +31,38 @@
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
 struct ConfigurationSource {
-    // Waits up to `wait` for a version that it has not returned before; null when there is none. A value, also null,
-    // confirms that no newer version had been accepted when the call was made.
+    // Waits up to `wait` for a version that it has not returned before. Returns null if there is none. Any value,
+    // including null, confirms that the platform had accepted no newer version when the call was made.
     std::function<Common::Result<ConfigurationPtr>(Common::Milliseconds wait)> read;
-    // Null when the text is not a configuration.
+    // Returns null if the text is not a valid configuration.
     std::function<ConfigurationPtr(std::string_view text)> parse;
 };
 
-// A whole list of upstreams, in the state of one moment.
+// A complete list of upstreams at one point in time.
 using UpstreamListPtr = std::shared_ptr<const std::vector<Routing::UpstreamRecord>>;
 
 struct UpstreamSource {
-    // The present list, never null: the same object again as long as it has not changed.
+    // Returns the current list, never null. Returns the same object while the list is unchanged.
     std::function<Common::Result<UpstreamListPtr>()> read;
 };
 
-// The routers of the fleet, as they announced themselves at their start. Those that have ended are still listed.
+// The fleet's roster. Routers announce themselves when they start; the list keeps routers that have ended.
 struct RosterSource {
     std::function<Common::Status(const Inner::Peer& self)> announce;
-    // What changed since the last read; at the first one, all of it.
+    // Returns the changes since the last read. The first read returns all entries.
     std::function<Common::Result<std::vector<Routing::RosterEntry>>()> read;
 };
 
-// Where suspects are kept that must outlive all routers (SuspectGuard.h). Each hook may be called by several fibers.
+// Persistent storage of suspects that must outlive all routers (SuspectGuard.h). Several fibers may call a hook
+// concurrently.
 struct SuspectLogSource {
     struct Contents {
-        std::vector<StoredSuspect> suspects; // Those that are readable.
-        uint64_t end { 0 }; // Of the log: where the next record goes.
+        std::vector<StoredSuspect> suspects; // Only records that could be decoded.
+        uint64_t end { 0 }; // Offset of the next record.
     };
     std::function<Common::Result<Contents>()> read;
-    // Writes a suspect, or drops it, provided that the log ends at `expectedEnd`; whether it did. After an error it may
-    // have been done all the same.
+    // append() writes a suspect and drop() removes one, if the log ends at `expectedEnd`. Both return whether they did.
+    // After an error, the change may have been made.
     std::function<Common::Result<bool>(const StoredSuspect&, uint64_t expectedEnd)> append;
     std::function<Common::Result<bool>(const Routing::RequestIdentity&, uint64_t expectedEnd)> drop;
 };
@@ -69,32 +70,32 @@
 // The log of the fleet's duties (Duties/DutyRecord.h).
 struct DutyLogSource {
     struct Changes {
-        std::vector<Duties::LoggedRecord> records; // By offset.
+        std::vector<Duties::LoggedRecord> records; // In the order of their offsets.
         Duties::LogEnd end;
     };
-    // What was written since the last call, or at the first one and in a new era the newest record of each key; waits
-    // up to `wait` for something.
+    // Returns the records that were written since the last call, and waits up to `wait` for one. The first call, and
+    // the first one in a new era, returns the newest record of each key.
     std::function<Common::Result<Changes>(Common::Milliseconds wait)> read;
-    // Appends a record, provided that the log ends at `expectedEnd`; whether it did. After an error the record may be
-    // there all the same, or be appended later on the same condition.
+    // Appends a record if the log ends at `expectedEnd`, and returns whether it did. After an error the record may have
+    // been appended, or may still be appended under the same condition.
     std::function<Common::Result<bool>(const Duties::DutyRecord&, uint64_t expectedEnd)> append;
 };
 
-// In whose name a duty is done.
+// The instance and fencing token under which a duty call is made.
 struct DutyCaller {
-    std::string holder; // Id of the instance.
-    uint64_t token { 0 }; // Its fencing token.
+    std::string holder; // Instance id.
+    uint64_t token { 0 };
 };
 
 enum class DutyCallOutcome : uint8_t {
     Accepted,
-    Conflict, // A higher token was seen; or, for an order of capacity, there is none to be had now.
-    Busy, // Not done: too many calls, or the platform is not available.
-    Rejected, // Not done, and never will be: the call is not valid.
-    NoResponse, // It may be done, also later.
+    Conflict, // The platform has seen a higher token, or it has no capacity for the order now.
+    Busy, // Not performed: too many calls, or the platform is unavailable.
+    Rejected, // Not performed because the call is invalid; a retry cannot succeed.
+    NoResponse, // The call may have been performed, or may still be performed.
 };
 
-// Calls that the platform accepts from the holder of the duties only.
+// Calls that the platform accepts only from the holder of the duties.
 struct DutyCalls {
     std::function<DutyCallOutcome(const DutyCaller&, const Duties::WindowRecord&)> reportUsage;
     std::function<DutyCallOutcome(const DutyCaller&, const Duties::CapacityOrder&)> orderCapacity;
@@ -105,7 +106,7 @@
     UpstreamSource upstreams;
     RosterSource roster;
     std::optional<SuspectLogSource> suspects {};
-    // Without an address for them, the fleet has no duties.
+    // Empty if no address is configured. The fleet then performs no duties.
     std::optional<DutyLogSource> dutyLog {};
     std::optional<DutyCalls> dutyCalls {};
 };
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -11,10 +11,10 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// How often a router that relies on its peers checks whether what it has is stale. Chosen, not measured: the interval
-// of the exchange between routers.
+// Interval at which a router that relies on its peers checks whether its state is stale. Equals the exchange interval
+// of PeerExchange.
 static constexpr Milliseconds staleCheckInterval = 100ms;
-// The same of a router that waits for its first state: callers wait too. Chosen, not measured.
+// Check interval until the first state arrives. Shorter, since callers are waiting for it.
 static constexpr Milliseconds firstStateCheckInterval = 20ms;
 
 PlatformWatcher::PlatformWatcher(PlatformSources sources, Routing::RefreshIntervals intervals,
@@ -82,11 +82,11 @@
             Common::sleepFor(checkInterval());
             continue;
         }
-        // A router that only bridges a gap needs a confirmation now, not a long poll.
+        // A router that is not a store reader only needs a confirmation of its stale state, so it does not long-poll.
         auto read = m_sources.configuration.read(m_isStoreReader() ? m_intervals.configurationLongPoll : 0ms);
         if (backOffOnError(errorIn(read), dependency))
             continue;
-        // The lease stands for the table that requests see: confirmed only after the new version is in force.
+        // The lease covers the table that requests use, so it is confirmed only after the new version is active.
         if (valueOf(read))
             adopt(valueOf(read), "store");
         m_lease.confirm(started);
@@ -118,14 +118,14 @@
 void PlatformWatcher::updateConfigurationFromPeer(
     uint64_t version, std::string_view text, Common::TimePoint confirmedAt)
 {
-    // Decoding is most of the work of a change, so what is in force already is not decoded again.
+    // Decoding a configuration is expensive, so only newer versions are decoded.
     if (!text.empty() && version > activeVersion()) {
         auto next = m_sources.configuration.parse(text);
         if (!next)
             return Common::log(LogLevel::Warning, "gateway", "configuration.unreadable", { { "version", version } });
         adopt(next, "peer");
     }
-    // Also that there is none yet.
+    // Version 0 confirms that no configuration exists yet.
     if (activeVersion() >= version)
         m_lease.confirm(confirmedAt);
 }
@@ -162,12 +162,13 @@
 {
     bool hasChanged = false;
     {
-        // Held from the comparison to the change: a read of the store takes its time, and meanwhile a peer's list that
-        // was confirmed later may have come into force.
+        // Held from the comparison to the change. While a read of the store is in progress, a list from a peer that was
+        // confirmed later may become active.
         std::lock_guard lock(m_mutex);
         if (confirmedAt <= m_upstreamsConfirmedAt)
             return;
-        // A peer may leave out a list that it takes to be on its way here: that confirms nothing when there is none.
+        // A peer omits a list that it has already sent to this router. If that list has not arrived yet, there is
+        // nothing to confirm.
         if (!list && !m_upstreams)
             return;
         hasChanged = replaceUpstreams(list);
@@ -177,7 +178,7 @@
         m_onChange();
 }
 
-// Whether other routers must be notified. The caller holds the lock.
+// Replaces the active list and returns whether other routers must be notified. The caller must hold the lock.
 bool PlatformWatcher::replaceUpstreams(const UpstreamListPtr& list)
 {
     if (!list || list == m_upstreams)
--- a/Source/RouteServing/Gateway/PlatformWatcher.h
+++ b/Source/RouteServing/Gateway/PlatformWatcher.h
@@ -12,64 +12,63 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Keeps the configuration and the list of upstreams up to date, read from the platform's store or received from another
-// router, with the moment up to which each is confirmed. Versions of the configuration only rise within one life of the
-// process.
+// Keeps the configuration and the list of upstreams up to date, and the time up to which each is confirmed. Both come
+// from the platform's store or from another router. Within one process, configuration versions only increase.
 //
-// Store readers read at the intervals of Routing/RefreshIntervals.h and pass the state on (PeerExchange). The others
-// read the store themselves only when what they have is stale, or when they have nothing and expect nothing from others
-// (Routing/StartPhase.h). Safe to use from several threads.
+// Store readers read at the intervals of Routing/RefreshIntervals.h, and PeerExchange passes the state on. Other
+// routers read the store only if their state is stale, or if they have none and do not wait for a peer
+// (Routing/StartPhase.h). Thread-safe; the setters must be called before the watch functions.
 class PlatformWatcher {
 public:
     PlatformWatcher(PlatformSources, Routing::RefreshIntervals, Routing::FreshnessLease&, Routing::UpstreamRegistry&);
 
-    // Whether this router is a store reader; must be set before watching.
+    // Whether this router is a store reader.
     void setStoreReaderCheck(std::function<bool()> isStoreReader) { m_isStoreReader = std::move(isStoreReader); }
-    // Whether a router that has just started may wait for its first state from another one; must be set before
-    // watching.
+    // Whether a starting router may wait for its first state from a peer.
     void setFirstStateCheck(std::function<bool()> awaitsFirstState)
     {
         m_awaitsFirstState = std::move(awaitsFirstState);
     }
-    // Called after each read of the store, with whether it succeeded; must be set before watching.
+    // Called after each read of the store, with whether it succeeded.
     void setOnStoreRead(std::function<void(bool)> hook) { m_onStoreRead = std::move(hook); }
-    // Called after each change, by the fiber that received it; must be set before watching.
+    // Called after each change, in the fiber that received it.
     void setOnChange(std::function<void()> hook) { m_onChange = std::move(hook); }
 
-    // Each runs until the process ends, as a fiber of its own.
+    // Both run until the process ends. Each must be started in its own fiber.
     void watchConfiguration();
     void watchUpstreams();
 
-    // State from another router. `confirmedAt`: the moment, on our clock, up to which it is known to be the newest. The
-    // text may be empty when the version is in force already.
+    // Applies state from another router. `confirmedAt` is the time, on this router's clock, up to which the state is
+    // known to be the newest. The text may be empty if the version is already active.
     void updateConfigurationFromPeer(uint64_t version, std::string_view text, Common::TimePoint confirmedAt);
     void updateUpstreamsFromPeer(std::optional<std::vector<Routing::UpstreamRecord>>, Common::TimePoint confirmedAt);
 
-    // Null until the first version is known.
+    // Null until the first version is received.
     ConfigurationPtr configuration() const { return m_configuration.load(); }
-    // 0 until then.
+    // 0 until the first version is received.
     uint64_t activeVersion() const;
     bool hasUpstreamList() const { return m_hasUpstreamList.load(); }
-    // Since the list was confirmed; the longest there is when it never was.
+    // Time since the list was last confirmed, or Milliseconds::max() if it never was.
     Common::Milliseconds upstreamsAge(Common::TimePoint now) const;
 
 private:
-    // Logs when a dependency is lost and when it is back, once each.
+    // Logs once when a dependency becomes unavailable, and once when it is available again.
     struct Dependency {
         std::string_view name;
-        unsigned failures { 0 }; // In a row.
+        unsigned failures { 0 }; // Consecutive.
         void recordFailure(const Common::Error&);
         void recordSuccess();
     };
 
-    // Puts a version in force unless a newer one is. `from`: "store" or "peer", for the log.
+    // Activates the version unless the active one is the same or newer. `from` is "store" or "peer", for the log.
     void adopt(const ConfigurationPtr&, std::string_view from);
-    // Puts a list in force unless the one in force was confirmed later. Null: the one in force is the newest.
+    // Activates the list unless the active one was confirmed at the same time or later. A null list confirms the active
+    // one.
     void setUpstreams(const UpstreamListPtr&, Common::TimePoint confirmedAt);
     bool replaceUpstreams(const UpstreamListPtr&);
-    // Whether a read gave no state; then it waits before the next one.
+    // Records the outcome of a read. After an error, sleeps for the backoff and returns true.
     bool backOffOnError(const std::optional<Common::Error>&, Dependency&);
-    // Whether this router can leave the store alone for now, with a state that was confirmed so long ago.
+    // Whether this router may skip reading the store, given the age of its state.
     bool reliesOnPeers(Common::Milliseconds age, Common::Milliseconds staleAfter) const;
     Common::Milliseconds checkInterval() const;
 
@@ -84,7 +83,7 @@
     Common::RcuCell<Configuration> m_configuration { nullptr };
     std::atomic<bool> m_hasUpstreamList { false };
     mutable std::mutex m_mutex;
-    UpstreamListPtr m_upstreams; // The list in force, in the registry as well. Guarded by m_mutex, as the next.
+    UpstreamListPtr m_upstreams; // The active list. Guarded by m_mutex, like m_upstreamsConfirmedAt.
     Common::TimePoint m_upstreamsConfirmedAt {};
 };
 
--- a/Source/RouteServing/Gateway/RosterWatcher.cpp
+++ b/Source/RouteServing/Gateway/RosterWatcher.cpp
@@ -11,9 +11,9 @@
 using Routing::RosterStep;
 using namespace std::chrono_literals;
 
-// How often it checks whether something is due. Chosen, not measured: the interval of the exchange between routers.
+// Pause between two checks for due work. Equals the exchange interval of PeerExchange.
 static constexpr Common::Milliseconds checkInterval = 100ms;
-// After the first failed call to the store, and the bound of its doubling. Chosen, not measured.
+// Backoff after failed calls to the store: doubles from the initial value up to the maximum.
 static constexpr Common::Milliseconds initialBackoff = 300ms;
 static constexpr Common::Milliseconds maxBackoff = 3000ms;
 
@@ -51,7 +51,7 @@
     return Common::Done {};
 }
 
-// Logs the first failure of several in a row.
+// Logs the first of several consecutive failures, and sleeps for the backoff after each.
 void RosterWatcher::recordOutcome(std::string_view what, const Common::Status& status)
 {
     if (!isError(status)) {
--- a/Source/RouteServing/Gateway/RosterWatcher.h
+++ b/Source/RouteServing/Gateway/RosterWatcher.h
@@ -9,21 +9,21 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Announces this router in the fleet's roster on the platform, and reads the others from it, when Routing/RosterDuty.h
-// says so.
+// Announces this router in the fleet's roster on the platform and reads the roster, at the times that
+// Routing/RosterDuty.h determines.
 class RosterWatcher {
 public:
     struct Hooks {
-        // All but the reads, which the watcher knows itself.
+        // Returns the situation without the reads, which the watcher fills in.
         std::function<Routing::RosterSituation()> situation;
-        // What changed in the roster since the last read; at the first, all of it.
+        // Called with the changes since the last read. The first read passes all entries.
         std::function<void(std::span<const Routing::RosterEntry>)> onRead;
-        std::function<void()> onAnnounced; // The platform has this router's address.
+        std::function<void()> onAnnounced; // Called when the platform has this router's address.
     };
 
     RosterWatcher(RosterSource, Hooks);
 
-    // Runs until the process ends, as a fiber of its own.
+    // Runs until the process ends. Must be started in its own fiber.
     void watch(const Inner::Peer& self);
 
 private:
@@ -36,7 +36,7 @@
     Hooks m_hooks;
     unsigned m_reads { 0 };
     Common::TimePoint m_lastRead {};
-    unsigned m_failures { 0 }; // In a row.
+    unsigned m_failures { 0 }; // Consecutive.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
