--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -12,9 +12,7 @@
 using Inner::Wire::Item;
 using namespace std::chrono_literals;
 
-// How often a router requests a snapshot, and hubs send their loads. Measured in bursts on 80 routers and
-// 90 engines: worth 0.793 and 0.631 at 250 ms, 0.832 and 0.718 at 100 ms; 50 ms gained little for half as much
-// processor time again (docs/DESIGN.md, "how often loads are sent").
+// Interval at which routers request snapshots and hubs send their loads.
 static constexpr Milliseconds exchangeInterval = 100ms;
 
 PeerExchange::PeerExchange(Common::FiberRuntime& runtime, Parts parts, std::string id, std::string_view fleetKey)
@@ -48,8 +46,8 @@
     hooks.onItem = [this](const auto& sender, const auto& item) { onItem(sender, item); };
     hooks.onConnected = [](const std::string&) {};
     hooks.onDisconnected = [this](const std::string& peer) { onDisconnected(peer); };
-    // Held until the address is set, which never changes afterwards: a peer may connect and send at once, and each way
-    // from its message to our address takes the lock.
+    // Held until m_endpoint is set; it never changes afterwards. A peer may connect and send immediately, and every
+    // path from a message to m_endpoint takes this lock first.
     std::lock_guard lock(m_mutex);
     auto port = m_mesh.listen(endpoint, std::move(hooks));
     if (isError(port))
@@ -61,8 +59,8 @@
 
 // Roster
 
-// The caller holds the lock, and has held it since it changed the list of peers: of two threads that each add a peer,
-// the one with the shorter list must not be the last. The mesh calls no hook while it takes the list.
+// The caller must hold the lock since before it changed the peers. Otherwise, when two threads each add a peer, an
+// older list could replace a newer one in the mesh. The mesh calls no hook from setPeers().
 void PeerExchange::setMeshPeers()
 {
     std::vector<Inner::Peer> peers;
@@ -76,7 +74,7 @@
 void PeerExchange::addContact(const std::string& id, const std::string& address)
 {
     auto endpoint = Common::parseEndpoint(address);
-    // Without its address the peer cannot be answered unless the roster has it: the mesh drops the response then.
+    // Without the address, the response can only be sent if the roster has the peer. Otherwise the mesh drops it.
     if (isError(endpoint))
         return Common::log(LogLevel::Warning, "gateway", "peer.bad_address",
             { { "peer", id }, { "address", address }, { "error", errorOf(endpoint).message } });
@@ -103,7 +101,7 @@
     addRoster(decodeRoster(part.packed()));
     Routing::FleetMember::RosterRange range { part.after(), part.revision(), part.is_whole() };
     bool isNew = locked([&](auto& member) { return member.recordRosterPart(from.id, from.incarnation, range); });
-    // The hub is known now.
+    // The roster is complete now, so the hub is known: request a snapshot without delay.
     if (isNew)
         Common::FiberRuntime::spawnHere([this] { step(); });
 }
@@ -137,7 +135,7 @@
     return locked([](const auto& member) { return member.fleetSize(); });
 }
 
-// The caller holds the lock.
+// The caller must hold the lock.
 Routing::FleetMember::Target PeerExchange::updateTarget()
 {
     auto now = Common::now();
@@ -190,8 +188,8 @@
         requestSnapshot(*target->ranking.source(), target->ranking.isHub());
 }
 
-// Adds what names a request and says how much of the target's roster is known. False when the target has changed
-// meanwhile: a step on another thread has chosen another one. The caller holds the lock.
+// Sets the nonce, this router's address and the received revision of the target's roster. Returns false if a step on
+// another thread has chosen another target in the meantime. The caller must hold the lock.
 bool PeerExchange::addRequestHeader(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk& request)
 {
     auto nonce = m_member.outstanding().add(target, asHub, Common::now());
@@ -228,7 +226,7 @@
     request.set_upstreams_digest(m_parts.watcher.hasUpstreamList() ? m_parts.registry.digest() : 0);
     request.set_is_hub(asHub);
     Routing::LoadsByUpstream loads;
-    // Hubs send their loads to all hubs instead; here they would be counted twice.
+    // A hub sends its loads to all hubs with HubLoads. In a request they would be counted twice.
     if (!asHub)
         loads = m_parts.registry.ownLoads();
     {
@@ -245,7 +243,7 @@
         if (!m_parts.usage->addChanges(hub, *request.mutable_usage()))
             request.clear_usage();
     }
-    // Hubs tell each other instead.
+    // Hubs exchange suspects with HubLoads instead.
     if (m_suspects && !asHub)
         m_suspects->addTo(request, hub, Routing::SuspectLedger::Scope::All);
     if (!asHub)
@@ -276,7 +274,8 @@
     }
 }
 
-// What the holder of the duties lacks of the usage counts, and how much of the hub's counts is here.
+// Adds the revision up to which this router has the hub's usage counts. If the hub holds the duties, also adds the
+// counts that it does not have yet.
 void PeerExchange::addUsage(const std::string& hub, bool isDutyHolder, Inner::Wire::HubLoads& message)
 {
     auto received = m_parts.usage->received(hub);
@@ -286,8 +285,8 @@
         message.clear_usage();
 }
 
-// Sends a change at once to the routers that rely on this one; they request the rest. The configuration goes only to
-// those that lack it: most changes are of upstreams alone, and a large one fills the link.
+// Notifies the routers that requested a snapshot recently; they then request the rest. The configuration, which may be
+// large, is sent only to routers with an older version: most changes affect upstreams only.
 void PeerExchange::notifySubscribers()
 {
     std::map<std::string, uint64_t> knownVersions;
@@ -315,7 +314,8 @@
         onHubLoads(sender, item.hub_loads());
 }
 
-// Its next request is answered as if nothing had been sent.
+// Discards the record of what was sent to the peer. It may have been lost with the connection, so the next response
+// includes it again.
 void PeerExchange::onDisconnected(const std::string& id)
 {
     if (m_parts.usage)
@@ -346,7 +346,8 @@
     bool isResponse = snapshot.nonce() != 0;
     if (isResponse)
         m_member.peers().state(from).backoff.recordResponse();
-    // The response of a seed carries the roster only; its sender is not the target, whose id is our own.
+    // A seed's response carries only the roster. The request is registered under the placeholder id of the seed, not
+    // under the id of the sender.
     auto& outstanding = m_member.outstanding();
     if (const auto& seed = m_member.seed()) {
         outstanding.take(seed->id, snapshot.nonce());
@@ -369,8 +370,8 @@
     auto requestedAt = recordSnapshot(from, snapshot);
     if (snapshot.has_roster())
         onRosterPart(sender, snapshot.roster());
-    // Ages count back from the moment when we sent our request. A notification may have been in flight for any time, so
-    // it confirms nothing.
+    // Ages count back from the time when this router sent its request. A notification has no request, so its transit
+    // time is unknown and it confirms nothing.
     auto confirmedBy
         = [&](uint32_t ageMs) { return requestedAt ? decodeAge(ageMs, *requestedAt) : Common::TimePoint::min(); };
     onConfiguration(from, snapshot, confirmedBy(snapshot.configuration_age_ms()));
@@ -393,7 +394,7 @@
     const std::string& from, const Inner::Wire::Knowledge& snapshot, Common::TimePoint confirmedAt)
 {
     auto version = snapshot.configuration_version();
-    // Nothing is said of a configuration: neither is there one nor an age of that knowledge.
+    // The snapshot carries neither a configuration nor an age that would confirm the absence of one.
     if (!version && !snapshot.configuration_age_ms())
         return;
     bool isNew = version > m_parts.watcher.activeVersion();
@@ -408,7 +409,7 @@
 {
     if (m_parts.usage) {
         m_parts.usage->receive(sender, report.usage());
-        // What it received of an earlier process of this router says nothing of this one.
+        // An acknowledgement for an earlier process of this router does not apply to this one.
         bool isOfThisProcess = report.usage_received_from() == m_mesh.self().incarnation;
         if (sender.id == m_dutyHolder() && isOfThisProcess)
             m_parts.usage->acknowledge(sender.id, report.usage_received());
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -19,13 +19,12 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The exchange between routers: the load that they have outstanding at upstreams, and the platform's state with its
-// age. Routers request a snapshot from their hub a few times a second, and hubs send each other sums of loads; who is a
-// hub follows from Routing/HubRanking.h, and that from the roster, which a router that starts gets from a seed
-// (Routing/StartPhase.h). No promise depends on the exchange: a router without a recent snapshot reads
-// the store itself and places requests by its own load alone.
+// Exchanges loads and the platform's state between routers. Each router requests a snapshot from its hub at every
+// exchange interval; hubs send each other the sums of their own and their subscribers' loads. Routing/HubRanking.h
+// determines the hubs from the roster. A starting router gets the roster from a seed (Routing/StartPhase.h). A router
+// without a recent snapshot reads the store itself and places requests by its own load.
 //
-// Owns the connections between routers. Safe to use from several threads.
+// Owns the connections between routers. Thread-safe.
 class PeerExchange {
 public:
     struct Parts {
@@ -34,35 +33,36 @@
         Routing::FreshnessLease& lease;
         Routing::UpstreamRegistry& registry;
         Routing::StartPhase::Settings start {};
-        UsageExchange* usage { nullptr }; // Null where nobody reports usage.
-        Routing::SuspectLedger* suspects { nullptr }; // Null where none are passed on.
+        UsageExchange* usage { nullptr }; // Null if usage is not reported.
+        Routing::SuspectLedger* suspects { nullptr }; // Null if suspects are not exchanged.
     };
 
     PeerExchange(Common::FiberRuntime&, Parts, std::string id, std::string_view fleetKey);
 
-    // Listens for peers; the port in use, or PlatformUnavailable.
+    // Listens for peers. Returns the port in use, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&);
-    // Each runs until the process ends, as a fiber of its own.
+    // Both run until the process ends. Each must be started in its own fiber.
     void watchRoster() { m_roster.watch({ m_id, m_endpoint }); }
     void exchange();
 
     bool isHub() const;
-    // Whether this router reads the platform's store for others.
+    // Whether this router reads the platform's store on behalf of others.
     bool readsStore() const;
-    // How many routers may be at work, this one included: all that were ever announced. None before the roster is
-    // known.
+    // Returns the number of routers that were ever announced, including this one. This is an upper bound of the running
+    // routers. Returns nullopt until the roster is known.
     std::optional<size_t> fleetSize() const;
-    // Part of a planned stop: subscribers are told to request snapshots elsewhere.
+    // Called in a planned stop. Later snapshots carry the leaving flag, and subscribers switch to another hub.
     void leave() { m_snapshots.leave(); }
-    // Whether this router hears of too few others to do duties for the fleet.
+    // Whether this router receives loads from too few other routers to perform duties for the fleet.
     bool isPartitioned() const;
     // See Routing/FleetConnectivity.h.
     double unreachableLoadFactor() const;
-    // The router that holds the fleet's duties, empty when none is known; must be set before the exchange.
+    // Sets the function that returns the id of the router that holds the duties, or an empty string if it is unknown.
+    // Must be called before exchange().
     void setDutyHolder(std::function<std::string()> holder) { m_dutyHolder = std::move(holder); }
 
 private:
-    // Calls the function with the member under the lock.
+    // Calls the function with the member while holding m_mutex.
     template <typename Function> auto locked(const Function& function) const
     {
         std::lock_guard lock(m_mutex);
@@ -74,17 +74,18 @@
         return function(m_member);
     }
 
-    // Messages
+    // Received messages
     void onItem(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
     void onDisconnected(const std::string& peer);
     void onSnapshotRequest(const Inner::Mesh::Sender& from, const Inner::Wire::KnowledgeAsk&);
     void onSnapshot(const Inner::Mesh::Sender& from, const Inner::Wire::Knowledge&);
     void onConfiguration(const std::string& from, const Inner::Wire::Knowledge&, Common::TimePoint confirmedAt);
     void onHubLoads(const Inner::Mesh::Sender& from, const Inner::Wire::HubLoads&);
-    // When our own request was sent that the snapshot answers; none for notifications and late responses.
+    // Returns the time when this router sent the request that the snapshot answers. Returns nullopt for notifications,
+    // late responses and responses of seeds.
     std::optional<Common::TimePoint> recordSnapshot(const std::string& from, const Inner::Wire::Knowledge&);
 
-    // What is sent
+    // Sent messages
     void step();
     Routing::FleetMember::Target updateTarget();
     bool addRequestHeader(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk&);
@@ -106,10 +107,10 @@
     Common::Endpoint m_endpoint;
     Inner::Mesh m_mesh;
     RosterWatcher m_roster;
-    mutable std::mutex m_mutex; // Guards the next two.
+    mutable std::mutex m_mutex; // Guards m_member, m_loads and m_contact.
     Routing::FleetMember m_member;
     Routing::PeerLoads m_loads;
-    Routing::FleetConnectivity m_contact; // Guarded by m_mutex as well.
+    Routing::FleetConnectivity m_contact;
     std::optional<SuspectExchange> m_suspects;
     QuotaExchange m_quotas;
     std::function<std::string()> m_dutyHolder { [] { return std::string(); } };
