--- a/Source/RouteServing/Gateway/SnapshotBuilder.cpp
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.cpp
@@ -6,8 +6,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The text of a configuration, packed once for all peers: it says much the same of each route, so that little is left
-// of it.
+// Returns the compressed text of the configuration, cached by version for all peers.
 std::shared_ptr<const std::string> SnapshotBuilder::packedConfiguration(const Configuration& configuration)
 {
     auto version = configuration.table.version();
@@ -16,7 +15,7 @@
         if (m_packedConfiguration && m_packedConfigurationVersion == version)
             return m_packedConfiguration;
     }
-    // Not under the lock: it takes some milliseconds.
+    // Compressed outside the lock, since it takes some milliseconds.
     auto packed = std::make_shared<const std::string>(Common::deflate(configuration.text));
     std::lock_guard lock(m_packedMutex);
     m_packedConfigurationVersion = version;
@@ -49,8 +48,8 @@
         snapshot.set_configuration(configuration->text);
 }
 
-// The list, packed once for all peers: entries are much alike. A change of one entry sends all of it, so in a fleet
-// that replaces engines it is most of what hubs send.
+// Returns the compressed list of upstreams, cached by digest for all peers. A change of one entry sends the complete
+// list, so its size matters.
 std::shared_ptr<const std::string> SnapshotBuilder::packedUpstreams(uint64_t digest)
 {
     {
@@ -102,7 +101,7 @@
 void SnapshotBuilder::addRoster(
     const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk& request, Inner::Wire::Knowledge& snapshot)
 {
-    // The revisions of another process, or of an earlier one here, say nothing.
+    // Roster revisions are only meaningful within one process.
     auto known = request.roster_incarnation() == m_incarnation ? request.roster_revision() : 0;
     std::vector<Routing::RosterEntry> entries;
     auto& part = *snapshot.mutable_roster();
@@ -121,7 +120,7 @@
         part.set_packed(encodeRoster(entries));
 }
 
-// Hubs exchange loads among all hubs instead.
+// Hubs send their loads to all hubs with HubLoads instead.
 void SnapshotBuilder::addLoads(
     const std::string& peer, const Inner::Wire::KnowledgeAsk& request, Inner::Wire::Knowledge& snapshot)
 {
@@ -143,7 +142,7 @@
 {
     if (!m_parts.usage)
         return;
-    // Routers of an earlier version do not say their time.
+    // Routers of an earlier version do not send their time.
     if (request.own_time_ms())
         m_parts.usage->recordSubscriberTime(to.id, request.own_time_ms());
     m_parts.usage->receive(to, request.usage());
--- a/Source/RouteServing/Gateway/SnapshotBuilder.h
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.h
@@ -16,24 +16,24 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Builds the snapshots for a router's peers: what they requested, and news. What a peer has already, or what is in
-// flight to it, is left out.
+// Builds the snapshots for a router's peers: responses to requests, and notifications of changes. Omits what the peer
+// already has and what is in flight to it.
 //
-// Ages are read before the state: what they are sent with is then at least as new as they say. That something is sent
-// is decided and noted in one step, and before it is sent: of two snapshots at once one carries it, and the end of a
-// connection that carried it comes after the note. Safe to use from several threads.
+// Reads each age before the state that it describes, so the state is at least as recent as the age says. Marks the
+// configuration, the list of upstreams and the roster as sent under the lock and before sending. Therefore only one of
+// two concurrent snapshots carries them, and the end of the connection is always handled after the mark. Thread-safe.
 class SnapshotBuilder {
 public:
     struct Parts {
         const PlatformWatcher& watcher;
         const Routing::FreshnessLease& lease;
         const Routing::UpstreamRegistry& registry;
-        std::mutex& mutex; // Guards the rest. The caller must not hold it.
+        std::mutex& mutex; // Guards `member` and `loads`. The caller must not hold it.
         Routing::FleetMember& member;
         Routing::PeerLoads& loads;
-        UsageExchange* usage { nullptr }; // Null where nobody reports usage. Locks itself.
-        SuspectExchange* suspects { nullptr }; // Null where none are passed on. Locks itself.
-        QuotaExchange& quotas; // Locks itself.
+        UsageExchange* usage { nullptr }; // Null if usage is not reported. Thread-safe.
+        SuspectExchange* suspects { nullptr }; // Null if suspects are not exchanged. Thread-safe.
+        QuotaExchange& quotas; // Thread-safe.
     };
 
     SnapshotBuilder(const Parts& parts, uint64_t incarnation)
@@ -42,16 +42,17 @@
     {
     }
 
-    // The response to a request, whose loads are recorded.
+    // Builds the response to a request, and records the loads, usage, suspects and quotas that the request carries.
     Inner::Wire::Knowledge buildResponse(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&);
-    // What a subscriber should hear before it asks: that there is news, and the configuration if it lacks that.
-    // `knownVersion`: what it said last.
+    // Builds a notification of a change, with the configuration if the subscriber has an older version. `knownVersion`
+    // is the version in the subscriber's last request.
     Inner::Wire::Knowledge buildNotification(const std::string& subscriber, uint64_t knownVersion);
-    // Part of a planned stop: subscribers are told to request snapshots elsewhere.
+    // Called in a planned stop. Later snapshots carry the leaving flag, and subscribers switch to another hub.
     void leave() { m_isLeaving = true; }
 
 private:
-    // Whether the whole fleet is known.
+    // Records the sender's state and returns whether this router has the complete roster. The caller must hold the
+    // lock.
     bool recordSender(const Inner::Mesh::Sender&, const Inner::Wire::KnowledgeAsk&, Common::TimePoint now);
     void addRoster(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
     void addConfiguration(const std::string& peer, uint64_t knownVersion, Inner::Wire::Knowledge&);
@@ -59,16 +60,16 @@
     std::shared_ptr<const std::string> packedUpstreams(uint64_t digest);
     void addLoads(const std::string& peer, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
     void addUsage(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
-    // Hubs tell each other instead.
+    // Does nothing for hubs, which exchange suspects with HubLoads.
     void addSuspects(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
-    // Hubs tell each other instead.
+    // Does nothing for hubs, which exchange quotas with HubLoads.
     void addQuotas(const Inner::Mesh::Sender& to, const Inner::Wire::KnowledgeAsk&, Inner::Wire::Knowledge&);
     std::shared_ptr<const std::string> packedConfiguration(const Configuration&);
 
     Parts m_parts;
     const uint64_t m_incarnation; // Of this router's process.
     std::atomic<bool> m_isLeaving { false };
-    std::mutex m_packedMutex; // Guards the next four.
+    std::mutex m_packedMutex; // Guards the members below.
     uint64_t m_packedConfigurationVersion { 0 }; // Of the configuration in `m_packedConfiguration`.
     std::shared_ptr<const std::string> m_packedConfiguration;
     uint64_t m_packedUpstreamsDigest { 0 }; // Of the list in `m_packedUpstreams`.
--- a/Source/RouteServing/Gateway/SnapshotCodec.h
+++ b/Source/RouteServing/Gateway/SnapshotCodec.h
@@ -11,38 +11,37 @@
 #include <string>
 #include <vector>
 
-// Encodes and decodes the messages of PeerExchange (Inner/Inner.proto). The messages keep the names of earlier
-// versions: `Knowledge` is a snapshot, `KnowledgeAsk` the request for one; `writers` are decode-heavy generations,
-// `unread_tokens` the tokens that wait for their prefill.
+// Encodes and decodes the messages of PeerExchange (Inner/Inner.proto). The message and field names are older than the
+// terms of the code: `Knowledge` is a snapshot, `KnowledgeAsk` is a request for one, `writers` counts decode-heavy
+// generations and `unread_tokens` counts tokens that wait for prefill.
 namespace Brassladder::RouteServing::Gateway {
 
-// An age in milliseconds. One that does not fit, such as that of something never confirmed, becomes the largest that
-// fits.
+// Returns the age in milliseconds, clamped to the range of the type. The maximum stands for "never confirmed".
 uint32_t encodeAge(Common::Milliseconds);
-// The moment that something of this age was confirmed at, when it was that old at `now`. The earliest time for what was
-// never confirmed: it must not count as confirmed long ago.
+// Returns the time of confirmation, for an age that counts back from `now`. The maximum age decodes to
+// TimePoint::min(): it means "never confirmed", not "confirmed long ago".
 Common::TimePoint decodeAge(uint32_t ageMs, Common::TimePoint now);
 
-// Upstreams without requests are left out.
+// Omits upstreams without requests.
 void encodeLoads(const Routing::LoadsByUpstream&, Inner::Wire::LoadTable&);
-// Empty, with a log line, when the columns have different lengths.
+// Logs a warning and returns an empty result if the columns have different lengths.
 Routing::LoadsByUpstream decodeLoads(const Inner::Wire::LoadTable&);
 
 void encodeUpstream(const Routing::UpstreamRecord&, Inner::Wire::UpstreamEntry&);
-// A whole list, deflated.
+// Encodes a complete list and compresses it.
 std::string packUpstreams(std::span<const Routing::UpstreamRecord>);
-// None when the snapshot carries no list, or an unreadable one. Entries without a usable address are left out, with a
-// log line.
+// Returns nullopt if the snapshot carries no list, or an unreadable one. Skips entries with an invalid address. Logs a
+// warning for each of these errors.
 std::optional<std::vector<Routing::UpstreamRecord>> decodeUpstreams(const Inner::Wire::Knowledge&);
 
-// Entries of the roster, deflated: ids and addresses are much alike, so that little is left of them.
+// Encodes roster entries and compresses them.
 std::string encodeRoster(std::span<const Routing::RosterEntry>);
-// Entries without a usable address are left out, with a log line; none at all, also with one, when the bytes are
-// unreadable or columns have different lengths.
+// Skips entries with an invalid address. Returns an empty list if the bytes are unreadable or the columns have
+// different lengths. Logs a warning in both cases.
 std::vector<Routing::RosterEntry> decodeRoster(std::string_view packed);
 
-// The text of the configuration, plain or packed; empty when the snapshot carries none. An error tells why a packed one
-// is unreadable.
+// Returns the text of the configuration, plain or packed, or an empty string if the snapshot carries none. Returns an
+// error if a packed text is unreadable.
 Common::Result<std::string> decodeConfiguration(const Inner::Wire::Knowledge&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/UsageCodec.h
+++ b/Source/RouteServing/Gateway/UsageCodec.h
@@ -11,7 +11,8 @@
 namespace Brassladder::RouteServing::Gateway {
 
 void encodeUsage(std::span<const Duties::RouterUsage>, Inner::Wire::UsageTable&);
-// A router whose columns have different lengths or that names an unknown workspace is left out, with a log line.
+// Skips a router, with a warning in the log, if its columns have different lengths, its id is empty, or a workspace
+// index is out of range.
 std::vector<Duties::RouterUsage> decodeUsage(const Inner::Wire::UsageTable&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/UsageExchange.h
+++ b/Source/RouteServing/Gateway/UsageExchange.h
@@ -15,38 +15,38 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Counts the requests that begin to run, and passes the fleet's counts on with the messages of PeerExchange: from a
-// router to its hub, from a hub to the store reader that it asks, and from there to the holder of the duties. Safe to
-// use from several threads.
+// Counts the requests that begin to run, and exchanges usage counts with the messages of PeerExchange. Counts flow from
+// a router to its hub, from a hub to its store reader, and from there to the holder of the duties. Thread-safe.
 class UsageExchange {
 public:
-    using SystemClock = std::function<Common::Milliseconds()>; // The time of day, since the start of 1970.
+    using SystemClock = std::function<Common::Milliseconds()>; // Wall-clock time since the Unix epoch.
 
     UsageExchange(Duties::RouterProcess self, Duties::UsageTimes, SystemClock);
 
     const Duties::RouterProcess& self() const { return m_self; }
-    // A request of the workspace began to run.
+    // Counts one request of the workspace that began to run.
     void count(std::string_view workspace);
-    // Nothing more will be counted: a planned stop is at its end.
+    // Called at the end of a planned stop. No request is counted afterwards.
     void finish();
 
-    // Adds what the peer lacks; false when there is nothing.
+    // Adds the changes that the peer has not received. Returns false if there are none, or if earlier changes are in
+    // flight.
     bool addChanges(const std::string& peer, Inner::Wire::UsageTable&);
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::UsageTable&);
-    // Up to which revision of which process of the peer this router has its changes, to tell it.
+    // Returns the process of the peer and the revision up to which this router has received its changes.
     Routing::RosterPosition received(const std::string& peer) const;
-    // The peer has this router's changes up to that revision.
+    // Records that the peer has this router's changes up to the revision.
     void acknowledge(const std::string& peer, uint64_t revision);
-    // The connection to the peer has ended.
+    // Called when the connection to the peer has ended. Unacknowledged changes are sent again.
     void forgetSent(const std::string& peer);
 
-    // The clocks of the fleet (Duties/FleetClock.h), in milliseconds since the start of 1970.
+    // The fleet clock (Duties/FleetClock.h), in milliseconds since the Unix epoch.
     uint64_t ownTime() const;
     uint64_t agreedTime() const;
     void recordSubscriberTime(const std::string& peer, uint64_t own);
     void recordHubTime(uint64_t agreed, Common::TimePoint requestedAt);
 
-    // Calls the function with the ledger and the agreed time, under the lock.
+    // Calls the function with the ledger and the agreed time while holding the lock.
     template <typename Function> auto inspect(const Function& function)
     {
         std::lock_guard lock(m_mutex);
@@ -55,13 +55,14 @@
     }
 
 private:
-    // Follows the clock. The caller holds the lock.
+    // Advances the clock and the ledger to the current window, and returns the agreed time. The caller must hold the
+    // lock.
     Common::Milliseconds advanceClock();
 
     const Duties::RouterProcess m_self;
     const Duties::UsageTimes m_times;
     SystemClock m_systemClock;
-    mutable std::mutex m_mutex; // Guards the rest.
+    mutable std::mutex m_mutex; // Guards the members below.
     Duties::FleetClock m_clock;
     Duties::UsageLedger m_ledger;
     std::map<std::string, Routing::RevisionCursor> m_sent; // By peer.
