--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -15,14 +15,14 @@
 using Routing::SendQuotas;
 using namespace std::chrono_literals;
 
-// A hub that was not heard for so long assigns no limits: ten steps of the exchange.
+// A hub that has sent no message for this long is not chosen to assign limits. Ten exchange intervals.
 static constexpr Common::Milliseconds hubTimeout = 1000ms;
-// A step that comes so late comes after a pause.
+// A longer gap between two steps means that the process was paused.
 static constexpr Common::Milliseconds maxStepGap = 500ms;
-// What a message between routers takes at most unless one of them is paused or cut off. Subtracted from times that come
-// with a message: passed on in a circle they would otherwise rise on and on.
+// Assumed upper bound for the transit time of a message between routers. It is subtracted from the time of receipt
+// before ages are decoded. Otherwise times that routers forward to each other in a circle would drift forward.
 static constexpr Common::Milliseconds maxTransitTime = 250ms;
-static constexpr double limitUnitsPerRequestPerSecond = 1000; // In one request a second; see roundedLimit.
+static constexpr double limitUnitsPerRequestPerSecond = 1000; // Wire format; see also roundedLimit.
 
 // Hubs
 
@@ -79,7 +79,7 @@
     distributePool(known.key, state, now);
 }
 
-// Gives out what the limit allows to the hubs that ask; this hub asks itself.
+// Assigns the available requests of the limit to the hubs that request them, including this hub.
 void QuotaExchange::assignLimit(
     HubLimitState& state, const Routing::UpstreamLimit& limit, double reachableShare, Common::TimePoint now)
 {
@@ -92,7 +92,7 @@
     state.pool.add(static_cast<unsigned>(state.hubAssigner.granted(m_self, m_incarnation) - before), now);
 }
 
-// Divides what this hub was given; its own part is valid from now on.
+// Divides the pool between this hub and its subscribers. The validity of this hub's own quotas starts now.
 void QuotaExchange::distributePool(Key key, HubLimitState& state, Common::TimePoint now)
 {
     auto& received = m_received[m_self].counts[key];
@@ -117,7 +117,7 @@
 
 // Messages
 
-// Ages go as one more than they are, so that what never was takes a single byte.
+// Encodes an age plus one. Zero stands for "never" and takes a single byte.
 static uint32_t encodeTime(Common::TimePoint at, Common::TimePoint now)
 {
     if (at == Common::TimePoint::min())
@@ -174,7 +174,7 @@
     return static_cast<unsigned>(newRequests);
 }
 
-// What was received of an earlier process of this router says nothing of this one.
+// A total that an earlier process of this router received does not apply to this one, so it counts as 0.
 Routing::QuotaAssigner::Demand QuotaExchange::demandOf(
     const Inner::Mesh::Sender& from, const QuotaTable& table, int row) const
 {
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -14,12 +14,12 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Passes on, with the messages of PeerExchange, what routers know of limits that upstreams have named for all of them
-// together, and who may send how much there: routers ask their hub, hubs ask the one that assigns an upstream's limit
-// (Routing/QuotaAssigner.h). Adds nothing to a message while no limit is known. Safe to use from several threads.
+// Exchanges upstream limits and send quotas between routers, as part of the messages of PeerExchange. A limit applies
+// to all routers together. Routers request quotas from their hub, and hubs request them from the hub that assigns the
+// limit of the upstream (Routing/QuotaAssigner.h). Adds nothing to a message while no limit is known. Thread-safe.
 class QuotaExchange {
 public:
-    // `incarnation`: of this router's process.
+    // `incarnation` identifies this router's process.
     QuotaExchange(Routing::SendQuotas& quotas, std::string self, uint64_t incarnation)
         : m_quotas(quotas)
         , m_self(std::move(self))
@@ -27,42 +27,44 @@
     {
     }
 
-    // A hub assigns the limits that are its own, and divides what it was given among itself and its subscribers; called
-    // at each step of the exchange. `hubs`: the other hubs. `reachableShare`: of the routers of this fleet, how many
-    // this one hears, in [0, 1]: parts of a fleet that is cut in two use no more of a limit than their share.
+    // Performs one step of the exchange at a hub: assigns the limits that this hub owns, and divides the quotas that it
+    // was granted between itself and its subscribers. `hubs` are the other hubs. `reachableShare` is the share of the
+    // fleet's routers that this hub receives loads from, in [0, 1]. It scales the limit, so the parts of a partitioned
+    // fleet do not exceed the limit together.
     void stepAsHub(std::span<const std::string> hubs, double reachableShare, Common::TimePoint now);
     void stepAsSubscriber(Common::TimePoint now);
 
-    // To a hub, what this router could use; to a subscriber, what it was allowed; between hubs, both.
+    // Adds the quota table to a message: in a request the wanted numbers, in a snapshot the granted totals, and between
+    // hubs both.
     void addTo(Inner::Wire::KnowledgeAsk&, const std::string& hub, Common::TimePoint now);
     void addTo(Inner::Wire::Knowledge&, const Inner::Mesh::Sender& subscriber, Common::TimePoint now);
     void addTo(Inner::Wire::HubLoads&, const std::string& hub, Common::TimePoint now);
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::KnowledgeAsk&, Common::TimePoint now);
-    // `requestedAt`: when the request was sent that this answers.
+    // `requestedAt` is the time when the request was sent that this snapshot answers.
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::Knowledge&, Common::TimePoint requestedAt);
     void receive(const Inner::Mesh::Sender&, const Inner::Wire::HubLoads&, Common::TimePoint now);
 
 private:
     using Key = uint32_t; // Routing::limitKey.
-    // What this router has received of one other process, by upstream.
+    // Total quotas received from one other process, by upstream.
     struct Received {
         uint64_t incarnation { 0 };
         std::map<Key, uint64_t> counts;
     };
-    // One upstream's limit at a hub.
+    // The state of one upstream's limit at a hub.
     struct HubLimitState {
         Routing::QuotaOwnership ownership;
-        std::string owner; // The hub that assigns the limit, as far as this one knows.
+        std::string owner; // The hub that assigns the limit, according to this hub.
         Routing::QuotaBucket source;
-        Routing::QuotaAssigner hubAssigner; // To whom the owner gives.
-        Routing::QuotaPool pool; // Given to this hub.
-        Routing::QuotaAssigner routerAssigner; // To whom this hub gives: its subscribers and itself.
+        Routing::QuotaAssigner hubAssigner; // Used by the owner: grants quotas to hubs.
+        Routing::QuotaPool pool; // Granted to this hub and not passed on yet.
+        Routing::QuotaAssigner routerAssigner; // Grants quotas to this hub and its subscribers.
     };
 
     // Another hub.
     struct HubContact {
         uint64_t incarnation { 0 };
-        Common::TimePoint lastReceived {}; // Last.
+        Common::TimePoint lastReceived {};
     };
 
     bool hasKnownLimits() const { return m_quotas.isActive(); }
@@ -71,26 +73,27 @@
     void stepAsHub(const Routing::SendQuotas::KnownLimit&, double reachableShare, Common::TimePoint now);
     void assignLimit(HubLimitState&, const Routing::UpstreamLimit&, double reachableShare, Common::TimePoint now);
     void distributePool(Key, HubLimitState&, Common::TimePoint now);
-    // Whether this router was not at work lately: what was given to it meanwhile may be too old.
+    // Whether this process was paused recently. Quotas that were granted to it during the pause may have expired.
     bool wasRecentlyPaused(Common::TimePoint now) const;
 
     Inner::Wire::QuotaTable tableFor(const std::string& receiver) const;
     static void addLimit(const Routing::SendQuotas::KnownLimit&, Inner::Wire::QuotaTable&, Common::TimePoint now);
-    // Merges the limits of a table whose ages counted up to `sent`, at the latest.
+    // Merges the limits of a table. Its ages are relative to `sent`, the earliest time at which the table may have been
+    // sent. Returns false if the table is malformed.
     bool mergeLimits(const Inner::Wire::QuotaTable&, Common::TimePoint sent);
     uint64_t received(const std::string& from, Key) const;
-    // The requests of a row that are new to this router.
+    // Records the granted total of a row, and returns how many of these requests were not received before.
     unsigned recordGranted(const Inner::Mesh::Sender&, const Inner::Wire::QuotaTable&, int row);
     Routing::QuotaAssigner::Demand demandOf(const Inner::Mesh::Sender&, const Inner::Wire::QuotaTable&, int row) const;
 
     Routing::SendQuotas& m_quotas;
     const std::string m_self;
     const uint64_t m_incarnation;
-    std::mutex m_mutex; // Guards the rest.
-    std::map<Key, HubLimitState> m_limitStates; // Empty on other routers.
-    std::map<std::string, Received> m_received; // By the peer that gave.
+    std::mutex m_mutex; // Guards the members below.
+    std::map<Key, HubLimitState> m_limitStates; // Empty if this router is not a hub.
+    std::map<std::string, Received> m_received; // By the id of the granting peer.
     std::map<std::string, HubContact> m_hubContacts;
-    std::vector<std::string> m_reachableHubs; // That this hub hears, itself included.
+    std::vector<std::string> m_reachableHubs; // Hubs that sent a message recently, and this hub.
     Routing::QuotaOwnership::StableSince m_since;
     std::optional<Common::TimePoint> m_lastStep;
 };
