--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -11,7 +11,7 @@
 #include <gtest/gtest.h>
 #include <thread>
 
-// To whom a hub sends the configuration, and how often.
+// Which peers a hub sends the configuration to, and how often.
 namespace Brassladder::RouteServing::Gateway {
 
 using boost::asio::ip::tcp;
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Waits for a condition; false after ten seconds without it, which a test that passes does not wait for.
+// Waits up to ten seconds for the condition. Returns false if it did not become true.
 bool eventually(const std::function<bool()>& condition)
 {
     for (int step = 0; step < 2000; ++step) {
@@ -31,7 +31,7 @@
     return false;
 }
 
-// A configuration's text is its version, with enough behind it to be found in a stream of bytes.
+// Starts with the version, which parse() reads. The rest makes the text unique in a byte stream.
 std::string configurationText(uint64_t version)
 {
     return std::to_string(version) + " is the version of this configuration";
@@ -49,8 +49,7 @@
     return { { id, "shop", { "127.0.0.1", 9 }, "north", 4, false } };
 }
 
-// A router that answers its peers and reads no store: the test says what it knows. Never destroyed, as its connections
-// are not.
+// A router that answers peers and reads no store; the test sets its state. Never destroyed, like its connections.
 struct Hub {
     explicit Hub(uint64_t version)
         : exchange(testRuntime(), { {}, watcher, lease, registry }, "hub", "key")
@@ -76,7 +75,7 @@
     Common::Endpoint endpoint;
 };
 
-// One life of a subscriber that keeps what it gets. Never destroyed, as its connections are not.
+// One process of a subscriber; it records the snapshots that it receives. Never destroyed, like its connections.
 class Subscriber {
 public:
     explicit Subscriber(const Hub& hub, uint64_t incarnation = 1)
@@ -114,7 +113,7 @@
     {
         return count([&](const auto& snapshot) { return snapshot.nonce() == m_nonce; });
     }
-    // Items keep their order: what was sent before this response has been received as well.
+    // Items are delivered in order: everything that was sent before this response has been received as well.
     bool requestAndWait(uint64_t knownVersion)
     {
         request(knownVersion);
@@ -137,7 +136,7 @@
     }
 
     bool readsPacked { false };
-    Common::Endpoint endpoint; // Where the hub sends to.
+    Common::Endpoint endpoint; // The hub sends its responses here.
 
 private:
     size_t count(const std::function<bool(const Knowledge&)>& predicate)
@@ -152,7 +151,7 @@
     std::atomic<uint64_t> m_nonce { 0 };
 };
 
-// Takes the hub's connections and reads bytes, no messages.
+// Accepts the hub's connections and reads raw bytes without decoding messages.
 class RawPeer {
 public:
     RawPeer()
@@ -162,7 +161,7 @@
     }
     Common::Endpoint endpoint() const { return { "127.0.0.1", m_acceptor.local_endpoint().port() }; }
 
-    // Goes on requesting, as routers do, until the text has come over one connection. That is left open.
+    // Repeats the request, as routers do, until the text arrives over one connection, and leaves the connection open.
     bool receives(Subscriber& subscriber, const std::string& text)
     {
         m_received.clear();
@@ -207,23 +206,22 @@
 
 } // namespace
 
-// A configuration may have thousands of routes, and upstreams come and go all day: with each of their changes it was
-// sent to every subscriber.
+// Guards against sending the configuration, which may be large, with every change of upstreams.
 TEST(PeerExchangeSnapshotTest, AChangeOfUpstreamsDoesNotSendTheConfigurationAgain)
 {
     auto& hub = *new Hub(1);
     auto& peer = *new Subscriber(hub);
     ASSERT_TRUE(peer.requestAndWait(1));
     ASSERT_TRUE(eventually([&, step = 0]() mutable {
-        // As routers do, it goes on requesting, and so it stays a subscriber.
+        // A subscriber must keep requesting, or the hub stops notifying it.
         peer.request(1);
         hub.setUpstream("w" + std::to_string(++step));
         return peer.notifications() >= 3;
-    })) << "it hears that there is news";
-    EXPECT_EQ(peer.copies(1), 0U) << "which is not the configuration";
+    })) << "the subscriber is notified of changes";
+    EXPECT_EQ(peer.copies(1), 0U) << "a notification must not carry a known configuration";
 }
 
-// The requests that follow do not have it yet, as the first copy may be on a slow link.
+// Later requests still name the old version while the first copy is in flight.
 TEST(PeerExchangeSnapshotTest, ANewVersionIsSentOnce)
 {
     auto& hub = *new Hub(1);
@@ -242,14 +240,14 @@
     auto& peer = *new Subscriber(hub);
     ASSERT_TRUE(peer.requestAndWait(0));
     ASSERT_TRUE(peer.requestAndWait(0));
-    EXPECT_EQ(peer.copies(1), 1U) << "the first copy is on its way";
+    EXPECT_EQ(peer.copies(1), 1U) << "the first copy is still in flight";
     auto& restartedPeer = *new Subscriber(hub, 2);
     restartedPeer.endpoint = peer.endpoint;
     restartedPeer.request(0);
-    EXPECT_TRUE(eventually([&] { return peer.copies(1) == 2; })) << "what another life was sent is gone";
+    EXPECT_TRUE(eventually([&] { return peer.copies(1) == 2; })) << "the restarted process has received no copy yet";
 }
 
-// The hub cannot know whether what it wrote arrived; that the connection ended is all that it hears.
+// The hub receives no acknowledgement of a delivery; only the end of the connection shows that a copy may be lost.
 TEST(PeerExchangeSnapshotTest, AConfigurationThatWasLostWithItsConnectionIsSentAgain)
 {
     auto& hub = *new Hub(1);
@@ -261,7 +259,7 @@
     EXPECT_TRUE(raw.receives(peer, configurationText(1)));
 }
 
-// Routers of two releases work beside each other during an update.
+// During an update, routers of two releases run side by side.
 TEST(PeerExchangeSnapshotTest, TheConfigurationIsPackedOnlyForPeersThatSupportIt)
 {
     auto& hub = *new Hub(1);
@@ -289,7 +287,8 @@
     EXPECT_TRUE(eventually([&] { return hub.watcher.activeVersion() == 3; }));
 }
 
-// Neither damaged bytes nor few ones that would fill the memory replace what is in force, or end the exchange.
+// Damaged bytes, and small inputs that decompress to more than a frame, must not replace the active configuration or
+// stop the exchange.
 TEST(PeerExchangeSnapshotTest, AnUnreadableConfigurationIsIgnored)
 {
     auto& hub = *new Hub(1);
--- a/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A watcher that nobody runs, and how many texts it has decoded. A text is just its version.
+// A watcher whose fibers do not run. Counts the decoded texts; a text consists of its version.
 struct WatcherFixture {
     static ConfigurationPtr decode(std::string_view text)
     {
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// A peer may send the version in force again: after a lost request, or beside another peer that sent it first.
+// A peer may send the active version again, after a lost request or because another peer sent it first.
 TEST(PlatformWatcherVersionTest, OnlyANewerConfigurationIsDecoded)
 {
     WatcherFixture fixture;
@@ -46,14 +46,14 @@
     EXPECT_EQ(fixture.decoded, 1U);
     fixture.watcher.updateConfigurationFromPeer(7, "7", confirmed);
     fixture.watcher.updateConfigurationFromPeer(5, "5", confirmed);
-    EXPECT_EQ(fixture.decoded, 1U) << "they are in force, or older";
+    EXPECT_EQ(fixture.decoded, 1U) << "these versions are active already or older";
     EXPECT_EQ(fixture.changes, 1U);
     fixture.watcher.updateConfigurationFromPeer(9, "9", confirmed);
     EXPECT_EQ(fixture.watcher.configuration()->table.version(), 9U);
     EXPECT_EQ(fixture.decoded, 2U);
 }
 
-// The bytes that say nothing new still confirm what is in force.
+// A text of the active version is not decoded, but still confirms the configuration.
 TEST(PlatformWatcherVersionTest, AVersionThatIsKnownIsConfirmedWithoutDecoding)
 {
     WatcherFixture fixture;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -13,13 +13,14 @@
 using Common::TimePoint;
 
 static constexpr auto stepInterval = 100ms;
-// How often a router without requests looks whether there are some.
+// Interval at which a router without demand checks whether it has some.
 static constexpr auto idlePollInterval = 20ms;
-// How long an answer of the upstream takes.
+// Response time of the upstream.
 static constexpr auto serviceTime = 20ms;
-// Until routers notice that another one does not answer.
+// Routers exclude a router that stays frozen for longer than this.
 static constexpr auto failureDetectionTime = 600ms;
-// The users' rule: for how long a fault excuses a router, and from when on an answer counts.
+// The operators' rule counts arrivals in any countingWindow. It ignores those within faultGracePeriod after a fault of
+// the router, and those less than limitGracePeriod after the router received the limit.
 static constexpr auto faultGracePeriod = 3000ms;
 static constexpr auto limitGracePeriod = 500ms;
 static constexpr auto countingWindow = 4000ms;
@@ -204,7 +205,7 @@
 void QuotaFleet::scheduleResponse(size_t index, TimePoint sent)
 {
     schedule(sent + serviceTime, [this, index, sent, incarnation = m_routers[index].incarnation] {
-        // Named when the answer is written; it takes a while to come.
+        // The response states the limit as of the time when it is written.
         auto limit = m_limit;
         if (m_routers[index].incarnation != incarnation)
             return;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
@@ -14,53 +14,54 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// A fleet of routers before one upstream that names a limit, on virtual time: the product's quotas and their exchange,
-// with messages that take a while and routers that freeze, end, or are cut off from the others.
+// Simulates, on virtual time, a fleet of routers that send to one upstream with a limit. Uses the product's SendQuotas
+// and QuotaExchange. Messages have latency, and routers may freeze, restart or be partitioned.
 class QuotaFleet {
 public:
     struct Options {
         size_t routers { 7 };
-        double requestsPerSecond { 4 }; // That could go to the upstream, of each router.
+        double requestsPerSecond { 4 }; // Demand of each router.
         unsigned seed { 1 };
-        std::vector<double> demands; // By router, in place of `requestsPerSecond`.
-        // In place of the product's way, for comparisons: may this router send now?
+        std::vector<double> demands; // By router, instead of `requestsPerSecond`.
+        // Decides instead of SendQuotas whether the router may send now. Used for comparisons.
         std::function<bool(size_t router, Common::TimePoint now)> admissionOverride;
     };
 
     explicit QuotaFleet(Options);
 
-    // What the upstream names from now on; none: no limit.
+    // Sets the limit that the upstream states from now on. nullopt means no limit.
     void setLimit(std::optional<double> requestsPerSecond) { m_limit = requestsPerSecond; }
     void runFor(Common::Milliseconds);
     Common::TimePoint now() const { return m_now; }
 
-    // From now on, of each router; in requests a second.
+    // Sets the demand of each router from now on, in requests per second.
     void setDemand(double requestsPerSecond);
-    // A request comes to the router.
+    // Simulates the arrival of a request at the router.
     void request(size_t router);
 
-    // A frozen router does nothing, and then what has come meanwhile.
+    // Suspends the router. It processes its pending events afterwards.
     void freeze(size_t router, Common::Milliseconds);
-    // It ends at once, and another one with its id starts.
+    // Ends the router's process and starts another one with the same id.
     void restart(size_t router);
-    // Messages between the two groups are lost.
+    // Drops all messages between these routers and the others for the given time.
     void partition(std::span<const size_t> routers, Common::Milliseconds);
 
     struct Arrival {
         Common::TimePoint at;
         size_t router { 0 };
-        bool limitWasKnown { false }; // Half a second before, the router had passed on an answer that names a limit.
-        bool hadRecentFault { false }; // The router was restarted, frozen or cut off lately.
+        bool limitWasKnown { false }; // The router received the limit at least 500 ms earlier.
+        bool hadRecentFault { false }; // The router was restarted, frozen or partitioned less than 3 s earlier.
     };
     const std::vector<Arrival>& arrivals() const { return m_arrivals; }
-    // The most arrivals in 4 s, of those from `from` on: that the users' rule counts, or all.
+    // Which arrivals are counted. ByRule: only those with `limitWasKnown` and without `hadRecentFault`.
     enum class Counted : uint8_t { ByRule, All };
+    // Returns the largest number of arrivals within any 4 s since `from`.
     size_t maxArrivalsInWindow(Common::TimePoint from, Counted counted = Counted::ByRule) const;
     size_t limitedRouters() const;
-    // The values that routers take the limit for.
+    // Returns the distinct values of the limit that routers have.
     std::set<double> knownLimits() const;
     size_t requests() const { return m_requests; }
-    uint64_t bytes() const { return m_bytes; } // Of all quota tables.
+    uint64_t bytes() const { return m_bytes; } // Total size of all quota tables.
 
 private:
     struct Router {
@@ -76,7 +77,8 @@
     using Event = std::function<void()>;
 
     void schedule(Common::TimePoint when, Event event) { m_events.emplace(when, std::move(event)); }
-    // Does it now, or when the router is awake again; not at all when its process has ended meanwhile.
+    // Runs the event at `when`, or as soon as the router is no longer frozen. Drops the event if the router was
+    // restarted in the meantime.
     void scheduleAtRouter(size_t router, Common::TimePoint when, Event);
     double uniformRandom() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     Common::Duration latency() { return std::chrono::microseconds(300 + m_random() % 3000); }
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -7,16 +7,16 @@
 #include <numeric>
 #include <rapidcheck.h>
 
-// A limit that an upstream names for all routers together, kept by a whole fleet whatever happens to its routers.
+// A fleet keeps the limit that an upstream states for all routers together, whatever faults its routers have.
 namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
 
 namespace {
 
-// The users' rule: in any 4 s, one and a half times what the limit allows and five requests.
+// The operators' rule: in any 4 s, at most 1.5 times the limit plus five requests.
 size_t allowedInWindow(double requestsPerSecond) { return static_cast<size_t>(1.5 * 4 * requestsPerSecond) + 5; }
-// Their bound for routers in touch.
+// Time after which connected routers must keep a new limit.
 constexpr auto settlingTime = 3s;
 
 struct FleetSize {
@@ -57,7 +57,7 @@
     }
 }
 
-// What an upstream takes is used: it would rather not stand idle, and callers would rather be served.
+// Guards against quotas that are lost or withheld: the upstream has capacity and callers wait.
 TEST(QuotaFleetTest, TheFleetUsesMostOfALimit)
 {
     for (const auto& size : fleetSizes) {
@@ -76,7 +76,7 @@
     }
 }
 
-// Also of nothing at all: a request now and then tells that it is over.
+// Also holds for a limit of zero: routers send a probe occasionally and detect the end of the limit.
 TEST(QuotaFleetTest, ALimitEndsOnceTheUpstreamNamesNone)
 {
     for (double limit : { 0.0, 1.0, 30.0 }) {
@@ -90,11 +90,12 @@
         EXPECT_EQ(fleet.limitedRouters(), 0U) << limit;
         auto from = fleet.now();
         fleet.runFor(2s);
-        EXPECT_GT(arrivalsAfter(fleet, from), 60U) << "they send as before";
+        EXPECT_GT(arrivalsAfter(fleet, from), 60U) << "routers send without a limit again";
     }
 }
 
-// Whether it was told by the upstream or by a peer: two values would void each other's quotas again and again.
+// Guards against rounding differences between a limit from a response and one from a peer: routers with different
+// values would invalidate each other's quotas repeatedly.
 TEST(QuotaFleetTest, AllRoutersStoreTheSameLimitValue)
 {
     for (double limit : { 10.0 / 3, 0.29, 0.0004, 12.3456789, 1e9 }) {
@@ -106,7 +107,7 @@
     }
 }
 
-// Each router is allowed a request, has none, and then all have many at once.
+// Guards against a burst: routers are granted quotas that they do not use, and then all have high demand at once.
 TEST(QuotaFleetTest, UnusedQuotasDoNotAccumulate)
 {
     QuotaFleet fleet({ 88, 4, 1 });
@@ -127,7 +128,7 @@
     EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(30));
 }
 
-// Both parts have a hub that assigns the limit: each its share of it.
+// Each part has a hub that assigns the limit, and must use only its share.
 TEST(QuotaFleetTest, APartitionedFleetKeepsTheLimit)
 {
     for (size_t isolatedRouters : { 1, 3, 4 }) {
@@ -139,11 +140,11 @@
         fleet.partition(routerRange(0, isolatedRouters), 6s);
         fleet.runFor(10s);
         EXPECT_LE(fleet.maxArrivalsInWindow(named, QuotaFleet::Counted::All), allowedInWindow(30))
-            << "those that are cut off counted as well";
+            << "including arrivals from isolated routers";
     }
 }
 
-// Routers that freeze, end and start, fleets that fall into parts, limits that rise, fall and end.
+// Random freezes, restarts, partitions and changes of the limit.
 TEST(QuotaFleetTest, NoWindowExceedsALimitUnderRandomFaults)
 {
     bool holds = rc::check("limits hold", [] {
@@ -188,7 +189,6 @@
     EXPECT_TRUE(holds);
 }
 
-// Nothing is added to any message while no limit is named.
 TEST(QuotaFleetTest, WithoutALimitNoQuotaDataIsSent)
 {
     QuotaFleet fleet({ 88, 2, 1 });
--- a/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SnapshotCodecTest.cpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-// Found on reading: with an uptime of over 49 days, a lease that was never confirmed would have been told as fresh.
+// Guards against an overflow: after 49 days of uptime, a lease that was never confirmed would appear to be recent.
 TEST(SnapshotCodecTest, AnAgeOutOfRangeIsClamped)
 {
     EXPECT_EQ(encodeAge(1234ms), 1234U);
@@ -28,12 +28,12 @@
     Inner::Wire::Knowledge message;
     encodeLoads(loads, *message.mutable_loads());
     auto read = decodeLoads(message.loads());
-    ASSERT_EQ(read.size(), 1U) << "an upstream without requests is left out";
+    ASSERT_EQ(read.size(), 1U) << "upstreams without requests are omitted";
     EXPECT_EQ(read[7].prefillTokens, 900U);
     message.mutable_loads()->add_upstreams(9);
-    EXPECT_TRUE(decodeLoads(message.loads()).empty()) << "a row that lacks its numbers";
+    EXPECT_TRUE(decodeLoads(message.loads()).empty()) << "columns of different lengths are rejected";
 
-    EXPECT_FALSE(decodeUpstreams(message)) << "no list is not an empty list";
+    EXPECT_FALSE(decodeUpstreams(message)) << "a missing list must not decode to an empty one";
     message.set_has_upstreams(true);
     Routing::UpstreamRecord record { "u1", "shop", { "127.0.0.1", 9 }, "north", 6, true };
     encodeUpstream(record, *message.add_upstreams());
@@ -41,7 +41,7 @@
     EXPECT_EQ(decodeUpstreams(message), std::vector { record });
 }
 
-// 3,000 entries as the users' platform names them: 300 KB plain.
+// 3,000 entries of realistic ids and addresses take about 300 KB uncompressed.
 TEST(SnapshotCodecTest, APackedUpstreamListRoundTripsAndIsCompact)
 {
     std::vector<Routing::UpstreamRecord> records;
@@ -57,7 +57,7 @@
     EXPECT_EQ(decodeUpstreams(message), records);
     EXPECT_LT(message.packed_upstreams().size(), 60'000U);
     message.set_packed_upstreams(message.packed_upstreams().substr(0, 1000));
-    EXPECT_FALSE(decodeUpstreams(message)) << "an unreadable list is not an empty one";
+    EXPECT_FALSE(decodeUpstreams(message)) << "an unreadable list must not decode to an empty one";
     message.set_packed_upstreams(packUpstreams({}));
     EXPECT_EQ(decodeUpstreams(message)->size(), 0U);
 }
@@ -65,7 +65,7 @@
 TEST(SnapshotCodecTest, PlainAndPackedConfigurationsAreDecoded)
 {
     Inner::Wire::Knowledge message;
-    EXPECT_EQ(valueOf(decodeConfiguration(message)), "") << "it carries none";
+    EXPECT_EQ(valueOf(decodeConfiguration(message)), "") << "the message carries no configuration";
     message.set_configuration("plain");
     EXPECT_EQ(valueOf(decodeConfiguration(message)), "plain");
     message.clear_configuration();
@@ -74,10 +74,11 @@
     message.set_packed_configuration("damaged");
     EXPECT_TRUE(isError(decodeConfiguration(message)));
     message.set_packed_configuration(Common::deflate(std::string(Inner::maxFrameBytes + 1, 'x')));
-    EXPECT_TRUE(isError(decodeConfiguration(message))) << "few bytes that would fill the memory";
+    EXPECT_TRUE(isError(decodeConfiguration(message))) << "the decompressed size exceeds the frame limit";
 }
 
-// A router that took it for a confirmation of long ago read the store at once, instead of waiting for its hub.
+// Guards against routers that mistake "never confirmed" for a stale state and read the store instead of waiting for
+// their hub.
 TEST(SnapshotCodecTest, ANeverConfirmedAgeDecodesToTheEarliestTime)
 {
     Common::TimePoint now(1h);
@@ -93,7 +94,7 @@
     EXPECT_TRUE(decodeRoster("damaged").empty());
 }
 
-// Ids and addresses are much alike: a router that starts must not fill its seed's link.
+// A starting router must not saturate its seed's link with the roster.
 TEST(SnapshotCodecTest, ALargeRosterIsEncodedCompactly)
 {
     std::vector<Routing::RosterEntry> entries;
