--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -90,7 +90,7 @@
     const std::string m_self;
     const uint64_t m_incarnation;
     std::mutex m_mutex; // Guards the members below.
-    std::map<Key, HubLimitState> m_limitStates; // Empty if this router is not a hub.
+    std::map<Key, HubLimitState> m_limitStates; // Cleared at each step if this router is not a hub.
     std::map<std::string, Received> m_received; // By the id of the granting peer.
     std::map<std::string, HubContact> m_hubContacts;
     std::vector<std::string> m_reachableHubs; // Hubs that sent a message recently, and this hub.
