--- a/Source/RouteServing/Gateway/CrashDetector.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -12,13 +12,11 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// For how long attempts that end at one upstream count as ended together: in 27 crashes of engines all ended within
-// 2.4 ms, on seven routers (docs/incidents/crashing-request.md).
+// Attempts at one upstream that end within this time are attributed to the same cause.
 static constexpr Milliseconds groupingWindow = 25ms;
-// A process that is there accepts within this, one that is gone refuses: both take one way there and back, 3 ms within
-// a region. Chosen, not measured.
+// A live process accepts a connection, and a dead one refuses it, within one network round trip.
 static constexpr Milliseconds probeTimeout = 250ms;
-// Requests that one log line names. Chosen, not measured.
+// Requests that one log line lists.
 static constexpr size_t maxLoggedRequests = 8;
 
 static std::string_view name(DisconnectCause cause)
--- a/Source/RouteServing/Gateway/CrashDetector.h
+++ b/Source/RouteServing/Gateway/CrashDetector.h
@@ -10,34 +10,34 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Why attempts at an upstream ended.
+// Why attempts at an upstream ended early.
 enum class DisconnectCause : uint8_t {
-    Crash, // Its process is gone, unannounced.
-    PlannedEnd, // It was leaving, or not listed any more.
-    Alive, // It takes connections: a reset, a lost answer, a connection that had been idle for too long.
-    Unknown, // Nothing comes back: it may be cut off, frozen or without power.
+    Crash, // The process ended without notice: its address refuses connections.
+    PlannedEnd, // The upstream was leaving, or was no longer listed.
+    Alive, // The upstream accepts connections: a reset, a lost response or an idle timeout.
+    Unknown, // Connecting fails otherwise: a partition, a frozen process or a power loss.
 };
 
-// Finds out whether an upstream has crashed when attempts there ended without a response: it connects once to the
-// address after a moment. Nothing but a refused connection is a crash: resets, cuts, stops and planned ends aren't, and
-// the end of this process leaves nothing behind. Safe to use from several threads.
+// Determines whether an upstream has crashed when attempts there end early: waits a moment for further attempts to end,
+// then connects to the address once. Only a refused connection counts as a crash; resets, partitions and planned ends
+// do not. Keeps its state in memory only. Thread-safe.
 class CrashDetector {
 public:
-    // The attempts of this router that were under way at the upstream when it crashed.
+    // Receives this router's attempts that were in flight at the upstream when it crashed.
     using OnCrash
         = std::function<void(const Routing::UpstreamRecord&, std::span<const Routing::InterruptedAttempt> attempts)>;
 
-    // By then it is known whether the upstream has crashed.
+    // Upper bound of the time from the first disconnect until its cause is known.
     static constexpr Common::Milliseconds maxDetectionTime { 300 };
 
     explicit CrashDetector(const Routing::UpstreamRegistry& registry)
         : m_registry(registry)
     {
     }
-    // Called in a fiber of the thread whose attempt was the first to end; must be set before any ends.
+    // The hook runs in a fiber of the thread that recorded the first of the attempts. Set it before any is recorded.
     void setOnCrash(OnCrash hook) { m_onCrash = std::move(hook); }
 
-    // An attempt ended because the upstream closed or reset the connection. Returns at once.
+    // Records an attempt that ended because the upstream closed or reset the connection. Does not block.
     void recordDisconnect(const Routing::UpstreamRecord&, Routing::InterruptedAttempt);
 
 private:
--- a/Source/RouteServing/Gateway/Forwarding.cpp
+++ b/Source/RouteServing/Gateway/Forwarding.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// Replaces the caller's header of that name: with both, an upstream might obey the caller's.
+// Replaces the caller's header of that name: with both present, an upstream might use the caller's value.
 static void setHeader(std::vector<Common::HttpHeader>& headers, const std::string& name, std::string value)
 {
     std::erase_if(headers, [&](const auto& header) { return absl::EqualsIgnoreCase(header.name, name); });
@@ -52,7 +52,7 @@
     if (mayHaveRun)
         error.ran = Common::Ran::Maybe;
     auto response = Common::errorResponse(error);
-    // The platform's callers take fractions of a second, so the header of whole seconds is replaced.
+    // The platform's callers accept fractions of a second, so the header in whole seconds is replaced.
     std::erase_if(response.headers, [](const auto& header) { return header.name == "Retry-After"; });
     if (error.retryAfter.count() > 0 && !mayHaveRun)
         response.headers.push_back({ "Retry-After", scheme.caller.retryAfter(error.retryAfter) });
--- a/Source/RouteServing/Gateway/Forwarding.h
+++ b/Source/RouteServing/Gateway/Forwarding.h
@@ -10,26 +10,26 @@
 
 #include <optional>
 
-// Builds what is sent on: the request for an upstream, and the router's own responses for a caller.
+// Builds the request that is sent to an upstream, and the router's own responses to a caller.
 namespace Brassladder::RouteServing::Gateway {
 
-// What an attempt adds to the caller's request.
+// The caller's request and what an attempt adds to it.
 struct ForwardedRequest {
-    const Common::HttpExchange& exchange; // Method, target, body and other headers pass through.
+    const Common::HttpExchange& exchange; // Method, target, body and other headers are forwarded.
     std::string_view requestId;
     Common::TimePoint deadline;
-    std::string_view expectedUpstream; // Id; another upstream at the address must not run the request.
+    std::string_view expectedUpstream; // Id; another upstream at the same address refuses the request.
     const Routing::Workspace* workspace { nullptr };
-    std::optional<size_t> priority; // Of a generation; 0 is the most urgent.
-    std::optional<Common::Endpoint> prefixSource; // The engine that has the shared prefix of the prompt cached.
+    std::optional<size_t> priority; // Generations only; 0 is the most urgent.
+    std::optional<Common::Endpoint> prefixSource; // Engine that caches the shared prefix of the prompt.
     std::optional<uint64_t> resumeAfterEvent;
     const KvReplica& replica;
 };
 
 Common::HttpClientRequest requestForUpstream(const HeaderScheme&, const ForwardedRequest&, Common::TimePoint now);
 
-// The response for a request that the router refuses. `mayHaveRun`: nothing promises that the request did not run, and
-// no time to come back is given, because repeating it might run it twice.
+// Builds the response to a request that the router refuses. With `mayHaveRun`, the response does not promise that the
+// request did not run and has no `Retry-After` header, because a retry might run the request twice.
 Common::HttpResponse refusalResponse(
     const HeaderScheme&, const Routing::Refusal&, bool mayHaveRun, const std::string& requestId);
 
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -20,12 +20,11 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// How often the share of the retry allowance follows the size of the fleet. Chosen, not measured.
+// How often this router's share of the retry allowance is recomputed from the size of the fleet.
 static constexpr Milliseconds retryAllowanceInterval = 1000ms;
-// How often a planned stop checks whether requests are in flight. Chosen, not measured.
+// How often a planned stop checks whether requests are in flight.
 static constexpr Milliseconds drainPollInterval = 20ms;
-// At the end of a planned stop, for the last usage counts to reach the hub: two intervals of the exchange. Chosen, not
-// measured.
+// Wait at the end of a planned stop until the last usage counts reach the hub: two intervals of the exchange.
 static constexpr Milliseconds finalUsageExchangeTime = 200ms;
 
 static Milliseconds timeOfDay()
@@ -81,7 +80,7 @@
     m_peers.setDutyHolder([this] { return m_duties->view().holder; });
 }
 
-// The store readers may hold the duties: they are few, read the store anyway, and all counts come to them.
+// Only store readers may hold the duties: they are few, read the store anyway, and receive all usage counts.
 Duties::Lease::Situation Gateway::dutySituation() const
 {
     bool mayHold = m_peers.fleetSize() && m_peers.readsStore() && !m_peers.isPartitioned();
@@ -208,7 +207,7 @@
     RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries,
         { m_hasher, m_crashDetector, m_suspectGuard }, m_usage.get(), m_refusing };
     RequestHandler(services, exchange).run();
-    // Also when the stop began meanwhile.
+    // A planned stop may have begun while the request was served.
     if (m_draining)
         exchange.closeAfterAnswer();
     m_inFlight.fetch_sub(1);
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -20,25 +20,25 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// A router that serves routes (`--serve=routes`): wires the parts together, owns their background fibers and the ports
-// for callers, readiness and metrics. Lives until the process ends.
+// A router that serves routes (`--serve=routes`). Creates and connects the components, and owns their background fibers
+// and the ports for callers, readiness and metrics. Lives until the process ends.
 class Gateway {
 public:
     Gateway(Common::FiberRuntime&, GatewaySettings, HeaderScheme, const PlatformSources&);
 
-    // Binds the ports and starts to serve. PlatformUnavailable when a port cannot be had.
+    // Binds the ports and starts to serve. Returns PlatformUnavailable if a port cannot be bound.
     Common::Status start();
     uint16_t callerPort() const { return m_callers->port(); }
     uint16_t readinessPort() const { return m_readiness->port(); }
     uint16_t metricsPort() const { return m_metrics->port(); }
-    // How many routers it knows, itself included; none before it knows them.
+    // Number of routers in the fleet, including this one; nullopt until it is known.
     std::optional<size_t> fleetSize() const { return m_peers.fleetSize(); }
     const Routing::UpstreamRegistry& registry() const { return m_registry; }
     Routing::UpstreamRegistry& registry() { return m_registry; }
 
-    // A planned stop by Routing/DrainSchedule.h: fails the readiness check at once, serves on until the balancer has
-    // noticed, then refuses what is new until nothing is in flight or the grace is nearly over. Blocks a plain thread,
-    // not a fiber.
+    // Performs a planned stop (Routing/DrainSchedule.h): fails the readiness check at once, keeps serving until the
+    // balancer has removed this instance, then refuses new requests until none is in flight or the grace period is
+    // nearly over. Blocks; must be called from a plain thread, not from a fiber.
     void drain();
 
 private:
@@ -48,7 +48,7 @@
     void startBackgroundWork();
     void serveCaller(Common::HttpExchange&);
     void serveReadiness(Common::HttpExchange&) const;
-    // Metrics and suspects, on one address.
+    // Serves metrics and the suspects endpoint, which share one address.
     void serveOperator(Common::HttpExchange&);
     void serveMetrics(Common::HttpExchange&) const;
     bool isReady() const;
@@ -67,14 +67,14 @@
     Routing::SuspectLedger m_suspects;
     SuspectGuard m_suspectGuard;
     PlatformWatcher m_watcher;
-    std::unique_ptr<UsageExchange> m_usage; // Null where the fleet has no duties, as the next but one.
+    std::unique_ptr<UsageExchange> m_usage; // Null if the fleet has no duties; `m_duties` is null then as well.
     PeerExchange m_peers;
     std::unique_ptr<DutyRunner> m_duties;
     Common::HttpServer* m_callers { nullptr };
     Common::HttpServer* m_readiness { nullptr };
     Common::HttpServer* m_metrics { nullptr };
-    std::atomic<bool> m_draining { false }; // From the beginning of a planned stop.
-    std::atomic<bool> m_refusing { false }; // Later in it: nothing new is begun.
+    std::atomic<bool> m_draining { false }; // Set when a planned stop begins.
+    std::atomic<bool> m_refusing { false }; // Set later in a planned stop: new requests are refused.
     std::atomic<size_t> m_inFlight { 0 };
 };
 
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -11,42 +11,42 @@
 #include <map>
 #include <string_view>
 
-// Counters and histograms of a router that serves routes. Labels have a bounded number of values. Safe to use from
-// several threads.
+// Counters, gauges and histograms of a router that serves routes. Labels have a bounded number of values. Thread-safe.
 namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
-// A request is over. `reason`: of our own refusal or of a stream that was cut; empty when an upstream's response was
-// relayed whole.
+// Counts a finished request. `reason`: why the router refused it or cut its stream; empty if the whole response of an
+// upstream was relayed.
 void requestEnded(unsigned status, std::string_view reason, Common::Duration);
-// The first event of a stream, or a whole response, is on its way to the caller.
+// Observes the time from a request's arrival to the first event of its stream, or to its whole response.
 void firstByte(Common::Duration afterArrival);
-// An attempt failed; `retried`: the request goes on to another upstream.
+// Counts a failed attempt. `retried`: whether another attempt follows.
 void attemptFailed(Routing::AttemptOutcome, Common::ConnectionEnd, bool retried);
 
-// What an upstream stated in a response, when it was news.
+// What an upstream states about itself in a response.
 enum class StatementKind : uint8_t { Cooldown, Leaving, Limit };
+// Counts a statement that is new to this router.
 void statementReceived(StatementKind);
-// A request was not sent to the upstream that it was chosen for, because of what that one had stated meanwhile.
+// Counts a request that was not sent to its chosen upstream because of a statement received since the choice.
 void requestWithheld();
-// Upstreams that rest, when the metrics are read.
+// Sets the number of upstreams in cooldown; called when the metrics are read.
 void cooldownCount(size_t);
-// Limits that upstreams have named, when the metrics are read.
+// Sets the gauges of limited upstreams and of this router's quotas there; called when the metrics are read.
 void sendQuotas(const Routing::SendQuotas::Summary&);
 
-// Attempts at an upstream ended without a response, for a cause of CrashDetector.h.
+// Counts attempts at an upstream that ended early, by their cause (CrashDetector.h).
 void upstreamDisconnected(std::string_view cause);
 
-// Requests that are suspected of crashing upstreams, as far as this router knows, when the metrics are read.
+// Sets the number of suspects by state, as known to this router; called when the metrics are read.
 void suspects(const std::map<Routing::Suspicion, size_t>&);
 
-// What this router knows and which role it has, when the metrics are read.
+// Role of this router and age of its state, when the metrics are read.
 struct FleetState {
     bool isHub { false };
     bool readsStore { false };
     uint64_t configurationVersion { 0 };
     Common::Milliseconds configurationAge { 0 };
     Common::Milliseconds upstreamsAge { 0 };
-    size_t fleetSize { 0 }; // 0 before it is known.
+    size_t fleetSize { 0 }; // 0 until it is known.
 };
 void fleetState(const FleetState&);
 
