--- a/Source/RouteServing/Gateway/GatewaySettings.cpp
+++ b/Source/RouteServing/Gateway/GatewaySettings.cpp
@@ -14,44 +14,45 @@
 static const std::array s_table {
     SettingSpec { "/id", SettingType::Text, Json(), "", 0, 0, "Name of this instance" },
     SettingSpec { "/failure_domain", SettingType::Text, "unknown", "", 0, 0, "Failure domain of this instance" },
-    SettingSpec { "/fleet_key", SettingType::Text, Json(), "", 0, 0, "Key that peers show" },
+    SettingSpec { "/fleet_key", SettingType::Text, Json(), "", 0, 0, "Key that authenticates peers" },
     SettingSpec { "/threads", SettingType::Integer, 1, "threads", 1, 64, "Threads that serve requests" },
-    SettingSpec { "/callers/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Where callers connect" },
-    SettingSpec {
-        "/callers/max_connections", SettingType::Integer, 2000, "connections", 1, 1'000'000, "Callers at one time" },
+    SettingSpec { "/callers/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Address for callers" },
+    SettingSpec { "/callers/max_connections", SettingType::Integer, 2000, "connections", 1, 1'000'000,
+        "Maximum number of concurrent caller connections" },
     SettingSpec { "/readiness/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0,
-        "Where the balancer asks for readiness" },
-    SettingSpec { "/metrics/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Where metrics are served" },
-    SettingSpec { "/inner/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Where peers connect" },
+        "Address for the balancer's readiness checks" },
+    SettingSpec { "/metrics/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Address that serves metrics" },
+    SettingSpec { "/inner/listen", SettingType::ListenText, "127.0.0.1:0", "", 0, 0, "Address for peers" },
     SettingSpec { "/inner/seeds", SettingType::EndpointList, Json::array(), "", 0, 0,
-        "Where to ask for the other routers at the start; with none, the store" },
+        "Routers that are asked for the roster at startup; if empty, the store is read" },
     SettingSpec { "/inner/first_start", SettingType::Boolean, false, "", 0, 0,
         "Whether the whole fleet starts for the first time" },
-    SettingSpec { "/platform/store", SettingType::EndpointText, Json(), "", 0, 0, "The platform's store" },
+    SettingSpec { "/platform/store", SettingType::EndpointText, Json(), "", 0, 0, "Address of the platform's store" },
     SettingSpec { "/duties/platform", SettingType::EndpointList, Json::array(), "", 0, 0,
-        "Where the platform takes the calls of the duties' holder; with none, the fleet has no duties" },
+        "Address where the platform receives the calls of the duties' holder; if empty, the fleet has no duties" },
     SettingSpec { "/duties/open", SettingType::Text, "usage", "", 0, 0,
         "Duties of the fleet, separated by commas: usage, autoscale" },
     SettingSpec { "/duties/lease_ms", SettingType::Integer, 3000, "ms", 500, 600'000,
-        "Another router takes the duties over when it has seen nothing of their holder for so long" },
+        "Time without a record of the holder in the log after which another router takes over the duties" },
     SettingSpec { "/duties/thaw_ms", SettingType::Integer, 300, "ms", 0, 60'000,
-        "The holder stops acting so much before its lease ends; under half of the lease" },
+        "Time before the end of its lease at which the holder stops acting; at most half of the lease" },
     SettingSpec { "/duties/usage_window_s", SettingType::Number, 5, "s", 1, 86'400, "Length of a usage window" },
     SettingSpec { "/duties/usage_delay_s", SettingType::Number, 10, "s", 1, 86'400,
-        "A window's usage is due so long after its end" },
+        "Time from the end of a window until its usage is due" },
     SettingSpec { "/bounds/configuration_ms", SettingType::Integer, 2000, "ms", 200, 600'000,
-        "A new configuration is in force after this" },
+        "Maximum time until a new configuration is in force" },
     SettingSpec { "/bounds/leaving_ms", SettingType::Integer, 2000, "ms", 100, 600'000,
-        "A leaving upstream gets nothing new after this" },
+        "Maximum time until a leaving upstream gets no new requests" },
     SettingSpec { "/bounds/revocation_ms", SettingType::Integer, 5000, "ms", 500, 600'000,
-        "A withdrawn key is not used after this" },
+        "Maximum time until a revoked key is no longer accepted" },
     SettingSpec { "/bounds/strict_revocation", SettingType::Boolean, false, "", 0, 0,
-        "Whether the bound on withdrawn keys holds also when the store cannot be read" },
-    SettingSpec { "/bounds/grace_s", SettingType::Number, 8, "s", 0, 3600, "From SIGTERM until the process is killed" },
-    SettingSpec { "/bounds/retry_ratio", SettingType::Number, 0.1, "", 0, 10, "Retries of the fleet for each request" },
-    SettingSpec { "/bounds/retry_window_s", SettingType::Number, 10, "s", 1, 3600, "Window of that ratio" },
+        "Whether the bound on revoked keys also holds while the store cannot be read" },
+    SettingSpec {
+        "/bounds/grace_s", SettingType::Number, 8, "s", 0, 3600, "Time from SIGTERM until the process is killed" },
+    SettingSpec { "/bounds/retry_ratio", SettingType::Number, 0.1, "", 0, 10, "Retries of the fleet per request" },
+    SettingSpec { "/bounds/retry_window_s", SettingType::Number, 10, "s", 1, 3600, "Window of the retry ratio" },
     SettingSpec { "/bounds/retry_allowance", SettingType::Number, 0, "retries", 0, 1'000'000,
-        "Retries of the fleet in a window, beyond the ratio" },
+        "Retries of the fleet per window, in addition to the ratio" },
 };
 
 std::span<const SettingSpec> GatewaySettings::table() { return s_table; }
@@ -61,7 +62,7 @@
     return Common::Milliseconds(static_cast<int64_t>(seconds * 1000));
 }
 
-// None when there is nobody to report to.
+// Returns nullopt if no platform endpoint is configured.
 static std::optional<GatewaySettings::Duties> dutySettings(const Common::Settings& settings)
 {
     auto platform = settings.list("/duties/platform");
--- a/Source/RouteServing/Gateway/GatewaySettings.h
+++ b/Source/RouteServing/Gateway/GatewaySettings.h
@@ -14,20 +14,19 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The settings of a router that serves routes, read from its table of rows.
+// Settings of a router that serves routes, read from the settings table.
 struct GatewaySettings {
-    // Defaults of the table. The bounds are the users' present ones (their site files); the rest was chosen, not
-    // measured.
+    // Defaults of the settings table.
     static constexpr size_t defaultCallerConnections = 2000;
-    // `ConfigApplyMs` of the users' site files.
+    // `ConfigApplyMs` of the site files.
     static constexpr Common::Milliseconds defaultConfigurationBound { 2000 };
-    // `DrainMs` of the users' site files.
+    // `DrainMs` of the site files.
     static constexpr Common::Milliseconds defaultLeavingBound { 2000 };
-    // `GraceS` of the users' site files.
+    // `GraceS` of the site files.
     static constexpr Common::Milliseconds defaultGracePeriod { 8000 };
-    // Half of the users' `RetryRatio`. Chosen, not measured.
+    // Half of `RetryRatio` of the site files.
     static constexpr double defaultRetryRatio = 0.1;
-    // `RetryWindowS` of the users' site files.
+    // `RetryWindowS` of the site files.
     static constexpr Common::Milliseconds defaultRetryWindow { 10'000 };
 
     std::string id;
@@ -37,32 +36,30 @@
     Common::Endpoint readiness;
     Common::Endpoint metrics;
     Common::Endpoint inner;
-    std::vector<Common::Endpoint> seeds; // Routers to ask for the others at the start (Routing/StartPhase.h).
-    bool isFirstStart { false }; // Of the whole fleet: nobody is served yet.
+    std::vector<Common::Endpoint> seeds; // Routers that are asked for the roster at startup (Routing/StartPhase.h).
+    bool isFirstStart { false }; // The whole fleet starts for the first time, before any traffic.
     Common::Endpoint store;
     unsigned threads { 1 };
     size_t callerConnections { defaultCallerConnections };
 
-    // Bounds that the operators promise; intervals and timeouts follow from them (Routing/RefreshIntervals.h).
-    Common::Milliseconds configurationBound {
-        defaultConfigurationBound
-    }; // After this a new configuration is in force.
-    Common::Milliseconds leavingBound { defaultLeavingBound }; // After this a leaving upstream gets nothing new.
-    Common::Milliseconds revocationBound { 0 }; // After this a withdrawn key is not used; zero: no such bound.
+    // Bounds that the operators promise. Intervals and timeouts are derived from them (Routing/RefreshIntervals.h).
+    Common::Milliseconds configurationBound { defaultConfigurationBound }; // Until a new configuration is in force.
+    Common::Milliseconds leavingBound { defaultLeavingBound }; // Until a leaving upstream gets no new requests.
+    Common::Milliseconds revocationBound { 0 }; // Until a revoked key is no longer accepted; zero: no bound.
     Common::Milliseconds gracePeriod { defaultGracePeriod }; // From SIGTERM until the process is killed.
     double retryRatio { defaultRetryRatio };
     Common::Milliseconds retryWindow { defaultRetryWindow };
     double retryAllowance { 0 };
 
-    // What the platform accepts from one router at a time.
+    // Calls that the platform accepts from one router at a time.
     struct Duties {
-        Common::Endpoint platform; // Where it takes the holder's calls.
+        Common::Endpoint platform; // Receives the calls of the holder of the duties.
         bool reportsUsage { false };
         bool ordersCapacity { false };
         RouteServing::Duties::LeaseTimes lease;
         RouteServing::Duties::UsageTimes usage;
     };
-    std::optional<Duties> duties; // None: the fleet has none.
+    std::optional<Duties> duties; // nullopt if the fleet has no duties.
 
     static std::span<const Common::SettingSpec> table();
     static GatewaySettings from(const Common::Settings&);
--- a/Source/RouteServing/Gateway/HeaderRules.h
+++ b/Source/RouteServing/Gateway/HeaderRules.h
@@ -11,17 +11,17 @@
 #include <string_view>
 #include <vector>
 
-// Which headers are passed on between callers and upstreams: all but those of a single connection (Common/HopByHop.h)
-// and, towards upstreams, those that the router sets or hides itself.
+// Selects the headers that are forwarded between callers and upstreams: all except hop-by-hop headers
+// (Common/HopByHop.h) and, towards upstreams, those that the router sets itself or withholds.
 namespace Brassladder::RouteServing::Gateway {
 
-// The request's headers for its upstream. `withheld`: names in lower case that are left out.
+// Returns the request's headers for its upstream. `withheld`: names in lower case that are left out.
 std::vector<Common::HttpHeader> headersForUpstream(const Common::HttpRequest&, std::span<const std::string> withheld);
 
-// A header's value that begins with a whole number of milliseconds above zero; none when it begins with anything else.
+// Parses a value that begins with a positive whole number of milliseconds; returns nullopt for any other value.
 std::optional<Common::Milliseconds> parseMilliseconds(std::string_view);
 
-// The response's headers for its caller.
+// Returns the response's headers for its caller.
 std::vector<Common::HttpHeader> headersForCaller(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/KvReplica.cpp
+++ b/Source/RouteServing/Gateway/KvReplica.cpp
@@ -7,12 +7,13 @@
 
 void KvReplica::choose(UpstreamRegistry& registry, UpstreamRegistry::PlacementRequest request, Common::TimePoint now)
 {
-    // The copy would load an engine that wants less, and the run may not go on there without a quota.
+    // A replica would load an engine that limits its requests, and the run could not continue there without a quota.
     request.excludesLimited = true;
     m_replica = registry.choose(request, now);
     if (!m_replica)
         return;
-    // A run that continues from its replica needs no prefill, and its caller has waited long enough.
+    // A run that continues from its replica needs no prefill. It counts as on time, since its caller has already
+    // waited.
     m_replica->prefillTokens = 0;
     m_replica->prefixSource.reset();
     m_replica->punctuality = Routing::Punctuality::OnTime;
@@ -21,7 +22,7 @@
 std::optional<UpstreamRegistry::Placement> KvReplica::failOver(const UpstreamRegistry& registry)
 {
     auto replica = std::exchange(m_replica, std::nullopt);
-    // One that rests is asked for nothing, a run that it could go on with included.
+    // An engine in cooldown gets no request, including one that continues a run.
     if (!replica || !registry.isServing(replica->upstream.id)
         || !registry.allowsRequest(replica->upstream, Common::now()))
         return std::nullopt;
--- a/Source/RouteServing/Gateway/KvReplica.h
+++ b/Source/RouteServing/Gateway/KvReplica.h
@@ -10,9 +10,9 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The second engine of one request, which gets a replica of the run's KV cache as it grows. When the first engine
-// breaks off, the same run goes on at the second one after its last whole event. That is no second run, so it also
-// serves requests that must run only once. When a run gets a replica is decided by Routing/ReplicaPolicy.h.
+// The second engine of one request, which receives a replica of the run's KV cache as the cache grows. If the first
+// engine fails, the same run continues at the second one after the last whole event. The request does not run twice, so
+// this also serves requests that must run only once. Routing/ReplicaPolicy.h decides which runs get a replica.
 class KvReplica {
 public:
     explicit KvReplica(const UpstreamHeaders& headers)
@@ -20,23 +20,23 @@
     {
     }
 
-    // Chooses the engine for the replica of the next attempt; none when no other engine may take it. `attempted` of the
-    // request holds the engine of that attempt as well.
+    // Chooses the engine for the replica of the next attempt; there is none if no other engine may take it. `attempted`
+    // of the request must include the engine of that attempt.
     void choose(Routing::UpstreamRegistry&, Routing::UpstreamRegistry::PlacementRequest, Common::TimePoint now);
 
     // The next attempt has no replica.
     void drop() { m_replica.reset(); }
 
-    // The first engine broke off: where the run goes on. None when there is no replica, or its engine is leaving
-    // or rests.
+    // Returns where the run continues after its engine failed; nullopt if there is no replica, or if the replica's
+    // engine is leaving or in cooldown.
     std::optional<Routing::UpstreamRegistry::Placement> failOver(const Routing::UpstreamRegistry&);
 
-    // Adds what the next attempt must state: where its replica goes, and the replica that it continues from.
+    // Adds the headers of the next attempt: the target of its replica, and the replica that it continues from.
     void addHeaders(Common::HttpClientRequest&, std::string_view requestId) const;
 
 private:
     const UpstreamHeaders& m_headers;
-    std::optional<Routing::UpstreamRegistry::Placement> m_replica; // Of the attempt under way.
+    std::optional<Routing::UpstreamRegistry::Placement> m_replica; // Of the attempt in flight.
     std::optional<Common::Endpoint> m_source; // The engine whose replica the run continues from.
 };
 
