--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -21,8 +21,7 @@
 using Routing::RetryDecision;
 using Routing::RouteKind;
 
-// How often a request that waits for a quota looks for one: the exchange between routers brings some ten times a
-// second.
+// Poll interval of a request that waits for a quota; routers exchange quotas about ten times per second.
 static constexpr Milliseconds quotaPollInterval { 20 };
 
 RequestHandler::RequestHandler(const RequestServices& services, Common::HttpExchange& exchange)
@@ -44,7 +43,7 @@
     m_stream.setOnFirstEvent([this] { countUsage(); });
     if (admit()) {
         runAttempts();
-        // The exchange outlives this handler.
+        // The exchange outlives this handler, so its callback must be removed.
         m_exchange.watchCaller(nullptr);
     }
     report();
@@ -87,14 +86,14 @@
     auto text = m_exchange.header(m_services.headers.caller.deadlineHeader);
     if (auto timeout = parseMilliseconds(text))
         return timeout;
-    // Without a usable value the route's timeout alone holds: refusing would fail a request that can be served.
+    // Without a usable value, only the route's timeout applies: a refusal would fail a request that can be served.
     if (!text.empty())
         Common::log(LogLevel::Warning, "gateway", "request.bad_deadline",
             { { "request", m_report.requestId }, { "value", std::string(text) } });
     return std::nullopt;
 }
 
-// A once-only request is not cancelled when its caller disconnects: the caller could not safely repeat it.
+// A once-only request is not cancelled when its caller disconnects, because the caller could not safely repeat it.
 bool RequestHandler::isAbandoned() const { return m_exchange.callerGone() && m_route->kind != RouteKind::OnceOnly; }
 
 // Attempts
@@ -143,12 +142,13 @@
         m_history.mayHaveRun, now);
 }
 
-// Checked again before each attempt: time has passed since the last one.
+// Checked again before each attempt, since the deadline may have passed and the key may have been revoked meanwhile.
 std::optional<Refusal> RequestHandler::refusalBeforeAttempt() const
 {
     if (isPastDeadline())
-        return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired, "out of time" };
-    // The lease is read first: a table that is read after it is at least as new as what the lease stands for.
+        return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired,
+            "the deadline of the request has passed" };
+    // Reads the lease before the table, which is then at least as recent as the one that the lease confirms.
     bool isKeyLeaseValid = areKeysConfirmed();
     auto inForce = m_services.watcher.configuration();
     return Routing::revalidateKey(inForce->table, m_workspace, key(), isKeyLeaseValid);
@@ -166,7 +166,7 @@
         request.prompt = &m_prompt;
         request.engine = { m_engine->batch, m_engine->fetchesKvCache };
     }
-    // A stream that goes on elsewhere has met its objective or missed it; its caller should not wait once more.
+    // A resumed stream has already met or missed its objective, so a new one starts now.
     request.due = (m_stream.hasSentHead() ? Common::now() : m_report.arrived) + m_route->objective;
     return request;
 }
@@ -185,7 +185,7 @@
 void RequestHandler::chooseReplica(Common::TimePoint now)
 {
     bool engineReplicates = m_engine && m_engine->replicatesKvCache;
-    // A copy would carry a suspect to a second engine.
+    // A replica would expose a second engine to a suspect.
     engineReplicates = engineReplicates && !m_suspectCheck.runsExclusively();
     bool failuresAreLikely = engineReplicates && m_services.registry.midStreamFailuresAreLikely(now);
     if (Routing::shouldReplicate(*m_route, m_prompt, engineReplicates, failuresAreLikely))
@@ -234,7 +234,7 @@
         m_services.usage->count(m_workspace->name);
 }
 
-// A plain response is held until it is whole, so that one that breaks off can still be retried.
+// Buffers a plain response until it is complete, so that an interrupted one can still be retried.
 RequestHandler::Next RequestHandler::relayWhole(UpstreamAttempt& attempt)
 {
     auto body = attempt.readBody(Common::maxWholeResponseBytes);
@@ -251,7 +251,7 @@
         if (prepareRetry(attempt))
             return Next::Retry;
     }
-    // This response belongs to an attempt to resume the stream; the caller already has another response's head.
+    // The attempt was to resume a stream, and the caller already has the response head of an earlier attempt.
     if (m_stream.hasSentHead()) {
         abortResponse("stream_not_resumed");
         return Next::Done;
@@ -320,18 +320,19 @@
     Common::log(LogLevel::Info, "gateway", "try.failed", std::move(fields));
 }
 
-// Its upstream may have crashed at the same moment: evidence all the same.
+// The failure is recorded all the same, because the upstream may have crashed at the same moment.
 void RequestHandler::onCallerGone(const UpstreamAttempt& attempt)
 {
     m_suspectCheck.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
     abortResponse("caller_gone");
 }
 
-// Whether there is another attempt. Takes it from the retry budget, and sets where a failover goes.
+// Returns whether another attempt follows. Takes the attempt from the retry budget, unless nothing was sent, and sets
+// the placement of a failover.
 bool RequestHandler::prepareRetry(const UpstreamAttempt& attempt)
 {
     auto outcome = attempt.outcome();
-    // Nobody waits for the response. The caller's leaving is reported once, so nothing would cancel another attempt.
+    // Nobody waits for the response. The disconnect is reported only once, so nothing would cancel another attempt.
     if (isAbandoned())
         return false;
     if (m_suspectCheck.forbidsRetry())
@@ -354,7 +355,7 @@
     return m_services.retries.forService(m_service).takeRetry(Common::now());
 }
 
-// What is sent
+// Requests and responses
 
 Common::HttpClientRequest RequestHandler::requestFor(const Placement& placement) const
 {
@@ -370,7 +371,7 @@
     return m_table->urgency().rank(m_workspace ? m_workspace->priority : std::nullopt, m_route->priority);
 }
 
-// How urgent the engine should take a generation; none for a plain service.
+// The priority level of a generation at its engine; nullopt for a plain service.
 std::optional<size_t> RequestHandler::engineLevel(const Placement& placement) const
 {
     if (!m_engine)
@@ -390,7 +391,7 @@
     m_exchange.respond(response);
 }
 
-// Closes the connection without the end of the response, so that the caller cannot take it for whole.
+// Closes the connection before the end of the response, so that the caller detects the truncation.
 void RequestHandler::abortResponse(std::string_view reason)
 {
     m_exchange.abandon();
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -22,7 +22,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// What all requests share.
+// Components that all requests share.
 struct RequestServices {
     const HeaderScheme& headers;
     const PlatformWatcher& watcher;
@@ -30,13 +30,13 @@
     Routing::UpstreamRegistry& registry;
     RetryWindows& retries;
     SuspectCheck::Parts suspects;
-    UsageExchange* usage { nullptr }; // Null where nobody reports usage.
-    bool isStopping { false }; // Late in a planned stop: nothing new is begun.
+    UsageExchange* usage { nullptr }; // Null if usage is not reported.
+    bool isStopping { false }; // Set late in a planned stop: new requests are refused.
 };
 
-// Serves one request of a caller from its arrival to its final response: admission, attempts at upstreams, relay,
-// report. The rules stand in Routing/ (Admission, UpstreamRegistry, ConnectionPolicy, RetryPolicy, ReplicaPolicy); this
-// class carries them out. Belongs to the fiber that serves the connection.
+// Serves one request of a caller from its arrival to its final response: admission, attempts at upstreams, relay and
+// report. Routing/ makes the decisions (Admission, UpstreamRegistry, ConnectionPolicy, RetryPolicy, ReplicaPolicy);
+// this class carries them out. Used only by the fiber that serves the connection.
 class RequestHandler {
 public:
     RequestHandler(const RequestServices&, Common::HttpExchange&);
@@ -53,13 +53,13 @@
     std::string_view key() const { return m_services.headers.caller.key(m_exchange.request()); }
     bool areKeysConfirmed() const { return m_services.lease.isFresh(Common::now()); }
     bool isPastDeadline() const { return Common::now() >= m_deadline; }
-    // The caller left, and what it asked for is of no use to anybody.
+    // Whether the caller has disconnected and the request may be cancelled.
     bool isAbandoned() const;
 
     void runAttempts();
     std::optional<Routing::Refusal> refusalBeforeAttempt() const;
     std::optional<Placement> choosePlacement(Common::TimePoint now);
-    // Whether to look for an upstream once more, after a moment in which a quota may have come.
+    // Waits briefly for a quota. Returns whether to choose an upstream again.
     bool awaitQuota();
     Routing::Refusal noUpstreamRefusal() const;
     Routing::Refusal refusalAfter(const UpstreamAttempt&) const;
@@ -71,13 +71,14 @@
     void logFailure(const UpstreamAttempt&, bool retries) const;
     bool prepareRetry(const UpstreamAttempt&);
     void onCallerGone(const UpstreamAttempt&);
-    // The request has begun to run at an upstream: counted once, however many attempts it takes.
+    // Counts the request as usage of its workspace, once over all attempts.
     void countUsage();
+    // Counts it if the attempt shows that the request had started to run at the upstream.
     void countUsageIfStarted(const UpstreamAttempt&);
 
     Routing::UpstreamRegistry::PlacementRequest placementRequest() const;
     Common::HttpClientRequest requestFor(const Placement&) const;
-    // How urgent the request is among all, 0 the most.
+    // Urgency of the request among all; 0 is the most urgent.
     size_t rank() const;
     std::optional<size_t> engineLevel(const Placement&) const;
     void refuse(const Routing::Refusal&);
@@ -86,23 +87,23 @@
 
     const RequestServices m_services;
     Common::HttpExchange& m_exchange;
-    // On arrival. Read before the configuration, which is then at least as new as what the lease stands for.
+    // On arrival. Read before the configuration, which is then at least as recent as the one that the lease confirms.
     const bool m_keysWereConfirmed;
-    ConfigurationPtr m_configuration; // Keeps the table that the pointers below refer to.
+    ConfigurationPtr m_configuration; // Keeps the table alive that the pointers below refer to.
     const Routing::RouteTable* m_table { nullptr };
     const Routing::Route* m_route { nullptr };
     const Routing::Workspace* m_workspace { nullptr };
     std::string m_service;
     const Routing::EngineTraits* m_engine { nullptr }; // Null for a plain service.
-    Routing::Prompt m_prompt; // Of a generation.
+    Routing::Prompt m_prompt; // Generations only.
     Common::TimePoint m_deadline;
     Routing::AttemptHistory m_history;
-    UpstreamAttempt* m_currentAttempt { nullptr }; // While an attempt runs.
+    UpstreamAttempt* m_currentAttempt { nullptr }; // Null between attempts.
     SuspectCheck m_suspectCheck;
-    bool m_isUsageCounted { false }; // See countUsage.
-    bool m_isAwaitingQuota { false }; // See awaitQuota.
+    bool m_isUsageCounted { false };
+    bool m_isAwaitingQuota { false };
     KvReplica m_replica;
-    std::optional<Placement> m_failover; // Where the run goes on, when its engine broke off.
+    std::optional<Placement> m_failover; // Where the run continues after its engine failed.
     StreamRelay m_stream;
     RequestReport m_report;
 };
--- a/Source/RouteServing/Gateway/RequestReport.h
+++ b/Source/RouteServing/Gateway/RequestReport.h
@@ -12,37 +12,36 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The state that a request was decided on.
+// The state that the decisions for a request were based on.
 struct DecisionBasis {
     uint64_t configurationVersion { 0 };
-    Common::Milliseconds configurationAge { 0 }; // Since it was last confirmed.
-    Common::Milliseconds upstreamsAge { 0 }; // Since the list was last confirmed.
+    Common::Milliseconds configurationAge { 0 }; // Since the configuration was last confirmed.
+    Common::Milliseconds upstreamsAge { 0 }; // Since the list of upstreams was last confirmed.
 };
 
-// What the log line at the end of a request says (docs/OPERATIONS.md, `request.end`).
+// Contents of the log line at the end of a request (docs/OPERATIONS.md, `request.end`).
 struct RequestReport {
     std::string requestId;
     Common::TimePoint arrived;
-    unsigned status { 0 }; // Zero when no response was begun.
-    std::string reason; // Of the router's own refusal, or why a response was cut; else empty.
-    std::string route; // Empty when none was found.
-    std::optional<DecisionBasis> basis; // None when no configuration was known.
-    std::vector<std::string> attemptedUpstreams; // By id, in order.
-    // As estimated when the last upstream was chosen, a generation's engine only.
+    unsigned status { 0 }; // 0 if no response was begun.
+    std::string reason; // Why the router refused the request or cut the response; else empty.
+    std::string route; // Empty if no route matched.
+    std::optional<DecisionBasis> basis; // nullopt if no configuration was known.
+    std::vector<std::string> attemptedUpstreams; // Ids, in order.
+    // Estimates made when the last upstream was chosen; only for generations.
     uint64_t queuedPrefillTokens { 0 };
     uint64_t prefillTokens { 0 };
-    Common::Milliseconds expectedFirstEvent { 0 }; // After the choice.
+    Common::Milliseconds expectedFirstEvent { 0 }; // Since that choice.
     bool isExpectedLate { false };
     StreamTimes streamTimes;
-    std::string
-        namedLimit; // That the last response named of its upstream, as it stood there; empty when it named none.
+    std::string namedLimit; // Limit header of the last response, verbatim; empty if it had none.
     Common::TimePoint lastPlaced {}; // When the last upstream was chosen.
 
-    // An upstream was chosen for the next attempt.
+    // Records the upstream that was chosen for the next attempt.
     void recordPlacement(const Routing::UpstreamRegistry::Placement&);
 };
 
-// Writes the log line and counts the request.
+// Writes the log line and updates the metrics.
 void reportRequestEnd(const RequestReport&, Common::TimePoint now);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -26,19 +26,19 @@
     auto rest = Common::parseRetryAfter(value, response.header("Date"), std::chrono::system_clock::now());
     if (!rest)
         Common::log(LogLevel::Warning, "gateway", "upstream.bad_retry_after", { { "value", std::string(value) } });
-    // No time at all, or one that is over, asks for nothing.
+    // A delay of zero, or a date in the past, requests no cooldown.
     return rest && rest->count() > 0 ? rest : std::nullopt;
 }
 
 Routing::UpstreamStatement statementOf(const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
 {
-    // The response is to a request for the upstream that had the address before.
+    // The statement would be attributed to the upstream that had the address before.
     if (headers.isFromOtherUpstream(response))
         return {};
     return { headers.isLeaving(response), retryAfterOf(response) };
 }
 
-// In requests a second; none when the value is no number, or a negative one.
+// In requests per second; nullopt if the value is negative or not a number.
 static std::optional<double> parseLimit(std::string_view value)
 {
     auto text = absl::StripAsciiWhitespace({ value.data(), value.size() });
--- a/Source/RouteServing/Gateway/RetryWindows.h
+++ b/Source/RouteServing/Gateway/RetryWindows.h
@@ -11,7 +11,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The retry windows of all services, made when a service gets its first request. Safe to use from several threads.
+// The retry windows of all services, each created on the first request for its service. Thread-safe.
 class RetryWindows {
 public:
     explicit RetryWindows(Routing::RetryWindow::Bounds bounds)
@@ -28,7 +28,7 @@
         return *found->second;
     }
 
-    // Sets this router's share of the allowance, for all services.
+    // Sets this router's share of the retry allowance for all services.
     void setAllowance(double allowance)
     {
         std::lock_guard lock(m_mutex);
--- a/Source/RouteServing/Gateway/SseFramer.cpp
+++ b/Source/RouteServing/Gateway/SseFramer.cpp
@@ -5,7 +5,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// An empty line ends an event (HTML, "Server-sent events").
+// An empty line ends an event (HTML Standard, "Server-sent events").
 static constexpr std::string_view eventEnd = "\n\n";
 static constexpr std::string_view idField = "id:";
 
@@ -34,7 +34,7 @@
         auto event = std::string_view(m_buffer).substr(start, end + eventEnd.size() - start);
         start = end + eventEnd.size();
         auto id = parseEventId(event);
-        // An upstream that resumes the stream may begin earlier than requested.
+        // An upstream that resumes the stream may repeat events from before the requested one.
         bool isRepeated = id && m_lastId && *id <= *m_lastId;
         if (isRepeated)
             continue;
--- a/Source/RouteServing/Gateway/SseFramer.h
+++ b/Source/RouteServing/Gateway/SseFramer.h
@@ -8,22 +8,22 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Splits the bytes of a server-sent event stream at the ends of its events without changing a byte, so that a stream
-// that breaks off is relayed up to its last whole event and can be resumed after it. Unlike the parser of class serving
-// (ClassServing/Upstream/SseParser.h) it does not decode the events.
+// Splits a server-sent event stream into whole events without changing a byte. A stream that is interrupted is relayed
+// up to its last whole event and can be resumed after it. Does not decode the events, unlike the parser of class
+// serving (ClassServing/Upstream/SseParser.h). Not thread-safe.
 class SseFramer {
 public:
     void feed(std::string_view bytes) { m_buffer += bytes; }
 
-    // All whole events that are buffered and newer than the last one taken; empty when there are none.
+    // Returns all buffered whole events that are newer than the last one taken; empty if there are none.
     std::string takeEvents();
-    // The bytes after the last whole event.
+    // Returns the bytes after the last whole event.
     std::string takeRemainder();
 
-    // The upstream broke off: the bytes of the event that it did not finish are discarded.
+    // Discards the bytes of an event that the upstream did not finish.
     void discardPartialEvent() { m_buffer.clear(); }
 
-    // Id of the last event taken; none before the first one.
+    // Id of the last event taken; nullopt before the first one.
     std::optional<uint64_t> lastId() const { return m_lastId; }
 
 private:
--- a/Source/RouteServing/Gateway/StreamRelay.h
+++ b/Source/RouteServing/Gateway/StreamRelay.h
@@ -12,26 +12,25 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Relays the event stream of one request to its caller, over all attempts that it takes. Belongs to the fiber of the
-// request.
+// Relays the event stream of one request to its caller over all its attempts. Used only by the fiber of the request.
 class StreamRelay {
 public:
     enum class Result : uint8_t { Completed, BrokenOff, CallerGone };
 
     StreamRelay(Common::HttpExchange&, Common::TimePoint requestArrived);
 
-    // Called with the first event, once; must be set before relaying.
+    // The hook is called once, with the first event. Set it before relaying.
     void setOnFirstEvent(std::function<void()> hook) { m_onFirstEvent = std::move(hook); }
-    // Relays whole events until the stream ends, the upstream breaks off or the caller is gone. The response head is
-    // sent with the first event: until then another upstream may still take over with a head of its own.
+    // Relays whole events until the stream ends, is interrupted by the upstream, or the caller is gone. Sends the
+    // response head with the first event; until then another upstream can still take over with its own head.
     Result relay(UpstreamAttempt&);
-    // The next attempt resumes the stream: the bytes of the event that the last one did not finish are discarded.
+    // Discards the unfinished event of the last attempt, before the next one resumes the stream.
     void discardPartialEvent() { m_framer.discardPartialEvent(); }
 
-    // Whether the response head was sent. From then on the request can no longer be refused.
+    // Whether the response head was sent. The request can then no longer be refused.
     bool hasSentHead() const { return m_status != 0; }
-    unsigned status() const { return m_status; } // Zero before the head was sent.
-    // Id of the last event that the caller has; none before the first one.
+    unsigned status() const { return m_status; } // 0 before the head was sent.
+    // Id of the last event that was sent to the caller; nullopt before the first one.
     std::optional<uint64_t> lastEventId() const { return m_framer.lastId(); }
     const StreamTimes& times() const { return m_times; }
 
--- a/Source/RouteServing/Gateway/StreamTimes.h
+++ b/Source/RouteServing/Gateway/StreamTimes.h
@@ -7,7 +7,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// When the events of one stream arrived, for the log line at the end of its request. Not safe for several threads.
+// Arrival times of the events of one stream, for the log line at the end of its request. Not thread-safe.
 class StreamTimes {
 public:
     explicit StreamTimes(Common::TimePoint requestArrived)
@@ -15,7 +15,7 @@
     {
     }
 
-    // One read returned whole events.
+    // Records a read that returned whole events.
     void recordEvents(Common::TimePoint now)
     {
         if (m_hasEvents)
@@ -27,7 +27,7 @@
     }
 
     bool hasEvents() const { return m_hasEvents; }
-    Common::Milliseconds firstEvent() const { return m_firstEvent; } // After the request's arrival.
+    Common::Milliseconds firstEvent() const { return m_firstEvent; } // Since the request's arrival.
     Common::Milliseconds longestPause() const { return m_longestPause; } // Between two reads that returned events.
 
 private:
