--- a/Source/RouteServing/Gateway/SuspectCheck.cpp
+++ b/Source/RouteServing/Gateway/SuspectCheck.cpp
@@ -43,8 +43,8 @@
     return !ledger.isEmpty() && ledger.mayContain(m_parts.hasher.target(traits()), m_exchange.request().body().size());
 }
 
-// A request that ends its upstreams comes again with a new id, at any router: what it has done is asked for before each
-// attempt, or it would end one engine after the other (27 in 43 s of a played day, with what ran beside it).
+// A request that crashes upstreams is repeated by its caller with a new request id, at any router. Its history is
+// therefore checked before each attempt; otherwise it would crash one engine after another.
 std::optional<Refusal> SuspectCheck::await(const std::string& requestId, Common::TimePoint deadline)
 {
     if (m_runsExclusively || !mayBeSuspect())
@@ -52,11 +52,11 @@
     auto permission = m_parts.guard.acquire(identity(), { deadline, [this] { return m_exchange.callerGone(); } });
     m_runsExclusively = permission == SuspectGuard::Permission::Exclusive;
     if (permission == SuspectGuard::Permission::TimedOut)
-        return Refusal { ErrorKind::WaitExpired, "another run of the same request went on for too long" };
+        return Refusal { ErrorKind::WaitExpired, "another run of the same request did not end in time" };
     if (permission != SuspectGuard::Permission::Held)
         return std::nullopt;
     logHeld(requestId);
-    return Refusal { ErrorKind::CrashesUpstreams, "upstreams crashed each time that it ran" };
+    return Refusal { ErrorKind::CrashesUpstreams, "upstreams crashed each time that the request ran" };
 }
 
 void SuspectCheck::logHeld(const std::string& requestId)
--- a/Source/RouteServing/Gateway/SuspectCheck.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -13,11 +13,12 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// What one request has to do with suspects, from its admission to its end: whether it may be sent on, and what its
-// attempts did to their upstreams. Belongs to the fiber of the request. Costs nothing while nobody is suspected.
+// Handles suspicion for one request, from its admission to its end: whether the request may be sent, and whether its
+// attempts disconnected from their upstreams. Used only by the fiber of the request. Costs next to nothing while there
+// are no suspects.
 class SuspectCheck {
 public:
-    // What all requests share.
+    // Components that all requests share.
     struct Parts {
         const Routing::RequestHasher& hasher;
         CrashDetector& crashDetector;
@@ -25,29 +26,29 @@
     };
 
     SuspectCheck(const Parts&, Common::HttpExchange&);
-    // Gives its turn back; what its upstream did may still be being found out.
+    // Releases an exclusive run; the check whether its upstream crashed may still be pending.
     ~SuspectCheck();
     SuspectCheck(const SuspectCheck&) = delete;
     SuspectCheck& operator=(const SuspectCheck&) = delete;
 
-    // Who asks; must be set before the rest. Empty where no key is needed.
+    // Must be called before the functions below. Empty if the route requires no key.
     void setWorkspace(std::string workspace) { m_workspace = std::move(workspace); }
 
-    // Asked before each attempt. Waits while another run of a suspect goes on, until the deadline at most; why the
-    // request must not be sent on at all.
+    // Must be called before each attempt. Waits while another run of a suspect is in progress, until the deadline at
+    // most. Returns a refusal if the request must not be sent.
     std::optional<Routing::Refusal> await(const std::string& requestId, Common::TimePoint deadline);
-    // It has the one run of the whole fleet, and takes as little with it as it can.
+    // Whether the request has the only run of the fleet. It is then placed at an upstream with few other requests.
     bool runsExclusively() const { return m_runsExclusively; }
 
-    // An attempt failed that was sent at that time.
+    // Records a failed attempt. `sent`: when the attempt was placed.
     void recordFailure(const std::string& requestId, const UpstreamAttempt&, Common::TimePoint sent);
-    // Whether the router should leave it at that. A second upstream may have crashed under it, and another attempt
-    // would take a third one with all that runs there.
+    // Whether the router must not retry: the upstream disconnected, and the request is a suspect. Another attempt could
+    // crash one more upstream, with all requests in flight there.
     bool forbidsRetry();
-    // A run has ended well. A request that ever does is innocent, whatever crashed beside it.
+    // Records a run that completed. This clears the request, because one that crashes upstreams never completes.
     void recordCompleted();
 
-    // Once an attempt was ended by its upstream.
+    // The request's identity, if it was computed.
     const std::optional<Routing::RequestIdentity>& knownIdentity() const { return m_identity; }
 
 private:
@@ -59,9 +60,9 @@
     const Parts m_parts;
     Common::HttpExchange& m_exchange;
     std::string m_workspace;
-    std::optional<Routing::RequestIdentity> m_identity; // Hashed when it is first needed.
+    std::optional<Routing::RequestIdentity> m_identity; // Computed on first use.
     bool m_runsExclusively { false };
-    bool m_upstreamDisconnected { false }; // The last attempt was ended by its upstream, or by the way to it.
+    bool m_upstreamDisconnected { false }; // The last attempt was closed or reset by the upstream or by the network.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -9,7 +9,7 @@
 using Common::TimePoint;
 using Routing::SuspectRecord;
 
-// Longer than anything is remembered; bounds what a peer's or a stored age can do to a time point.
+// Exceeds the retention of any record. Bounds the effect of an invalid age, from a peer or the store, on a time point.
 static constexpr Milliseconds maxSuspectAge = std::chrono::hours(24 * 30);
 
 static uint64_t ageOf(TimePoint time, TimePoint now)
@@ -106,7 +106,7 @@
     Inner::Wire::StoredSuspect message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return std::nullopt;
-    // A clock that was set back must not make what was written look younger than just now.
+    // If the time of day was set back since the write, the record counts as just written.
     auto elapsed = std::max(now.timeOfDay - Milliseconds(message.written_ms()), Milliseconds(0));
     auto written = now.steady - std::min(elapsed, maxSuspectAge);
     auto record = decodeSuspect(message.suspect(), written);
--- a/Source/RouteServing/Gateway/SuspectCodec.h
+++ b/Source/RouteServing/Gateway/SuspectCodec.h
@@ -10,22 +10,23 @@
 #include <string_view>
 #include <vector>
 
-// Encodes and decodes suspects, between routers (Inner/Inner.proto) and for the platform's store. Times travel as ages,
-// since the clocks of instances are not compared; in the store, with the time of day at which they were written.
+// Encodes and decodes suspects for messages between routers (Inner/Inner.proto) and for the platform's store. Times are
+// encoded as ages, because clocks of instances are not compared. A stored suspect also has the time of day of its
+// write.
 namespace Brassladder::RouteServing::Gateway {
 
 void encodeSuspects(std::span<const Routing::SuspectRecord>, Inner::Wire::SuspectTable&, Common::TimePoint now);
-// Entries without a run, a clearance or a trial are left out.
+// Skips entries without a run, a clearance or a trial.
 std::vector<Routing::SuspectRecord> decodeSuspects(const Inner::Wire::SuspectTable&, Common::TimePoint now);
 
-// A suspect as it is stored, and who runs it alone.
+// A suspect as it is stored, with the claim of the router that runs it exclusively.
 struct StoredSuspect {
     Routing::SuspectRecord record;
-    std::string claimedBy; // Id of a router; empty when none.
-    Common::Milliseconds claimedUntil { 0 }; // Time of day, since the start of 1970.
+    std::string claimedBy; // Id of a router; empty if there is no claim.
+    Common::Milliseconds claimedUntil { 0 }; // Time of day, since the Unix epoch.
 };
 
-// One moment by the clock that ages are counted by, and by the time of day since the start of 1970.
+// One instant on the steady clock, to which ages refer, and as the time of day since the Unix epoch.
 struct ClockReading {
     Common::TimePoint steady;
     Common::Milliseconds timeOfDay { 0 };
@@ -34,7 +35,7 @@
 };
 
 std::string encodeStoredSuspect(const StoredSuspect&, const ClockReading&);
-// None when the bytes are no such record.
+// Returns nullopt if the bytes are not a valid record.
 std::optional<StoredSuspect> decodeStoredSuspect(std::string_view, const ClockReading&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectEndpoint.cpp
+++ b/Source/RouteServing/Gateway/SuspectEndpoint.cpp
@@ -53,7 +53,7 @@
 {
     auto identity = exchange.query("id");
     if (!ledger.lift(identity, Common::now()))
-        return refuse(exchange, ErrorKind::UnknownRoute, "no suspect of this identity is known here");
+        return refuse(exchange, ErrorKind::UnknownRoute, "no suspect with this identity is known to this router");
     Common::log(Common::LogLevel::Warning, "gateway", "suspect.lifted", { { "identity", std::string(identity) } });
     exchange.respond(Common::jsonResponse({ { "lifted", std::string(identity) } }));
 }
@@ -61,13 +61,13 @@
 void serveSuspects(Common::HttpExchange& exchange, Routing::SuspectLedger& ledger, std::string_view fleetKey)
 {
     if (!hasFleetKey(exchange, fleetKey))
-        return refuse(exchange, ErrorKind::Unauthenticated, "the fleet's key is needed");
+        return refuse(exchange, ErrorKind::Unauthenticated, "the fleet key is required");
     bool isPost = exchange.request().method() == boost::beast::http::verb::post;
     if (exchange.path() == suspectsPath && !isPost)
         return (void)exchange.respond(Common::jsonResponse(suspectsToJson(ledger)));
     if (exchange.path() == liftPath && isPost)
         return lift(exchange, ledger);
-    refuse(exchange, ErrorKind::UnknownRoute, "GET /suspects or POST /suspects/lift?id=ID");
+    refuse(exchange, ErrorKind::UnknownRoute, "expected GET /suspects or POST /suspects/lift?id=ID");
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SuspectExchange.cpp
+++ b/Source/RouteServing/Gateway/SuspectExchange.cpp
@@ -33,7 +33,7 @@
     m_received[from.id].advance(from.incarnation, table.after(), table.revision());
 }
 
-// What the peer received of an earlier process of this router says nothing of this one.
+// An acknowledgement of changes from an earlier process of this router does not apply to this process.
 void SuspectExchange::acknowledge(const std::string& peer, uint64_t ofProcess, uint64_t revision)
 {
     std::lock_guard lock(m_mutex);
--- a/Source/RouteServing/Gateway/SuspectExchange.h
+++ b/Source/RouteServing/Gateway/SuspectExchange.h
@@ -12,19 +12,20 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Passes suspects on with the messages of PeerExchange: each router tells its hub all that it saw, hubs tell each other
-// all, and a hub tells the routers that ask it those with two crashes or more: a crash of an engine makes up to 64
-// suspects, of which one needs to be known everywhere. Safe to use from several threads.
+// Exchanges suspects between routers in the messages of PeerExchange. Each router sends all its suspects to its hub,
+// and hubs send all of theirs to each other. A hub sends other routers only suspects with at least two crashes, because
+// one crash of an engine creates up to 64 suspects, of which only one matters to the whole fleet. Thread-safe.
 class SuspectExchange {
 public:
-    // `incarnation`: of this router's process.
+    // `incarnation`: identifies the process of this router.
     SuspectExchange(Routing::SuspectLedger& ledger, uint64_t incarnation)
         : m_ledger(ledger)
         , m_incarnation(incarnation)
     {
     }
 
-    // Adds what the peer lacks, and up to where this router has the peer's; to any message that has these fields.
+    // Adds the changes that the peer lacks, and the revision up to which this router has the peer's suspects. Works for
+    // any message with these fields.
     template <typename Message>
     void addTo(Message& message, const std::string& peer, Routing::SuspectLedger::Scope scope)
     {
@@ -42,7 +43,7 @@
             merge(from, message.suspects());
         acknowledge(from.id, message.suspects_received_from(), message.suspects_received());
     }
-    // The connection to the peer has ended.
+    // Must be called when the connection to the peer has ended: unacknowledged changes are sent again.
     void forgetSent(const std::string& peer);
 
 private:
@@ -53,7 +54,7 @@
 
     Routing::SuspectLedger& m_ledger;
     const uint64_t m_incarnation;
-    mutable std::mutex m_mutex; // Guards the rest.
+    mutable std::mutex m_mutex; // Guards the members below.
     std::map<std::string, Routing::RevisionCursor> m_sent; // By peer.
     std::map<std::string, Routing::RosterPosition> m_received; // By peer.
 };
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -17,29 +17,28 @@
 using Routing::Suspicion;
 using namespace std::chrono_literals;
 
-// How often a request that waits for its turn looks again: on this router, and in the store while another router has
-// the turn. Chosen, not measured.
+// How often a waiting request checks whether it may run: on this router, and in the store while another router has the
+// claim.
 static constexpr Milliseconds localPollInterval = 10ms;
 static constexpr Milliseconds storePollInterval = 100ms;
-// How often a store reader looks for suspects that are to be stored, and waits after a failed call at least.
+// How often a store reader checks for suspects to be stored, and its minimum wait after a failed call.
 static constexpr Milliseconds storeSyncInterval = 300ms;
 static constexpr Milliseconds storeBackoff = 1s;
-// How often a router looks whether it has become a store reader: often while it starts, since what was known before
-// should be known again before its first requests; later seldom, since each look wakes the process. Chosen, not
-// measured.
+// How often a router checks whether it has become a store reader. Often at startup, to load the stored suspects before
+// the first requests; later rarely, since each check wakes the process.
 static constexpr Milliseconds startupRoleCheckInterval = 100ms;
 static constexpr Milliseconds startupDuration = 3s;
 static constexpr Milliseconds roleCheckInterval = 1s;
-// Suspects written in one go: each is a call to the store. Chosen, not measured.
+// Suspects per batch; each one is a call to the store.
 static constexpr size_t maxStoredPerBatch = 8;
-// After its deadline a claim holds for the time until a crash is known, and for clocks that differ (2 s on the users'
-// days).
+// Added to the deadline of a claim: covers the detection of a crash and clock differences of up to 2 s between
+// instances.
 static constexpr Milliseconds claimMargin = 3s;
-// How often giving a claim back is tried when others write at the same time: until it expires nobody else runs the
-// request. Chosen, not measured.
+// Tries to release a claim when other routers write at the same time. Until the claim expires, no other router runs the
+// request.
 static constexpr unsigned maxReleaseTries = 5;
 
-// Own turns
+// Exclusive runs
 
 bool SuspectGuard::beginLocalRun(const RequestIdentity& request)
 {
@@ -69,7 +68,7 @@
             if (outcome == Claim::Granted)
                 return Permission::Exclusive;
             endLocalRun(request);
-            // A trial needs the store: without it two routers might try.
+            // A trial requires the store: without it, two routers could run one at the same time.
             if (outcome == Claim::Unavailable)
                 return Permission::Held;
             pause = storePollInterval;
@@ -88,7 +87,7 @@
     });
 }
 
-// A claim that cannot be given back expires.
+// A claim that cannot be released expires.
 void SuspectGuard::releaseClaim(const RequestIdentity& request)
 {
     auto known = m_ledger.find(request);
@@ -137,7 +136,7 @@
     const auto* stored = findStored(valueOf(contents), request);
     if (stored && !stored->claimedBy.empty() && stored->claimedUntil > now.timeOfDay)
         return Claim::Busy;
-    // What was read may have changed the case.
+    // The stored records may have changed the suspicion.
     auto suspicion = m_ledger.suspicionOf(request, now.steady);
     bool isTrial = suspicion == Suspicion::OnTrial;
     if (suspicion != Suspicion::Repeated && !isTrial)
@@ -155,7 +154,7 @@
     return Claim::Granted;
 }
 
-// Whether the store's record says the same as ours.
+// Whether the stored record is equivalent to the one of this router.
 static bool isUpToDate(const StoredSuspect* stored, const Routing::SuspectRecord& known)
 {
     if (!stored)
@@ -165,8 +164,8 @@
         && !Routing::merge(ours, stored->record);
 }
 
-// A store reader writes what it has just learned of a request that it is running alone itself: the claim must stay, or
-// another router would run it at the same time.
+// With `OwnClaims::Keep`, a store reader can write news of a request that it is running exclusively: its claim must
+// stay, or another router would run the request at the same time.
 Common::Status SuspectGuard::store(std::vector<Routing::SuspectRecord> records, OwnClaims ownClaims)
 {
     auto contents = read();
@@ -174,7 +173,7 @@
         return errorOf(contents);
     auto end = valueOf(contents).end;
     for (auto& record : records) {
-        // As it is now: what was read may be news.
+        // The read may have updated the record.
         auto known = m_ledger.find(record.request);
         if (known)
             record = *known;
@@ -188,13 +187,14 @@
         if (isError(written))
             return errorOf(written);
         if (!valueOf(written))
-            return Common::makeError(Common::ErrorKind::PublishConflict, "another router wrote to the log of suspects");
+            return Common::makeError(
+                Common::ErrorKind::PublishConflict, "another router wrote to the suspect log at the same time");
         ++end;
     }
     return Common::Done {};
 }
 
-// Keeps the topic small: what is forgotten here is of no use there.
+// Drops expired suspects from the store, to keep the topic small.
 static void dropExpired(const SuspectLogSource& log, const SuspectLogSource::Contents& contents)
 {
     auto end = contents.end;
@@ -202,7 +202,7 @@
         if (!Routing::SuspectLedger::isExpired(stored.record, Common::now()))
             continue;
         auto dropped = log.drop(stored.record.request, end);
-        // Another reader does it, or the next start of one.
+        // Another store reader drops the rest, or the next start of one.
         if (isError(dropped) || !valueOf(dropped))
             return;
         ++end;
@@ -221,7 +221,7 @@
     storedRevision = changes.upTo;
     if (changes.records.empty())
         return true;
-    // Readers that hear of a crash at once should not all write it.
+    // Store readers receive news of a crash at the same time; a random delay keeps them from all writing it.
     Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeSyncInterval * Common::randomShare()));
     auto status = store(std::move(changes.records), OwnClaims::Keep);
     if (isError(status))
--- a/Source/RouteServing/Gateway/SuspectGuard.h
+++ b/Source/RouteServing/Gateway/SuspectGuard.h
@@ -12,12 +12,11 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Decides for each request that is suspected whether it may be sent on now, and keeps what must outlive all routers in
-// the platform's store.
+// Decides whether a suspected request may be sent now, and stores suspects that must outlive all routers.
 //
-// A request under which two upstreams have crashed runs alone: one run in the whole fleet at a time, so that each crash
-// is known before the next run begins. Who runs it is settled by a conditional write to a topic of our own in the
-// store; when the store cannot be reached, each router sees to it for itself. Safe to use from several threads.
+// A request with two crashes runs exclusively: one run at a time in the whole fleet, so each crash is known before the
+// next run begins. A router claims the run by a conditional write to a topic in the platform's store. While the store
+// is unreachable, each router only prevents concurrent runs of its own, and no trial begins. Thread-safe.
 class SuspectGuard {
 public:
     SuspectGuard(Routing::SuspectLedger& ledger, std::optional<SuspectLogSource> log, std::string routerId)
@@ -30,23 +29,23 @@
     Routing::SuspectLedger& ledger() { return m_ledger; }
 
     enum class Permission : uint8_t {
-        Unrestricted, // Run it as any other.
-        Exclusive, // Run it, and release it afterwards.
-        Held, // It is not to be sent on.
-        TimedOut, // Another run of it went on until the end of the wait.
+        Unrestricted, // The request may run like any other.
+        Exclusive, // The request may run; call `release` afterwards.
+        Held, // The request must not be sent.
+        TimedOut, // Another run of the request lasted until the end of the wait.
     };
     struct Wait {
         Common::TimePoint until;
         std::function<bool()> isAbandoned;
     };
-    // Suspends the calling fiber while another run of the request goes on.
+    // Suspends the calling fiber while another run of the request is in progress.
     Permission acquire(const Routing::RequestIdentity&, const Wait&);
-    // The run that was permitted with `Exclusive` is over. `crashCheckPending`: whether its upstream has crashed is
-    // being found out, and the next run waits for that.
+    // Ends a run that was permitted as `Exclusive`. `crashCheckPending`: whether the upstream crashed is not known yet,
+    // and the next run waits for that.
     void release(const Routing::RequestIdentity&, bool crashCheckPending);
 
-    // Keeps the store up to date with what this router knows, as long as `isStoreReader` says that it is its task, and
-    // reads what was stored before. Runs until the process ends.
+    // Loads the stored suspects and keeps the store up to date while `isStoreReader` returns true. Runs until the
+    // process ends; returns at once without a log.
     void runStoreSync(const std::function<bool()>& isStoreReader);
 
 private:
@@ -57,15 +56,15 @@
     Claim claim(const Routing::RequestIdentity&, Common::TimePoint until);
     void releaseClaim(const Routing::RequestIdentity&);
     Claim claimInStore(const Routing::RequestIdentity&, Common::TimePoint until);
-    // What is stored, merged into the ledger.
+    // Reads the stored suspects and merges them into the ledger.
     Common::Result<SuspectLogSource::Contents> read();
     enum class OwnClaims : uint8_t { Keep, Release };
-    // Writes what this router knows of the suspects.
+    // Writes the current records of the suspects to the store.
     Common::Status store(std::vector<Routing::SuspectRecord>, OwnClaims);
     bool syncWithStore(bool hasLoaded, uint64_t& storedRevision);
 
     Routing::SuspectLedger& m_ledger;
-    std::optional<SuspectLogSource> m_log; // None without a platform that keeps a log.
+    std::optional<SuspectLogSource> m_log; // nullopt if the platform has no log.
     const std::string m_routerId;
     std::mutex m_mutex;
     std::set<Routing::RequestIdentity> m_exclusiveRuns; // On this router. Guarded by the mutex.
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -42,7 +42,7 @@
 {
     if (!connect(options) || m_isCancelled)
         return m_outcome;
-    // Asked again here: while this request was placed or connected, the upstream may have answered another one.
+    // Checked again, because other responses of the upstream may have arrived during placement and connecting.
     auto permit = m_registry.permitSend(m_placement.upstream, Common::now(), m_placement.rank);
     if (!permit)
         return withhold();
@@ -66,9 +66,9 @@
 
 AttemptOutcome UpstreamAttempt::withhold()
 {
-    // An idle connection goes back as it was; a new one is closed.
+    // A pooled connection returns to the pool unused; a new one is closed.
     releaseConnection();
-    m_problem = "the upstream has asked for rest, said that it leaves, or has a limit that is used up";
+    m_problem = "the upstream is in cooldown, is leaving, or has no quota left for this router";
     m_outcome = AttemptOutcome::Withheld;
     GatewayMetrics::requestWithheld();
     return m_outcome;
@@ -85,10 +85,10 @@
         reportStatement(upstream, statement, requestId);
 }
 
-// Also a response that names no limit says something: one that was named before is over.
+// A response without the header is recorded as well: it ends a limit that was stated before.
 void UpstreamAttempt::recordLimit(std::string_view requestId)
 {
-    // A response to another request may be of any age.
+    // A response to another request may be arbitrarily old.
     if (m_response.header(m_headers.caller.requestIdHeader) != requestId)
         return;
     auto statement = limitStatementOf(m_headers.upstream, m_response);
@@ -99,7 +99,7 @@
     reportLimit(upstream, *statement, news, requestId);
 }
 
-// A surplus response of an earlier request, or one of a faulty upstream, must not reach the caller.
+// Rejects a surplus response to an earlier request, and one from a faulty upstream: neither may reach the caller.
 AttemptOutcome UpstreamAttempt::checkResponseHead(std::string_view requestId)
 {
     if (auto load = m_headers.upstream.load(m_response))
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -11,15 +11,15 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// One attempt to serve a request at one upstream: connects, sends, checks that the response belongs to the request, and
-// records load and outcome in the registry for as long as it lives. Belongs to one fiber; `cancel` may be called by
-// another one of the same thread.
+// One attempt to serve a request at one upstream: connects, sends the request and checks that the response belongs to
+// it. Records load and outcome in the registry during its lifetime. Used by one fiber; another fiber of the same thread
+// may call `cancel`.
 class UpstreamAttempt {
 public:
     struct Options {
         std::string_view requestId;
         Common::Milliseconds connectTimeout { 200 };
-        Common::Milliseconds maxIdleTime { 1000 }; // Of an idle connection that may carry the request.
+        Common::Milliseconds maxIdleTime { 1000 }; // Of a pooled connection that is reused.
     };
 
     UpstreamAttempt(const HeaderScheme&, Routing::UpstreamRegistry&, Routing::UpstreamRegistry::Placement);
@@ -27,34 +27,35 @@
     UpstreamAttempt(const UpstreamAttempt&) = delete;
     UpstreamAttempt& operator=(const UpstreamAttempt&) = delete;
 
-    // Sends the request, unless the upstream has asked for rest meanwhile, and reads the response head. With `Answered`
-    // and `ServerError`, `response` is the head of the response to this very request, and its body can be read.
+    // Sends the request, unless a statement of the upstream forbids that by now, and reads the response head. After
+    // `Answered` and `ServerError`, `response` is the head of the response to this request, and its body can be read.
     Routing::AttemptOutcome start(const Common::HttpClientRequest&, const Options&);
     Routing::AttemptOutcome outcome() const { return m_outcome; }
     bool hasEvents() const { return m_isPrefillDone; }
     const Common::HttpClientResponse& response() const { return m_response; }
-    // What went wrong, for logs and error messages.
+    // Describes the failure, for logs and error messages.
     const std::string& problem() const { return m_problem; }
-    // How the upstream, or the way to it, ended the connection.
+    // How the upstream or the network ended the connection.
     Common::ConnectionEnd connectionEnd() const { return m_connectionEnd; }
     const Routing::UpstreamRecord& upstream() const { return m_placement.upstream; }
 
-    // The next piece of the body; empty at its end. An error, and the outcome Interrupted, when it ended early.
+    // Returns the next piece of the body; empty at its end. If the body ends early, returns an error, and the outcome
+    // is Interrupted, or CancelledAfterSending after `cancel`.
     Common::Result<std::string_view> readPiece();
-    // The whole body, up to `limit` bytes; errors as above.
+    // Returns the whole body, up to `limit` bytes; errors as above.
     Common::Result<std::string> readBody(size_t limit);
-    // The first event is here, so the engine's prefill is done.
+    // Records that the first event has arrived, so the engine's prefill is done.
     void recordPrefillDone();
-    // The whole response was read: the connection becomes idle and may be used again.
+    // Returns the connection to the pool, after the whole response was read.
     void releaseConnection();
 
     void cancel();
 
 private:
     bool connect(const Options&);
-    // The only place from which a request goes to an upstream.
+    // The only function that sends a request to an upstream.
     Common::Result<Common::HttpClientResponse> send(const Common::HttpClientRequest&, Routing::SendPermit);
-    // What the response states of its upstream holds whatever becomes of the request.
+    // Records what the response states about its upstream, regardless of the outcome of the request.
     void recordStatement(std::string_view requestId);
     void recordLimit(std::string_view requestId);
     Routing::AttemptOutcome withhold();
