--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -17,7 +17,7 @@
     request.insert("Accept", "b");
     std::vector<std::string> withheld { "x-secret" };
     auto headers = headersForUpstream(request, withheld);
-    ASSERT_EQ(headers.size(), 2U) << "a header that stands twice is passed on twice";
+    ASSERT_EQ(headers.size(), 2U) << "a header that occurs twice is forwarded twice";
     EXPECT_EQ(headers[0].value, "a");
     EXPECT_EQ(headers[1].value, "b");
 
@@ -28,7 +28,7 @@
     EXPECT_EQ(passed[0].name, "Content-Type");
 }
 
-// RFC 9110, 7.6.1: fields that `Connection` names concern one connection as well.
+// RFC 9110, section 7.6.1: fields that `Connection` lists are hop-by-hop fields as well.
 TEST(HeaderRulesTest, FieldsThatConnectionNamesAreNotPassedOn)
 {
     Common::HttpRequest request;
--- a/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
@@ -20,7 +20,8 @@
     EXPECT_EQ(framer.takeRemainder(), "\nrest");
 }
 
-// Found on the users' platform: the unfinished event of an engine that crashed stood before the events of the next one.
+// Guards against the unfinished event of a crashed engine in front of the events of the upstream that resumes the
+// stream.
 TEST(SseFramerTest, AnUnfinishedEventIsDiscardedBeforeAnotherUpstreamResumes)
 {
     SseFramer framer;
--- a/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
@@ -36,7 +36,7 @@
     Inner::Wire::SuspectTable table;
     std::vector<SuspectRecord> records { heldRequest() };
     encodeSuspects(records, table, s_now);
-    // The receiver's clock has nothing to do with the sender's.
+    // The receiver's steady clock is unrelated to the sender's.
     auto received = decodeSuspects(table, s_now + 100h);
     ASSERT_EQ(received.size(), 1U);
     const auto& record = received.front();
@@ -61,14 +61,14 @@
 {
     StoredSuspect stored { heldRequest(), "g1", 2'000'000ms };
     auto bytes = encodeStoredSuspect(stored, { s_now, 1'000'000ms });
-    // Another process, whose steady clock began with it, a minute later.
+    // A minute later in another process, whose steady clock started with it.
     auto read = decodeStoredSuspect(bytes, { Common::TimePoint(3s), 1'060'000ms });
     ASSERT_TRUE(read);
     EXPECT_EQ(read->claimedBy, "g1");
     EXPECT_EQ(read->claimedUntil, 2'000'000ms);
     EXPECT_EQ(read->record.runs.back().ended, Common::TimePoint(3s) - 67'500ms);
     EXPECT_EQ(Routing::suspicionOf(read->record, Common::TimePoint(3s)), Suspicion::Held);
-    // The time of day was set back meanwhile.
+    // The time of day was set back after the write.
     auto early = decodeStoredSuspect(bytes, { s_now, 990'000ms });
     ASSERT_TRUE(early);
     EXPECT_EQ(early->record.runs.back().ended, s_now - 7500ms);
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -20,13 +20,13 @@
 
 const RequestIdentity s_request { 1, 10, { 1, 1 } };
 
-// Stands in for the log in the platform's store.
+// Fake of the suspect log in the platform's store.
 struct FakeLog {
     std::mutex mutex;
     std::map<RequestIdentity, StoredSuspect> suspects;
     uint64_t end { 0 };
     size_t reads { 0 };
-    size_t conflicts { 0 }; // So many writes find that another one was first.
+    size_t conflicts { 0 }; // Number of writes that find that another router wrote first.
     bool isUnavailable { false };
 
     SuspectLogSource source()
@@ -86,7 +86,7 @@
     }
 }
 
-// One router. Never destroyed: fibers refer to it.
+// One router. Never destroyed, because fibers refer to it.
 struct Router {
     explicit Router(FakeLog& log, const std::string& id)
         : guard(ledger, log.source(), id)
@@ -142,8 +142,8 @@
     EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_TRUE(log.isClaimed());
     EXPECT_EQ(second.acquire(200ms), Permission::TimedOut);
-    EXPECT_EQ(first.acquire(200ms), Permission::TimedOut) << "on the same router as well";
-    // It ended well, and two others write while the claim is given back.
+    EXPECT_EQ(first.acquire(200ms), Permission::TimedOut) << "the run is exclusive on its own router as well";
+    // The run completes, and two other routers write while the claim is released.
     first.ledger.recordCompleted(s_request, Common::now());
     log.conflicts = 2;
     first.release();
@@ -187,11 +187,11 @@
     crash(second.ledger, 3, 11min);
     EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_EQ(first.ledger.find(s_request)->trials, 1U);
-    EXPECT_EQ(second.acquire(), Permission::Held) << "the trial has begun elsewhere";
+    EXPECT_EQ(second.acquire(), Permission::Held) << "another router has begun the trial";
     EXPECT_EQ(second.ledger.find(s_request)->trials, 1U);
 }
 
-// A store reader stores what has crashed two, reads what was stored before, and keeps the topic small.
+// A store reader stores suspects with two crashes, loads those stored before, and drops expired ones.
 TEST(SuspectGuardTest, AStoreReaderKeepsTheStoreUpToDate)
 {
     auto& log = *new FakeLog;
@@ -206,16 +206,15 @@
     testRuntime().spawn([&] { router.guard.runStoreSync([] { return true; }); });
     EXPECT_TRUE(eventually([&] {
         return router.ledger.suspicionOf(before, Common::now()) == Suspicion::Held && log.size() == 1;
-    })) << "the old one is dropped";
+    })) << "the expired suspect is dropped";
     crash(router.ledger, 2);
     EXPECT_TRUE(eventually([&] { return log.size() == 2; }));
     router.ledger.recordCompleted(s_request, Common::now());
     EXPECT_TRUE(eventually([&] { return log.size() == 1; }));
 }
 
-// What users would see: copies at once end one engine more than they should. A store reader that runs a suspect alone
-// writes what it learns meanwhile, and its claim went with that: another router ran the request beside it (8 runs in
-// place of 7, in 2 of 10 runs of CrashingRequestTest.CopiesAtOnce...).
+// Guards against a second concurrent run: a store reader that writes news of a suspect must not drop its own claim on
+// it.
 TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimDuringItsRun)
 {
     auto& log = *new FakeLog;
@@ -225,7 +224,7 @@
     crash(other.ledger, 2);
     ASSERT_EQ(reader.acquire(), Permission::Exclusive);
     testRuntime().spawn([&] { reader.guard.runStoreSync([] { return true; }); });
-    // News of the same request, which is stored.
+    // A further crash under the same request, which the reader stores.
     std::vector<InterruptedAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
         Common::now() - 9800ms } };
     reader.ledger.recordCrash({ "another", 1 }, attempts, Common::now());
