--- a/Source/RouteServing/Gateway/KvReplica.h
+++ b/Source/RouteServing/Gateway/KvReplica.h
@@ -24,7 +24,7 @@
     // of the request must include the engine of that attempt.
     void choose(Routing::UpstreamRegistry&, Routing::UpstreamRegistry::PlacementRequest, Common::TimePoint now);
 
-    // The next attempt has no replica.
+    // Clears the replica: the next attempt has none.
     void drop() { m_replica.reset(); }
 
     // Returns where the run continues after its engine failed; nullopt if there is no replica, or if the replica's
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -71,7 +71,7 @@
     void logFailure(const UpstreamAttempt&, bool retries) const;
     bool prepareRetry(const UpstreamAttempt&);
     void onCallerGone(const UpstreamAttempt&);
-    // Counts the request as usage of its workspace, once over all attempts.
+    // Counts the request as usage of its workspace, once for all its attempts.
     void countUsage();
     // Counts it if the attempt shows that the request had started to run at the upstream.
     void countUsageIfStarted(const UpstreamAttempt&);
--- a/Source/RouteServing/Gateway/SuspectCheck.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -13,9 +13,8 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Handles suspicion for one request, from its admission to its end: whether the request may be sent, and whether its
-// attempts disconnected from their upstreams. Used only by the fiber of the request. Costs next to nothing while there
-// are no suspects.
+// Checks one request against the suspects, from its admission to its end: decides whether it may be sent, and records
+// how its attempts ended. Used only by the fiber of the request. Costs next to nothing while there are no suspects.
 class SuspectCheck {
 public:
     // Components that all requests share.
@@ -31,7 +30,7 @@
     SuspectCheck(const SuspectCheck&) = delete;
     SuspectCheck& operator=(const SuspectCheck&) = delete;
 
-    // Must be called before the functions below. Empty if the route requires no key.
+    // Sets the workspace of the caller, before any other call. Empty if the route requires no key.
     void setWorkspace(std::string workspace) { m_workspace = std::move(workspace); }
 
     // Must be called before each attempt. Waits while another run of a suspect is in progress, until the deadline at
