--- a/Source/RouteServing/Gateway/DutyMetrics.cpp
+++ b/Source/RouteServing/Gateway/DutyMetrics.cpp
@@ -39,8 +39,7 @@
 
 void leaseChanged(LeaseChange change)
 {
-    counter("brassladder_duties_lease_changes_total",
-        "Changes of the duty lease at this router: claimed, released or lost",
+    counter("brassladder_duties_lease_changes_total", "Leases of the fleet's duties that this router won or lost",
         { { "change", std::string(label(change)) } })
         .Increment();
 }
@@ -48,23 +47,23 @@
 void dutyState(uint64_t ownToken, uint64_t firstUnreported)
 {
     Common::Metrics::gauge(
-        "brassladder_duties_token", "Fencing token of the duty lease while this router holds it, else 0")
+        "brassladder_duties_token", "Fencing token of the duties while this router holds them, else 0")
         .Set(static_cast<double>(ownToken));
     Common::Metrics::gauge(
-        "brassladder_usage_reported_before", "First usage window that is neither reported nor given up")
+        "brassladder_usage_reported_before", "Usage windows before this one are reported or given up")
         .Set(static_cast<double>(firstUnreported));
 }
 
 void callEnded(std::string_view call, DutyCallOutcome outcome)
 {
-    counter("brassladder_duties_calls_total", "Calls to the platform as the holder of the duties",
+    counter("brassladder_duties_calls_total", "Calls to the platform as holder of the duties",
         { { "call", std::string(call) }, { "outcome", std::string(label(outcome)) } })
         .Increment();
 }
 
 void usageWindowClosed(std::string_view how)
 {
-    counter("brassladder_usage_windows_total", "Usage windows that this router reported or gave up on",
+    counter("brassladder_usage_windows_total", "Usage windows that this router reported or gave up",
         { { "how", std::string(how) } })
         .Increment();
 }
@@ -72,8 +71,7 @@
 void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>& need)
 {
     auto set = [&](const char* what, unsigned engines) {
-        Common::Metrics::gauge("brassladder_capacity_engines",
-            "Listed and needed engines of a service whose capacity this router orders",
+        Common::Metrics::gauge("brassladder_capacity_engines", "Engines of a service whose capacity this router orders",
             { { "service", service }, { "what", what } })
             .Set(engines);
     };
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -14,25 +14,22 @@
 void requestEnded(unsigned status, std::string_view reason, Common::Duration time)
 {
     auto statusClass = std::to_string(status / statusesPerClass) + "xx";
-    counter("brassladder_gateway_requests_total",
-        "Requests by status class and by the router's reason to refuse or cut them",
+    counter("brassladder_gateway_requests_total", "Requests by kind of status and reason of our own",
         { { "status", statusClass }, { "reason", std::string(reason) } })
         .Increment();
-    static auto& s_time
-        = seconds("brassladder_gateway_request_seconds", "Time from arrival to the end of the response");
+    static auto& s_time = seconds("brassladder_gateway_request_seconds", "From arrival to the end of the answer");
     s_time.Observe(Common::toSeconds(time));
 }
 
 void firstByte(Common::Duration time)
 {
-    static auto& s_time
-        = seconds("brassladder_gateway_first_byte_seconds", "Time from arrival to the first byte of the response");
+    static auto& s_time = seconds("brassladder_gateway_first_byte_seconds", "From arrival to the answer's first byte");
     s_time.Observe(Common::toSeconds(time));
 }
 
 void attemptFailed(Routing::AttemptOutcome outcome, Common::ConnectionEnd end, bool retried)
 {
-    counter("brassladder_gateway_failed_tries_total", "Attempts at an upstream that failed",
+    counter("brassladder_gateway_failed_tries_total", "Tries at an upstream that gave no answer",
         { { "fate", std::string(Routing::fateLabel(outcome)) }, { "ended", std::string(Common::name(end)) },
             { "again", retried ? "yes" : "no" } })
         .Increment();
@@ -54,7 +51,7 @@
 void statementReceived(StatementKind what)
 {
     counter("brassladder_gateway_upstream_statements_total",
-        "Cooldowns, limits and departures that upstreams stated in responses to this router",
+        "Times that an upstream asked for rest, named a limit, or said that it leaves, by its responses to this router",
         { { "what", label(what) } })
         .Increment();
 }
@@ -62,32 +59,31 @@
 void requestWithheld()
 {
     static auto& s_withheld = counter("brassladder_gateway_withheld_total",
-        "Requests not sent to the chosen upstream, which had meanwhile stated a cooldown, a limit or that it is "
-        "leaving",
+        "Requests that were not sent to the upstream chosen, which had asked for rest, named a limit, or said that it "
+        "leaves",
         {});
     s_withheld.Increment();
 }
 
 void cooldownCount(size_t count)
 {
-    gauge("brassladder_upstreams_resting", "Upstreams in a cooldown that they requested from this router")
+    gauge("brassladder_upstreams_resting", "Upstreams that have asked this router for rest that is not over")
         .Set(static_cast<double>(count));
 }
 
 void sendQuotas(const Routing::SendQuotas::Summary& summary)
 {
-    gauge(
-        "brassladder_upstreams_limited", "Upstreams with a request limit for the whole fleet, as known to this router")
+    gauge("brassladder_upstreams_limited", "Upstreams with a limit for all routers together, as this router knows")
         .Set(static_cast<double>(summary.limited));
     gauge("brassladder_quota_allowed", "Requests that this router was allowed to send to upstreams with a limit")
         .Set(static_cast<double>(summary.allowed));
-    gauge("brassladder_quota_used", "Requests that this router sent to upstreams with a limit")
-        .Set(static_cast<double>(summary.used));
+    gauge("brassladder_quota_used", "Of those, requests that it sent").Set(static_cast<double>(summary.used));
 }
 
 void upstreamDisconnected(std::string_view cause)
 {
-    counter("brassladder_gateway_upstream_breaks_total", "Early ends of attempts at an upstream, by cause",
+    counter("brassladder_gateway_upstream_breaks_total",
+        "Times that attempts at an upstream ended without a response, by what was found there",
         { { "cause", std::string(cause) } })
         .Increment();
 }
@@ -97,7 +93,7 @@
     for (const auto& [suspicion, count] : counts) {
         if (suspicion == Routing::Suspicion::None)
             continue;
-        gauge("brassladder_gateway_suspects", "Requests that were in flight when upstreams crashed, by state",
+        gauge("brassladder_gateway_suspects", "Requests that were under way when upstreams crashed, by what follows",
             { { "state", std::string(Routing::name(suspicion)) } })
             .Set(static_cast<double>(count));
     }
@@ -105,16 +101,16 @@
 
 void fleetState(const FleetState& state)
 {
-    gauge("brassladder_fleet_is_hub", "Whether other routers receive their state from this one").Set(state.isHub);
+    gauge("brassladder_fleet_is_hub", "Whether other routers get their state from this one").Set(state.isHub);
     gauge("brassladder_fleet_reads_store", "Whether this router reads the platform's store for others")
         .Set(state.readsStore);
-    gauge("brassladder_fleet_size", "Routers known to this one, including itself")
+    gauge("brassladder_fleet_size", "Routers that this one knows, itself included")
         .Set(static_cast<double>(state.fleetSize));
     gauge("brassladder_configuration_version", "Version of the configuration in force")
         .Set(static_cast<double>(state.configurationVersion));
-    gauge("brassladder_configuration_age_seconds", "Time since the configuration was last confirmed as the newest")
+    gauge("brassladder_configuration_age_seconds", "Since the configuration was confirmed to be the newest")
         .Set(Common::toSeconds(state.configurationAge));
-    gauge("brassladder_upstreams_age_seconds", "Time since the list of upstreams was last confirmed")
+    gauge("brassladder_upstreams_age_seconds", "Since the list of upstreams was confirmed")
         .Set(Common::toSeconds(state.upstreamsAge));
 }
 
