--- a/Source/RouteServing/Routing/DepartedUpstreams.cpp
+++ b/Source/RouteServing/Routing/DepartedUpstreams.cpp
@@ -3,7 +3,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Exceeds the number of departures within the few seconds in which delayed writes arrive. Takes about 60 KB.
+// Must exceed the number of departures within the few seconds in which delayed writes arrive. The entries take about
+// 60 KB.
 static constexpr size_t maxDepartedUpstreams = 512;
 
 void DepartedUpstreams::record(const UpstreamRecord& upstream)
--- a/Source/RouteServing/Routing/DepartedUpstreams.h
+++ b/Source/RouteServing/Routing/DepartedUpstreams.h
@@ -9,8 +9,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Remembers the last incarnation of each upstream that is no longer listed, so that a delayed write cannot restore a
-// leaving or an earlier incarnation. Bounded: forgets the ids that departed first. Not thread-safe.
+// Stores the last incarnation of each upstream that is no longer listed, so that a delayed write cannot restore a
+// leaving or an earlier incarnation. The number of ids is bounded; those that departed first are evicted. Not
+// thread-safe.
 class DepartedUpstreams {
 public:
     // Records that the upstream is no longer listed.
--- a/Source/RouteServing/Routing/InterruptedAttempts.h
+++ b/Source/RouteServing/Routing/InterruptedAttempts.h
@@ -24,7 +24,7 @@
 // Collects the interrupted attempts of each upstream incarnation until the cause is determined. Not thread-safe.
 class InterruptedAttempts {
 public:
-    // Returns whether this is the incarnation's first attempt since the last call of `take`.
+    // Adds an attempt. Returns whether it is the incarnation's first since the last call of `take`.
     bool add(const UpstreamIncarnation&, InterruptedAttempt);
     std::vector<InterruptedAttempt> take(const UpstreamIncarnation&);
 
--- a/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
@@ -8,7 +8,7 @@
 using Common::ErrorKind;
 using namespace std::chrono_literals;
 
-// Upper bound for routes with a long objective. A quota that has not arrived by then is not expected soon.
+// Upper bound of the wait for a quota on routes with a long objective.
 static constexpr Common::Milliseconds quotaHoldCap = 300ms;
 
 Common::Milliseconds maxQuotaHold(const Route& route) { return std::min(route.objective / 2, quotaHoldCap); }
--- a/Source/RouteServing/Routing/NoUpstreamPolicy.h
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.h
@@ -6,11 +6,12 @@
 
 #include <optional>
 
-// Refusal of a request when every upstream that could receive it is in a cooldown or has used up its limit. The refusal
-// gives the time until the first of them becomes available. Does no I/O and reads no clock.
+// Defines how a request is refused for which no upstream is available. If the upstreams are in a cooldown or their
+// limits are used up, the refusal gives the time until the first of them becomes available. Does no I/O and reads no
+// clock.
 //
-// A request is held briefly for a quota, because quotas arrive several times per second. It is not held until the end
-// of a cooldown, because all held requests would reach the upstream at once.
+// A request waits briefly for a quota, because quotas arrive several times per second. It does not wait for the end of
+// a cooldown, because all waiting requests would then reach the upstream at once.
 namespace Brassladder::RouteServing::Routing {
 
 // When an upstream of the service is expected to become available.
--- a/Source/RouteServing/Routing/QuotaAssigner.cpp
+++ b/Source/RouteServing/Routing/QuotaAssigner.cpp
@@ -9,14 +9,13 @@
 
 // Minimum rate of requests to a limited upstream, because only a response can state that the limit has ended.
 static constexpr double probesPerSecond = 0.2;
-// Burst of the bucket, as a time at the full rate: two steps of the quota exchange. One more request is added to it.
+// Capacity of the bucket: the tokens of this time span (two steps of the quota exchange) plus one.
 static constexpr double bucketSpanSeconds = 0.2;
-// Longer intervals count as this one, so that a pause adds no burst. Two steps of the exchange take less, even on a
-// busy instance.
+// Upper bound of the time that one refill covers, so that a pause of the process does not cause a burst.
 static constexpr Common::Milliseconds maxRefillInterval = 500ms;
 static constexpr Common::Milliseconds poolValidity = 400ms;
 static constexpr Common::Milliseconds demandValidity = 500ms;
-// A requester without messages for this long is considered ended. Its counts must not restart earlier.
+// A requester that sent no message for this long is considered terminated and is removed. Removal restarts its counts.
 static constexpr Common::Milliseconds requesterTimeout = 10min;
 
 void QuotaBucket::refill(double requestsPerSecond, double share, Common::TimePoint now)
@@ -50,7 +49,7 @@
     auto& known = m_requesters[requester];
     if (known.demand.incarnation != demand.incarnation)
         known = {};
-    // The requester may count grants of an earlier process of this hub; its count then continues from there.
+    // The received count may include grants of an earlier process of this hub. The granted count continues from it.
     known.granted = std::max(known.granted, demand.received);
     known.demand = demand;
     known.lastDemandAt = now;
@@ -104,7 +103,8 @@
     std::string_view owner, std::string_view self, const StableSince& since, Common::TimePoint now)
 {
     if (m_owner != owner) {
-        // On the first call, another owner can have granted requests only before the set of hubs last changed.
+        // On the first call the previous owner is unknown, but it has granted nothing since the set of hubs last
+        // changed.
         m_since = m_owner.empty() ? since.hubs : now;
         m_owner = owner;
     }
--- a/Source/RouteServing/Routing/QuotaAssigner.h
+++ b/Source/RouteServing/Routing/QuotaAssigner.h
@@ -14,12 +14,11 @@
 // reads no clock.
 //
 // One hub assigns the limit of an upstream. It is chosen by rendezvous hashing among the hubs that are connected to
-// each other. It grants single requests to the hubs that request them, and each hub passes its grants on to the routers
-// that request them. Bursts therefore do not grow with the number of routers. Equal shares with a bucket of one request
-// each would allow 300 routers to send 300 requests at once, whatever the limit.
+// each other. It grants single requests to the hubs that have demand, and each hub passes its grants on to its routers.
+// Because there is one token bucket per limit and not one per router, bursts do not grow with the number of routers.
 namespace Brassladder::RouteServing::Routing {
 
-// Token bucket of one limit. A pause of the assigner adds tokens for a bounded time only.
+// Token bucket of one limit. After a pause, it is refilled for a bounded time only.
 class QuotaBucket {
 public:
     // `share`: share of the limit to add, in [0, 1].
@@ -43,8 +42,8 @@
     std::deque<Common::TimePoint> m_expires;
 };
 
-// Divides the requests to one upstream among the requesters. Grants and receipts are cumulative counts per pair of
-// processes, so messages may be lost or repeated.
+// Divides the requests to one upstream among the requesters: hubs, or the routers of a hub. Granted and received
+// requests are exchanged as cumulative counts per pair of processes, so messages may be lost or repeated.
 class QuotaAssigner {
 public:
     struct Demand {
@@ -55,8 +54,8 @@
     void record(const std::string& requester, const Demand&, Common::TimePoint now);
     // Returns the total unmet demand of the recent requesters.
     unsigned wanted(Common::TimePoint now) const;
-    // Grants up to `requests` requests. Each goes to the requester with the largest unmet demand, among equals to the
-    // one with the oldest last grant. Returns the number of granted requests.
+    // Grants up to `requests` requests, each to the requester with the largest unmet demand. Ties go to the requester
+    // whose last grant is the oldest. Returns the number of granted requests.
     unsigned assign(unsigned requests, Common::TimePoint now);
     // Returns the total that was granted to the process.
     uint64_t granted(std::string_view requester, uint64_t incarnation) const;
@@ -76,14 +75,14 @@
     uint64_t m_turn { 0 };
 };
 
-// Whether this router currently assigns the limit of one upstream. A new owner waits until the grants of the previous
-// owner have expired, so that the grants of both never add up.
+// Determines whether this router currently assigns the limit of one upstream. A new owner waits until the grants of the
+// previous owner have expired, so that grants of both are never valid at the same time.
 class QuotaOwnership {
 public:
-    // Since when the inputs of the ownership decision have been stable.
+    // Start times of the current state of the inputs.
     struct StableSince {
-        Common::TimePoint hubs {}; // The set of hubs that this router is connected to.
-        Common::TimePoint running {}; // This router has run as a hub without a pause.
+        Common::TimePoint hubs {}; // Last change of the set of hubs that this router is connected to.
+        Common::TimePoint running {}; // Since then, this router has run as a hub without a pause.
     };
     // `owner`: the assigner of the limit according to this router. Returns whether this router may grant requests.
     bool update(std::string_view owner, std::string_view self, const StableSince&, Common::TimePoint now);
@@ -93,8 +92,8 @@
     Common::TimePoint m_since {};
 };
 
-// Longest time from a grant until the request reaches its upstream: in the pools of two hubs, in transit between three
-// routers, and in the quota of the last one.
+// Maximum time from a grant until the request reaches its upstream: the validity in the pools of two hubs
+// (`poolValidity`) and in the quota of the sending router (`quotaValidity`), and the messages between the three.
 inline constexpr Common::Milliseconds quotaLifetime { 1700 };
 // How long a router may use a received grant.
 inline constexpr Common::Milliseconds quotaValidity { 700 };
--- a/Source/RouteServing/Routing/RefusalBackoff.cpp
+++ b/Source/RouteServing/Routing/RefusalBackoff.cpp
@@ -7,12 +7,11 @@
 
 using namespace std::chrono_literals;
 
-// First backoff: about the time in which a small upstream with short requests works off a full queue.
+// Length of the first backoff, and the upper bound of the doubling.
 static constexpr Common::Milliseconds initialBackoff = 25ms;
-// Upper bound of the doubling.
 static constexpr Common::Milliseconds maxBackoff = 4000ms;
-// On trial, the next request may be sent after this time if the previous one has neither been refused nor answered. A
-// refusal arrives within a few milliseconds.
+// An upstream on trial may receive the next request this long after the previous one if that was neither refused nor
+// answered. Longer than a refusal takes.
 static constexpr Common::Milliseconds trialInterval = 100ms;
 
 void RefusalBackoff::recordRefusal(Common::TimePoint now)
--- a/Source/RouteServing/Routing/RefusalBackoff.h
+++ b/Source/RouteServing/Routing/RefusalBackoff.h
@@ -5,21 +5,21 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Backoff for one upstream that refuses requests. A refusal takes about a millisecond, so a refusing upstream has the
-// fewest outstanding requests and would attract load. Each refusal in a row doubles the backoff up to a bound; each
-// response halves it.
+// Implements exponential backoff for one upstream that refuses requests. Refusals are fast, so a refusing upstream has
+// the fewest outstanding requests, and placement by load would prefer it. Each refusal after the end of a backoff
+// doubles its length, up to a bound; each response halves it.
 //
-// After a refusal or a cooldown the upstream is on trial: until it responds, it gets one request per interval while
-// others are available. Not thread-safe.
+// After a refusal or a cooldown the upstream is on trial: until it responds, it receives at most one request per
+// `trialInterval` while other upstreams are available. Not thread-safe.
 class RefusalBackoff {
 public:
-    // The upstream refused a request without starting a cooldown.
+    // Records that the upstream refused a request without starting a cooldown.
     void recordRefusal(Common::TimePoint now);
-    // The upstream started a cooldown. UpstreamStatements stores its end.
+    // Records that the upstream started a cooldown. UpstreamStatements stores its end.
     void recordCooldown();
-    // A request is about to be sent to the upstream.
+    // Records that a request is about to be sent to the upstream.
     void recordStart(Common::TimePoint now) { m_lastStart = now; }
-    // A response has begun that is not a refusal.
+    // Records that a response has begun that is not a refusal.
     void recordResponse();
 
     // Returns whether other upstreams are preferred now. Like an ejection this is a heuristic: the upstream is still
--- a/Source/RouteServing/Routing/RequestIdentity.h
+++ b/Source/RouteServing/Routing/RequestIdentity.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-// Identifies a request that is sent again: same caller, method, host, target with its query, and body. The identity
-// excludes the request id, which differs each time; the API key, which a workspace may change; and other headers, so
-// that a stream that its caller resumes keeps its identity. Does no I/O.
+// Identifies a request that is sent again. The identity covers the workspace, method, host, target with its query, and
+// body. It does not cover the request id, which differs each time, the API key, which a workspace may change, or other
+// headers, which differ when a caller resumes a stream. Does no I/O.
 namespace Brassladder::RouteServing::Routing {
 
 // Inputs of the identity, as views into the request.
@@ -23,7 +23,7 @@
 };
 
 struct RequestIdentity {
-    uint64_t target { 0 }; // Hash of everything but the body. It is cheap, so it is compared first.
+    uint64_t target { 0 }; // Hash of everything except the body. Cheap to compute, so it is compared first.
     uint64_t bodyBytes { 0 };
     Common::KeyedHash::Value body {};
 
--- a/Source/RouteServing/Routing/SendQuotas.cpp
+++ b/Source/RouteServing/Routing/SendQuotas.cpp
@@ -10,12 +10,14 @@
 
 // A limit without new information for this long is removed. Equals the longest cooldown that an upstream can set.
 static constexpr Common::Milliseconds limitRetention = 1h;
-// A quota is requested for the demand of this time span. Two to three messages pass until a grant arrives.
+// A router requests quota for the demand expected within this time span. It covers the two to three messages until a
+// grant arrives.
 static constexpr double demandSpanSeconds = 0.25;
-// Bounds of the time that callers are told to wait for a quota.
+// Bounds of the expected wait for a quota, which refusals give to callers as the retry time.
 static constexpr Common::Milliseconds minQuotaWait = 200ms;
 static constexpr Common::Milliseconds maxQuotaWait = 4000ms;
 
+// Length of a time slice of RecentCount.
 static constexpr Common::Milliseconds countSlice = 500ms;
 // After this many requests of other ranks, a less urgent request may be sent before more urgent ones.
 static constexpr unsigned maxSendsBeforeLessUrgent = 5;
@@ -45,7 +47,7 @@
 {
     auto found = m_entries.find(key);
     if (found == m_entries.end()) {
-        // Most responses name no limit, which is relevant only for an upstream that named one before.
+        // Most responses state no limit, which is relevant only for an upstream that stated one before.
         if (learned.namedAt == Common::TimePoint::min())
             return LimitChange::None;
         found = m_entries.try_emplace(key).first;
@@ -122,8 +124,8 @@
     return keys;
 }
 
-// The quota is reserved while more urgent requests find no upstream. After every few sends of other ranks one less
-// urgent request is exempt, so that no rank starves.
+// The quota is reserved while there are more urgent requests for which no upstream is available. A request is exempt
+// after `maxSendsBeforeLessUrgent` sends of other ranks, so that no rank starves.
 bool SendQuotas::isReservedForMoreUrgent(const Entry& entry, size_t rank, Common::TimePoint now)
 {
     bool isMoreUrgentWaiting = std::any_of(entry.unplaced.begin(), entry.unplaced.lower_bound(rank),
--- a/Source/RouteServing/Routing/SendQuotas.h
+++ b/Source/RouteServing/Routing/SendQuotas.h
@@ -16,12 +16,12 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// This router's share of the limits that upstreams set for all routers together: which limits are in force, and how
-// many requests this router may send to each limited upstream now.
+// Stores the limits that upstreams set for all routers together, and this router's quota of each: the number of
+// requests that it may send to the upstream now.
 //
-// A limit applies to the whole fleet, so the router sends requests to a limited upstream only within its quota: single
-// requests granted by QuotaAssigner, each valid for a short time. Without a quota it sends none, even if the limit is
-// new, no other router is connected yet, or the connections are lost. Thread-safe.
+// A quota consists of single requests that were granted by QuotaAssigner, each valid for a short time. Without a quota
+// the router sends no requests to a limited upstream, even if the limit is new, no other router is connected yet, or
+// the connections are lost. Thread-safe.
 class SendQuotas {
 public:
     enum class LimitChange : uint8_t { None, Named, Changed, Ended };
@@ -43,13 +43,13 @@
     // Consumes one request of the quota, ignoring reservations. Returns false if none is left. Always true without a
     // limit.
     bool take(uint32_t key, size_t rank, Common::TimePoint now);
-    // Records a request that could be sent to the upstream.
+    // Records a request for which the upstream is eligible, whether or not it is sent there.
     void recordDemand(uint32_t key, Common::TimePoint now);
-    // Records a request that could have been sent to the upstream but found no upstream at all.
+    // Records that no upstream was available for a request for which this upstream is eligible.
     void recordUnplaced(uint32_t key, size_t rank, Common::TimePoint now);
 
-    // Returns the expected time until the requests of the last second that could not be sent may be sent to any of
-    // these upstreams, or nullopt if none of them has a limit in force.
+    // Estimates the time until the quotas of these upstreams cover the recent requests that were not sent. Returns
+    // nullopt if none of the upstreams has a limit in force.
     std::optional<Common::Milliseconds> expectedWait(std::span<const uint32_t> keys, Common::TimePoint now) const;
 
     struct KnownLimit {
@@ -72,7 +72,7 @@
     Summary summary() const;
 
 private:
-    // Counts the events of approximately the last second.
+    // Counts the events of the current and the previous time slice, which cover the last 0.5 to 1 s.
     class RecentCount {
     public:
         void add(Common::TimePoint now);
@@ -89,7 +89,7 @@
         RecentCount demand;
         RecentCount sent;
         std::map<size_t, RecentCount> unplaced; // By rank.
-        std::map<size_t, unsigned> sentSinceLastOfRank; // By rank; requests of other ranks sent since its last one.
+        std::map<size_t, unsigned> sentSinceLastOfRank; // Requests of other ranks sent since the last of this rank.
     };
 
     static unsigned validRequests(const Entry&, Common::TimePoint now);
--- a/Source/RouteServing/Routing/Suspect.cpp
+++ b/Source/RouteServing/Routing/Suspect.cpp
@@ -9,15 +9,15 @@
 using namespace std::chrono_literals;
 using Common::TimePoint;
 
-// Sequential crashes after which a request is held; a requirement of the users.
+// Number of sequential crashes after which a request is held.
 static constexpr unsigned crashesToHold = 3;
+// Number of crashes after which only one run of a request at a time is allowed in the whole fleet.
 static constexpr unsigned crashesToRunAlone = 2;
-// How long a request is held before each trial. After the last trial it stays held until an operator lifts it or it
-// expires. A failing trial costs an engine with all its requests, and the users allow at most three sends after the
-// third crash.
+// How long a request is held before each trial. After the last trial it remains held until an operator clears it or its
+// record expires. The number of trials is limited because a failed trial crashes an engine with all its requests.
 static constexpr std::array<Common::Milliseconds, 3> holdDurations { 10min, 1h, 6h };
-// Two routers' times of one event differ by the message delay. This value is above that delay, and below the time
-// between two crashes by the same request.
+// Two clearings whose times differ by no more than this are the same event. Greater than the message delay, by which
+// the times of two routers differ, and less than the time between two crashes by the same request.
 static constexpr Common::Milliseconds sameEventTolerance = 300ms;
 
 std::string_view name(Suspicion suspicion)
@@ -37,10 +37,10 @@
     return "none";
 }
 
-// Two routers' times differ by the message delay, some milliseconds, and engines that crash together do so within a few
-// milliseconds. A run that began this long before a crash may have begun after it, and one that ended this soon after a
-// crash may have ended with it. A request that crashes its engine takes longer than that
-// (docs/incidents/crashing-request.md).
+// Tolerance for comparing the times of two runs. Times of two routers differ by the message delay, and engines that
+// crash together do so within a few milliseconds. A run that was sent up to this long before a crash counts as sent
+// after it, and a run that ended up to this long after a crash counts as ended by the same event. A request that
+// crashes its engine takes longer than that (docs/incidents/crashing-request.md).
 static constexpr Common::Milliseconds clockTolerance = 40ms;
 
 static bool isSequential(const CrashedRun& run, const CrashedRun& before)
@@ -127,7 +127,7 @@
     if (suspect.runs.size() <= maxCrashedRuns)
         return true;
     dropOldestOutsideChain(suspect);
-    // The new run itself may have been dropped, and must then not count as a change each time it is reported.
+    // If the new run itself was dropped, the record did not change. Otherwise each repeated report would be a change.
     return hasRunAt(suspect, run.upstream);
 }
 
--- a/Source/RouteServing/Routing/Suspect.h
+++ b/Source/RouteServing/Routing/Suspect.h
@@ -10,13 +10,14 @@
 #include <string>
 #include <vector>
 
-// A request that was in flight at upstreams when they crashed, and the restrictions that follow for it. Does no I/O and
-// reads no clock.
+// Suspects: requests that were in flight at upstreams when these crashed, and the restrictions that apply to them. Does
+// no I/O and reads no clock.
 //
 // When an engine crashes, any of its up to 64 requests in flight may be the cause, so all of them are suspects. A
-// request that causes crashes never completes and crashes one upstream after another. A completed run therefore clears
-// a request, and only sequential crashes lead to holding it: each of the runs was sent after the previous crash. A
-// popular request that was in flight at twenty engines of a failed rack has one sequential crash.
+// request that causes crashes never completes and crashes one upstream after another. Therefore a completed run clears
+// a request, and a request is held only after sequential crashes, in which each run was sent after the previous crash.
+// If the engines of a failure domain crash together, a request that was in flight at all of them has one sequential
+// crash.
 namespace Brassladder::RouteServing::Routing {
 
 // A run that ended with a crash of its upstream.
@@ -31,22 +32,22 @@
     RequestIdentity request;
     std::string workspace;
     std::string target;
-    // At most one per upstream incarnation, ordered by end time. The oldest may be missing (maxCrashedRuns).
+    // At most one per upstream incarnation and `maxCrashedRuns` in total, ordered by end time.
     std::vector<CrashedRun> runs;
-    // When a run last completed or an operator lifted the suspicion; TimePoint::min() if neither happened.
+    // When a run last completed or an operator cleared the request; TimePoint::min() if neither happened.
     Common::TimePoint cleared { Common::TimePoint::min() };
     // Trial runs that were allowed while the request was held, since `cleared`.
     unsigned trials { 0 };
     Common::TimePoint lastTrial { Common::TimePoint::min() };
 };
 
-// Runs kept per request, enough for the sequential and the newest ones.
+// Maximum number of runs kept per request. Runs outside the chain of sequential runs are dropped first.
 inline constexpr size_t maxCrashedRuns = 8;
 
 enum class Suspicion : uint8_t {
     None,
     Once, // In flight at one crash: served, but the router does not retry a failed attempt.
-    Repeated, // In flight at two or more crashes: runs alone, one run at a time in the whole fleet.
+    Repeated, // In flight at two or more crashes: one run at a time in the whole fleet, on a least loaded upstream.
     Held, // Three sequential crashes: not sent to any upstream.
     OnTrial, // Held for long enough: one trial run in the whole fleet is allowed.
 };
@@ -64,13 +65,14 @@
 // Returns the time of the newest crash, trial or clearing.
 Common::TimePoint lastEventAt(const SuspectRecord&);
 
-// Adds a run. Returns false if the record did not change: a run at that incarnation is known, or the run was cleared.
+// Adds a run. Returns false if the record did not change: a run at that incarnation is known, the run ended before the
+// request was cleared, or the run was dropped because of `maxCrashedRuns`.
 bool addRun(SuspectRecord&, const CrashedRun&);
 // Merges another router's record of the same request. Returns false if it contained nothing new.
 bool merge(SuspectRecord&, const SuspectRecord& other);
 // Records the start of a trial.
 void countTrial(SuspectRecord&, Common::TimePoint);
-// Records that a run completed or an operator lifted the suspicion. Returns false if that was already known.
+// Records that a run completed or an operator cleared the request. Returns false if that was already known.
 bool clear(SuspectRecord&, Common::TimePoint);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -8,13 +8,13 @@
 using namespace std::chrono_literals;
 using Common::TimePoint;
 
-// Bound the memory to about 2 MB, with at most 2 KB per entry. The crash of one engine adds up to 64 entries.
+// Maximum number of entries in total and per workspace. An entry takes at most 2 KB.
 static constexpr size_t maxEntries = 1024;
 static constexpr size_t maxEntriesOfWorkspace = 128;
-// One in this many candidates is evicted at once, because each eviction scans all of them.
+// An eviction removes one in this many candidates, because it scans all of them.
 static constexpr size_t evictionDivisor = 8;
-// How long an entry is kept after its last event. Callers that retry do so within minutes. A held request is kept
-// longer, because without its entry it could crash three more upstreams.
+// How long an entry is kept after its last event. The entry of a held request is kept longer, because without it the
+// request could crash three more upstreams.
 static constexpr Common::Milliseconds suspectRetention = 10min;
 static constexpr Common::Milliseconds heldSuspectRetention = 24h;
 // Interval between scans for expired entries.
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -15,8 +15,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The suspects known to this router, from its own attempts and from other routers (Suspect.h). Bounded per workspace,
-// so that a workspace whose requests all differ evicts only its own entries, and in total. Thread-safe.
+// Stores the suspects (Suspect.h) known to this router, from its own attempts and from other routers. The number of
+// entries is bounded in total and per workspace, so that a workspace that sends many different requests evicts its own
+// entries first. Thread-safe.
 class SuspectLedger {
 public:
     // Returns whether the record is too old to be kept, here and in the store.
@@ -29,7 +30,7 @@
     std::optional<SuspectRecord> find(const RequestIdentity&) const;
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
-    // Records the crash of an upstream with these attempts of this router in flight there.
+    // Records that an upstream crashed while these attempts of this router were in flight there.
     void recordCrash(const UpstreamIncarnation&, std::span<const InterruptedAttempt>, Common::TimePoint now);
     // Records a completed run of the request. Does nothing if the request is not a suspect.
     void recordCompleted(const RequestIdentity&, Common::TimePoint now);
@@ -38,7 +39,7 @@
     // Merges a record from another router or from the store.
     void merge(const SuspectRecord&, Common::TimePoint now);
 
-    // Limits a message to about 12 KB.
+    // Maximum number of records per message, about 12 KB.
     static constexpr size_t maxRecordsPerMessage = 64;
     // Selects the records that `changesAfter` returns.
     enum class Scope : uint8_t {
@@ -60,7 +61,7 @@
     struct Entry {
         SuspectRecord record;
         uint64_t revision { 0 }; // Revision of the newest change.
-        bool wasRepeated { false }; // It has had two crashes, so its later changes concern every router.
+        bool wasRepeated { false }; // The suspicion has been `Repeated` or higher (Scope::Repeated).
     };
     using Entries = std::map<RequestIdentity, Entry>;
 
--- a/Source/RouteServing/Routing/Upstream.h
+++ b/Source/RouteServing/Routing/Upstream.h
@@ -48,13 +48,13 @@
     uint64_t prefillTokens { 0 }; // Estimated uncached prompt tokens of requests without a first event.
 };
 
-// Key of `LoadsByUpstream`, shorter on the wire than the id. If two upstreams have the same hash, each is assumed to
-// have the load of both.
+// Returns the key of `LoadsByUpstream`, which is shorter on the wire than the id. Upstreams with the same hash share
+// one load.
 uint32_t shortHash(std::string_view upstreamId);
 
 using LoadsByUpstream = std::unordered_map<uint32_t, UpstreamLoad>; // Keyed by the short hash.
 
-// Adds the second map to the first.
+// Adds each load of the second map to the load of that upstream in the first.
 void addLoads(LoadsByUpstream&, const LoadsByUpstream&);
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamHealth.cpp
+++ b/Source/RouteServing/Routing/UpstreamHealth.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Consecutive failures that eject an upstream; one alone may be an isolated fault. A failed connect ejects at once.
+// Number of consecutive failures that eject an upstream. A single failed connection attempt also ejects it.
 static constexpr unsigned failuresToEject = 2;
 // Length of the first ejection, and the upper bound of the doubling.
 static constexpr Common::Milliseconds initialEjection = 500ms;
@@ -20,7 +20,8 @@
 
 void UpstreamHealth::record(AttemptOutcome outcome, Common::TimePoint now)
 {
-    // Refusals (NotExecuted) are handled by RefusalBackoff.
+    // Withheld and cancelled attempts are no evidence of health or failure. Refusals (NotExecuted) are handled by
+    // RefusalBackoff.
     bool isInconclusive = outcome == AttemptOutcome::CancelledBeforeSending || outcome == AttemptOutcome::Withheld
         || outcome == AttemptOutcome::CancelledAfterSending || outcome == AttemptOutcome::NotExecuted;
     if (isInconclusive)
--- a/Source/RouteServing/Routing/UpstreamHealth.h
+++ b/Source/RouteServing/Routing/UpstreamHealth.h
@@ -6,8 +6,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Outlier ejection of one upstream, based on the outcomes of regular requests (no probes). Consecutive failures eject
-// the upstream for a period that doubles with each ejection, up to a bound; a success resets it. Not thread-safe.
+// Implements outlier ejection for one upstream, based on the outcomes of regular requests, without probes. Consecutive
+// failures eject the upstream. The period doubles with each ejection, up to a bound. A success resets the period and
+// the failure count, but does not end an ejection early. Not thread-safe.
 class UpstreamHealth {
 public:
     void record(AttemptOutcome, Common::TimePoint now);
--- a/Source/RouteServing/Routing/UpstreamLimit.cpp
+++ b/Source/RouteServing/Routing/UpstreamLimit.cpp
@@ -8,7 +8,8 @@
 
 using namespace std::chrono_literals;
 
-// Exceeds the error of `namedAt` after three messages between routers (Gateway/QuotaExchange).
+// Must exceed the error of `namedAt`, which grows with each of up to three messages between routers
+// (Gateway/QuotaExchange).
 static constexpr Common::Milliseconds reorderTolerance = 1000ms;
 
 double roundedLimit(double requestsPerSecond)
--- a/Source/RouteServing/Routing/UpstreamLimit.h
+++ b/Source/RouteServing/Routing/UpstreamLimit.h
@@ -11,7 +11,8 @@
 // The limit, in requests per second, that an upstream sets for all routers together. Does no I/O and reads no clock.
 namespace Brassladder::RouteServing::Routing {
 
-// What one response states about its upstream's limit. Without a rate, the upstream has no limit, or no longer has one.
+// What one response states about its upstream's limit. An empty rate means that the upstream has no limit, or no longer
+// has one.
 struct LimitStatement {
     std::optional<double> requestsPerSecond;
 };
@@ -28,13 +29,14 @@
 // Its times only increase. Routers that exchange their state therefore converge, in whatever order messages arrive.
 struct UpstreamLimit {
     double requestsPerSecond { 0 }; // Rounded.
-    // Arrival of the newest response that named the limit.
+    // Arrival time of the newest response that stated the limit.
     Common::TimePoint namedAt { Common::TimePoint::min() };
-    // Sending time of the newest request whose response named no limit.
+    // Send time of the newest request whose response stated no limit.
     Common::TimePoint unnamedSince { Common::TimePoint::min() };
 
-    // Returns whether requests need a quota of the limit. Responses may arrive out of order, and times from other
-    // routers are estimates, so only a response to a request that was sent well after the last naming ends a limit.
+    // Returns whether the limit applies, so that each request consumes quota. Responses may arrive out of order, and
+    // times from other routers are estimates. Therefore a limit ends only with a response without a limit to a request
+    // that was sent at least `reorderTolerance` after the limit was last stated.
     bool isInForce() const;
     void merge(const UpstreamLimit&);
     // Time of the newest information.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -11,14 +11,13 @@
 
 using namespace std::chrono_literals;
 
-// An upstream's own load report is used for this long. Reports arrive with each response and are some hundred
-// milliseconds old.
+// Maximum age of an upstream's load report. Reports arrive with each response.
 static constexpr Common::Milliseconds reportMaxAge = 1000ms;
 
 // Returns the new entry for a record whose id is already known.
 UpstreamRegistry::Entry UpstreamRegistry::updatedEntry(const Entry& known, UpstreamRecord record)
 {
-    // A delayed write of an earlier incarnation.
+    // The record is a delayed write of an earlier incarnation.
     if (record.born < known.record.born)
         return known;
     Entry entry;
@@ -84,8 +83,8 @@
     return found == m_peerLoads.end() ? UpstreamLoad {} : found->second;
 }
 
-// Returns the number of requests that all routers have outstanding at the upstream, or its own recent report if that is
-// higher.
+// Returns the number of requests that all routers have outstanding at the upstream, or the number that the upstream
+// recently reported if that is higher.
 double UpstreamRegistry::outstanding(const Entry& entry, Common::TimePoint now) const
 {
     double sent = entry.own.requests + peerLoadOf(entry).requests;
@@ -130,7 +129,7 @@
 
 // Returns the upstreams that may receive the request. Backoff and ejection are heuristics and are ignored when no other
 // upstream is left, because an attempt is better than a refusal. Backed-off upstreams are used before ejected ones,
-// since a refused request cannot have run. Statements of an upstream are never ignored.
+// because a refused request did not run and can be retried. Statements of an upstream are never ignored.
 UpstreamRegistry::Candidates UpstreamRegistry::candidates(
     const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
@@ -443,7 +442,7 @@
 uint64_t UpstreamRegistry::digest() const
 {
     std::lock_guard lock(m_mutex);
-    // Peers report 0 if they have no list, so the digest of an empty list must differ from 0.
+    // A router without a list reports digest 0, so the digest of an empty list must differ from 0.
     uint64_t digest = std::max<uint64_t>(1, m_entries.size());
     for (const auto& [id, entry] : m_entries)
         digest = Common::stableHash(
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -25,8 +25,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The upstreams known to this router, with their load and health, and the choice of one for a request. Owns the load
-// that this router has outstanding; PlainPlacement and EnginePlacement implement the placement rules. Thread-safe.
+// Holds the upstreams known to this router with their load and health, and chooses one for each request. Counts the
+// requests that this router has outstanding. PlainPlacement and EnginePlacement implement the placement rules.
+// Thread-safe.
 class UpstreamRegistry {
 public:
     // What a request requires of an upstream.
@@ -40,7 +41,7 @@
         // Excludes upstreams with a limit. Set when no request is sent now, so that no quota can be consumed.
         bool excludesLimited { false };
         size_t rank { 0 }; // Urgency, 0 is the highest; decides who may use a scarce quota.
-        bool isWaitingForQuota { false }; // An earlier search found no upstream, and the request waits for a quota.
+        bool isWaitingForQuota { false }; // An earlier search found no upstream, so the demand is recorded already.
     };
     struct Placement {
         UpstreamRecord upstream;
@@ -63,20 +64,20 @@
     {
     }
 
-    // Replaces the list of upstreams with the platform's list. A leaving incarnation stays leaving, even if a delayed
-    // list contradicts that. A later incarnation of an id is a new upstream: it is not leaving and has no outstanding
-    // requests. An entry for an earlier incarnation than the known one is a delayed write and is ignored. `born` orders
-    // the incarnations of an id.
+    // Replaces the list of upstreams with the platform's list. `born` orders the incarnations of an id. An incarnation
+    // that was listed as leaving remains so, even if a delayed list states otherwise. A later incarnation is a new
+    // upstream: it does not inherit the leaving state or the outstanding requests. An earlier incarnation than the
+    // known one is a delayed write and is ignored.
     void setUpstreams(std::vector<UpstreamRecord>);
-    // Returns whether the upstream is listed and neither its entry nor one of its responses says that it is leaving.
+    // Returns whether the upstream is listed and neither its entry nor one of its responses states that it is leaving.
     bool isServing(std::string_view id) const;
 
     // Returns the upstream that is expected to respond first, or nullopt if no upstream may receive the request.
     std::optional<Placement> choose(const PlacementRequest&, Common::TimePoint now);
     // Returns the earliest end of a cooldown among the eligible upstreams, or nullopt if none of them is in a cooldown.
     std::optional<Common::TimePoint> earliestCooldownEnd(const PlacementRequest&, Common::TimePoint now) const;
-    // Returns the expected time until this router's quotas cover its recent unsent requests, or nullopt if no eligible
-    // upstream has a limit.
+    // Returns the expected time until this router's quotas cover its recent unsent requests, or nullopt if none of the
+    // eligible upstreams has a limit. Upstreams that are leaving or in a cooldown are not considered.
     std::optional<Common::Milliseconds> quotaWait(const PlacementRequest&, Common::TimePoint now) const;
     // Returns whether some upstream may receive the request and is neither ejected nor backed off.
     bool hasHealthyUpstream(const PlacementRequest&, Common::TimePoint now) const;
@@ -106,8 +107,8 @@
     void recordEnd(const Placement&, bool hadPrefillDone, AttemptOutcome, Common::TimePoint now);
     void recordReport(std::string_view id, const ReportedLoad&, Common::TimePoint now);
 
-    // Returns whether an engine recently failed in the middle of a response, which makes replicas of generations worth
-    // their cost.
+    // Returns whether an engine recently failed in the middle of a response. Generations are replicated only while this
+    // is the case.
     bool midStreamFailuresAreLikely(Common::TimePoint now) const;
 
     // Returns the load that this router has outstanding, as reported to other routers.
@@ -120,7 +121,8 @@
     // Estimates the time to the first event from those of the service's engines that this router relayed.
     FirstEventEstimate firstEventEstimate(std::string_view service, Common::TimePoint now) const;
 
-    // Returns the last list, with `leaving` as known to this router.
+    // Returns the upstreams of the last list. `leaving` is also set if an earlier list stated it for the incarnation;
+    // statements of the upstreams themselves are not included.
     std::vector<UpstreamRecord> upstreams() const;
     // Returns a digest of the list. Equal lists have equal digests; that of an empty list is not 0.
     uint64_t digest() const;
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -5,8 +5,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Above this number, entries without an active cooldown are evicted, leaving ones last and the oldest first. Exceeds
-// the number of upstreams in a fleet; the entries take about 0.4 MB.
+// Above this number of entries, those without an active cooldown are evicted: first all that are not leaving, then the
+// oldest that are. Larger than the number of upstreams in a fleet; the entries take about 0.4 MB.
 static constexpr size_t maxStatementEntries = 4096;
 
 const UpstreamStatements::StatementEntry* UpstreamStatements::find(const UpstreamRecord& upstream) const
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -25,7 +25,8 @@
 // entry in the list, because the same process may be listed again. Not thread-safe.
 class UpstreamStatements {
 public:
-    // Returns whether this is new information: the upstream was not in a cooldown, or not known to be leaving.
+    // Returns whether the statement is new: it starts a cooldown while none is active, or is the first that states that
+    // the upstream is leaving.
     bool record(const UpstreamRecord&, const UpstreamStatement&, Common::TimePoint now);
 
     // Returns whether no statement of the upstream forbids sending it a request now.
--- a/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/LeaseRetryHealthTest.cpp
@@ -30,7 +30,7 @@
     EXPECT_TRUE(FreshnessLease(0ms).isFresh(Common::TimePoint(9h)));
 }
 
-// For any order of events, the retries in each window stay within ratio x requests of that window + allowance.
+// In each window, the number of retries is at most ratio * requests + allowance, in any order of events.
 TEST(RetryWindowTest, NoWindowHasMoreRetriesThanItsBoundsAllow)
 {
     bool holds = rc::check("each sliding window is within the bound", [] {
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -70,7 +70,7 @@
     EXPECT_EQ(assigner.assign(5, s_now), 1U) << "there is no more unmet demand";
 }
 
-// A grant whose message is in transit or was lost is not given again.
+// A grant counts against the demand until the requester confirms it, even if its message was lost.
 TEST(QuotaAssignerTest, AGrantInFlightIsNotGivenTwice)
 {
     QuotaAssigner assigner;
@@ -108,14 +108,14 @@
 {
     QuotaOwnership ownership;
     QuotaOwnership::StableSince since { s_now - 1h, s_now - 1h };
-    EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the set of hubs has been stable for long";
+    EXPECT_TRUE(ownership.update("self", "self", since, s_now)) << "the set of hubs has been stable for an hour";
     EXPECT_FALSE(ownership.update("other", "self", since, s_now + 1s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s));
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 2s + quotaLifetime - 1ms));
     EXPECT_TRUE(ownership.update("self", "self", since, s_now + 2s + quotaLifetime));
     since.running = s_now + 10s;
     EXPECT_FALSE(ownership.update("self", "self", since, s_now + 10s))
-        << "it was paused, so another owner may have taken over";
+        << "this router was paused, so another owner may have granted requests";
     QuotaOwnership fresh;
     EXPECT_FALSE(fresh.update("self", "self", { s_now, s_now - 1h }, s_now + 100ms))
         << "the set of hubs has just changed";
--- a/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
@@ -37,7 +37,8 @@
     auto now = s_now;
     for (auto expected : { 25ms, 50ms, 100ms, 200ms }) {
         backoff.recordRefusal(now);
-        backoff.recordRefusal(now) /* in flight at the first refusal */;
+        // Refusal of a request that was in flight at the first refusal.
+        backoff.recordRefusal(now);
         EXPECT_TRUE(backoff.isBackedOff(now + expected - 1ms));
         now += expected;
         EXPECT_FALSE(backoff.isBackedOff(now));
@@ -68,8 +69,8 @@
     EXPECT_FALSE(backoff.isBackedOff(now + 101ms));
 }
 
-// An upstream that refuses immediately has the fewest outstanding requests, so placement by load would send it nearly
-// everything. Here one upstream of four refuses all requests and the others are always busier.
+// An upstream that refuses immediately has the fewest outstanding requests, so placement by load alone would choose it
+// for nearly all requests.
 TEST(RefusalBackoffTest, AFastRefusingUpstreamDoesNotAttractLoad)
 {
     UpstreamRegistry registry("north");
@@ -95,7 +96,7 @@
         }
     }
     EXPECT_LE(refused, 20U);
-    EXPECT_GE(refused, 7U) << "it is still tried about every four seconds";
+    EXPECT_GE(refused, 7U) << "it still receives a request about every four seconds";
 }
 
 TEST(RefusalBackoffTest, BackedOffUpstreamsAreUsedWhenNoOtherIsLeft)
@@ -110,7 +111,7 @@
     }
 }
 
-// When a cooldown ends, only one waiting request is sent to the upstream; the next ones go to others until it responds.
+// After a cooldown, the upstream receives one trial request. Until it responds, other upstreams receive the rest.
 TEST(RefusalBackoffTest, AfterACooldownOneTrialRequestIsSentFirst)
 {
     UpstreamRegistry registry("north");
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -64,7 +64,7 @@
     EXPECT_EQ(registry.choose(request(), s_now)->upstream.id, ejected);
 }
 
-// The process may leave the list and return, or be listed as ready again: its statements still apply.
+// Statements of a process still apply if it is removed from the list and listed again as not leaving.
 TEST(RegistryStatementsTest, NoListOverridesAStatement)
 {
     for (const auto& statement : { cooldownOfThreeSeconds, leaving }) {
@@ -94,7 +94,8 @@
     EXPECT_TRUE(registry.permitSend(placement.upstream, s_now + 3s));
 }
 
-// Peers compare lists by digest. A statement to one router must not make it send its list again and again.
+// Routers compare lists by digest. If a statement changed the digest of the router that received it, that router would
+// exchange its list with the others repeatedly.
 TEST(RegistryStatementsTest, AStatementDoesNotChangeTheDigest)
 {
     UpstreamRegistry registry("north");
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -38,7 +38,7 @@
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 699ms));
-    EXPECT_FALSE(quotas.take(s_key, 0, s_now + 699ms)) << "each request consumes one of the quota";
+    EXPECT_FALSE(quotas.take(s_key, 0, s_now + 699ms)) << "both requests of the quota are consumed";
 }
 
 TEST(SendQuotasTest, AQuotaExpires)
@@ -122,14 +122,14 @@
     quotas.recordStatement(upstream(), { 2 }, s_now, s_now);
     for (int request = 0; request < 6; ++request)
         quotas.recordDemand(s_key, s_now);
-    EXPECT_EQ(quotas.expectedWait(keys, s_now), 1000ms) << "nothing was sent, so there is no rate";
+    EXPECT_EQ(quotas.expectedWait(keys, s_now), 1000ms) << "the rate is unknown until a request is sent";
     quotas.add(s_key, 2, s_now + 700ms);
     quotas.take(s_key, 0, s_now);
     quotas.take(s_key, 0, s_now);
     EXPECT_EQ(quotas.expectedWait(keys, s_now), 2000ms) << "four unsent requests at two per second";
 }
 
-// While more urgent requests find no upstream, the quota is reserved for them.
+// While no upstream is available for more urgent requests, the quota is reserved for them.
 TEST(SendQuotasTest, TheQuotaIsReservedForMoreUrgentRequests)
 {
     SendQuotas quotas;
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -50,7 +50,7 @@
     EXPECT_EQ(suspicionOf(suspect, s_start + 1s), Suspicion::Held);
 }
 
-// Ten engines of a rack fail together while a popular request is in flight at each of them.
+// Ten engines of a failure domain fail together while the same request is in flight at each of them.
 TEST(SuspectTest, SimultaneousCrashesAreNotSequential)
 {
     SuspectRecord suspect;
@@ -97,11 +97,11 @@
     EXPECT_FALSE(nextTrial(suspect));
     EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::Held);
     clear(suspect, last + 48h);
-    EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::None) << "an operator lifted the suspicion";
+    EXPECT_EQ(suspicionOf(suspect, last + 48h), Suspicion::None) << "an operator cleared the request";
     EXPECT_FALSE(nextTrial(suspect));
 }
 
-// All routers converge to the same state, in whatever order and however often records arrive.
+// Guards against routers that end in different states because records arrived in another order or repeatedly.
 TEST(SuspectTest, MergingIsTheSameInAnyOrderAndHoweverOften)
 {
     EXPECT_TRUE(rc::check([] {
@@ -147,8 +147,8 @@
 
 namespace {
 
-// A fleet with one ledger on virtual time. Requests are repeated, one of them crashes each engine that runs it, and
-// engines also crash for other reasons.
+// Simulates a fleet with one ledger in virtual time. Requests are sent repeatedly. Request 0, the guilty one, crashes
+// each engine that runs it, and engines also crash for other reasons.
 struct History {
     static constexpr size_t engines = 12;
     static constexpr size_t innocents = 6;
@@ -160,7 +160,7 @@
     // Since when an innocent request is held without a due trial.
     std::map<uint64_t, TimePoint> heldSince;
 
-    // Returns whether a request may run now. Counts a trial.
+    // Returns whether a request may run now. Records a trial if the request is on trial.
     bool mayRun(uint64_t number)
     {
         auto suspicion = ledger.suspicionOf(identityOf(number), now);
@@ -194,8 +194,9 @@
 
 } // namespace
 
-// A request that can complete is held for ten minutes at most, until its first trial without an unrelated crash. A
-// request that never completes runs at most three times before it is held, and three more times as trials.
+// A request that can complete is cleared by a trial ten minutes after it was held, unless its engine crashes for
+// another reason. A request that never completes runs at most three times before it is held, and three more times as a
+// trial.
 TEST(SuspectTest, InnocentRequestsAreHeldForTenMinutesAtMostAndGuiltyOnesRunThreeTimes)
 {
     EXPECT_TRUE(rc::check([] {
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -44,7 +44,7 @@
     registry.setUpstreams({ leaving });
     EXPECT_FALSE(registry.choose(plainRequest(), s_now));
     registry.setUpstreams({ upstream("u1") });
-    EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a delayed list says that it is serving";
+    EXPECT_FALSE(registry.choose(plainRequest(), s_now)) << "a delayed list states that it is serving";
     EXPECT_FALSE(registry.isServing("u1"));
 }
 
@@ -86,12 +86,12 @@
     registry.setUpstreams({ second });
     EXPECT_TRUE(registry.isServing("u1")) << "the earlier incarnation was leaving, this one is not";
     EXPECT_TRUE(registry.ownLoads().empty()) << "the new incarnation has no outstanding requests";
-    EXPECT_NE(registry.digest(), before) << "peers must notice the change";
+    EXPECT_NE(registry.digest(), before) << "the digest must show the change to other routers";
     registry.recordStart(*registry.choose(plainRequest(), s_now));
     registry.recordEnd(*sentToFirst, false, AttemptOutcome::Interrupted, s_now);
     EXPECT_EQ(registry.ownLoads().begin()->second.requests, 1U)
-        << "the first incarnation's request does not count here";
-    // A delayed write of the first incarnation.
+        << "the request of the first incarnation is not counted for the second";
+    // The next list is a delayed write of the first incarnation.
     registry.setUpstreams({ leaving });
     EXPECT_TRUE(registry.isServing("u1"));
     EXPECT_EQ(registry.upstreams().at(0).born, 2000U);
@@ -284,16 +284,16 @@
     EXPECT_EQ(inTime.expectedFirstEvent, 400ms);
     registry.recordStart(inTime);
     auto late = choose(4000);
-    EXPECT_EQ(late.punctuality, Punctuality::Late) << "it waits behind the first one";
+    EXPECT_EQ(late.punctuality, Punctuality::Late) << "the prompt of the earlier generation is prefilled first";
     registry.recordStart(late);
-    EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U) << "the late one yields to it";
+    EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U) << "a late generation does not delay later ones";
     registry.recordEnd(late, false, AttemptOutcome::CancelledAfterSending, s_now);
     EXPECT_EQ(choose(100).queuedPrefillTokens, 4000U);
     registry.recordEnd(inTime, false, AttemptOutcome::CancelledAfterSending, s_now);
     EXPECT_EQ(choose(100).queuedPrefillTokens, 0U);
 }
 
-// Digest 0 means that a peer has no list, so peers would not request an empty one.
+// A router without a list reports digest 0. If an empty list had digest 0 too, other routers would not request it.
 TEST(UpstreamRegistryTest, AnEmptyListHasADigest)
 {
     UpstreamRegistry registry("north");
--- a/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
@@ -31,7 +31,7 @@
     UpstreamStatements statements;
     auto u1 = upstream("u1");
     EXPECT_TRUE(statements.record(u1, cooldown(3s), s_now));
-    EXPECT_FALSE(statements.record(u1, cooldown(500ms), s_now + 1s)) << "its cooldown is already known";
+    EXPECT_FALSE(statements.record(u1, cooldown(500ms), s_now + 1s)) << "the upstream is already in a cooldown";
     EXPECT_FALSE(statements.allowRequest(u1, s_now + 2999ms)) << "a shorter cooldown does not replace a longer one";
     EXPECT_TRUE(statements.allowRequest(u1, s_now + 3s));
     statements.record(u1, cooldown(3s), s_now + 2s);
