--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -9,7 +9,10 @@
 
 static std::string_view withoutPort(std::string_view host) { return host.substr(0, host.find(':')); }
 
-static Refusal staleKeysRefusal() { return { ErrorKind::PlatformUnavailable, "keys were not confirmed recently" }; }
+static Refusal staleKeysRefusal()
+{
+    return { ErrorKind::PlatformUnavailable, "key cannot be verified: the configuration was not confirmed recently" };
+}
 
 Admission admit(const RouterState& state, const RequestTarget& target)
 {
@@ -19,7 +22,7 @@
         return admission;
     }
     if (!state.table || !state.hasUpstreamList) {
-        admission.refusal = Refusal { ErrorKind::NotReady, "no configuration yet" };
+        admission.refusal = Refusal { ErrorKind::NotReady, "no configuration or list of upstreams yet" };
         return admission;
     }
     admission.route = state.table->find(withoutPort(target.host), target.path);
--- a/Source/RouteServing/Routing/Admission.h
+++ b/Source/RouteServing/Routing/Admission.h
@@ -15,13 +15,13 @@
 // A final response that the router generates itself.
 struct Refusal {
     Common::ErrorKind kind { Common::ErrorKind::Internal };
-    std::string reason; // For people; callers rely on the kind.
-    Common::Milliseconds retryAfter { 0 }; // When the caller may retry; zero: the default of the kind.
+    std::string reason; // For people; programs rely on the kind.
+    Common::Milliseconds retryAfter { 0 }; // When the caller may retry. Zero means the default of the error kind.
 };
 
 // The router's state when a request arrives.
 struct RouterState {
-    bool isStopping { false }; // Late phase of a planned stop: no new request is accepted.
+    bool isStopping { false }; // Set late in a planned stop: no new request is accepted.
     const RouteTable* table { nullptr }; // Null until the first configuration is loaded.
     bool hasUpstreamList { false };
     bool isKeyLeaseValid { false }; // See FreshnessLease.
@@ -42,13 +42,12 @@
 // Checks, in this order: planned stop, configuration, route, key lease, key.
 Admission admit(const RouterState&, const RequestTarget&);
 
-// Checks again, before an attempt, whether the key of an admitted request may still be used. Returns a refusal, or
-// nullopt if it may. A key may be revoked at any time, so the check uses the current table `inForce` and requires a
-// valid key lease. `admittedWorkspace` is the workspace at admission. If it is null, the request needed no key and the
-// check passes.
+// Checks again, before an attempt, whether the key of an admitted request is still valid. Returns nullopt if it is, or
+// a refusal. A key may be revoked at any time, so the check uses the current table `inForce` and requires a valid key
+// lease. `admittedWorkspace` is the workspace at admission; if it is null, the request needed no key and the check
+// passes.
 //
-// Only the key is checked again. An admitted request keeps its route, even if a newer configuration changes or removes
-// it.
+// Checks only the key. An admitted request keeps its route, even if a newer configuration changes or removes it.
 std::optional<Refusal> revalidateKey(
     const RouteTable& inForce, const Workspace* admittedWorkspace, std::string_view key, bool isKeyLeaseValid);
 
--- a/Source/RouteServing/Routing/ConnectionPolicy.h
+++ b/Source/RouteServing/Routing/ConnectionPolicy.h
@@ -9,14 +9,14 @@
 // Decides which connections an attempt may use and how long opening one may take. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// Bounds on the timeout for opening a connection to an upstream. The lower bound leaves room for a loaded upstream. The
-// upper bound leaves time to try another upstream before the caller gives up.
+// Bounds on the timeout for opening a connection to an upstream. The lower bound tolerates a slow response of a loaded
+// upstream. The upper bound leaves time to try another upstream before the caller times out.
 inline constexpr Common::Milliseconds minConnectTimeout { 50 };
 inline constexpr Common::Milliseconds maxConnectTimeout { 500 };
 
-// An upstream may close an idle connection while a request is written to it, and then it is unknown whether the request
-// ran. A request that must not run twice therefore uses a connection only if it has been idle for at most this long,
-// well below the usual idle timeout of upstreams.
+// Maximum idle time of a connection for a request that must not run twice. An upstream may close an idle connection
+// while a request is written to it, and then it is unknown whether the request ran. The value is well below the usual
+// idle timeout of upstreams.
 inline constexpr Common::Milliseconds maxIdleTimeForOnceOnly { 1000 };
 
 // Returns half of the route's objective, clamped to the bounds above.
--- a/Source/RouteServing/Routing/DecodeReservation.cpp
+++ b/Source/RouteServing/Routing/DecodeReservation.cpp
@@ -9,12 +9,12 @@
 
 // Planned share of a batch on reserved engines while prefill-heavy generations begin in time.
 static constexpr double decodeShareOfBatch = 0.5;
-// Planned share while they are late, and before more than half of the engines are reserved.
+// Planned share of a batch while such generations are late, and whenever half-full batches would take more than half of
+// the engines.
 static constexpr double maxDecodeShareOfBatch = 0.9;
-// Engines are reserved for this many times the known decode-heavy generations, because new ones begin before load
-// reports include them.
+// Factor on the number of known decode-heavy generations, because new ones begin before load reports include them.
 static constexpr double decodeHeadroom = 1.25;
-// How long a peak or a late prefill counts: several load reports, and about the duration of a long response.
+// How long a peak or a late prefill is remembered: several load reports, and about the duration of a long response.
 static constexpr Common::Milliseconds peakHoldTime = 3000ms;
 
 size_t PeakHold::update(size_t needed, Common::TimePoint now)
@@ -48,7 +48,7 @@
         = m_atNearlyFullBatch.update(enginesForBatchShare(maxDecodeShareOfBatch, generations, batch), now);
     if (hadLatePrefill(now))
         return std::min(atNearlyFull, engines.size());
-    // Plans nearly full batches before reserving more than half of the engines.
+    // Reserves more than half of the engines only if even nearly full batches need them.
     auto withinHalf = std::min(atHalf, engines.size() / 2);
     return std::min(std::max(withinHalf, atNearlyFull), engines.size());
 }
--- a/Source/RouteServing/Routing/DecodeReservation.h
+++ b/Source/RouteServing/Routing/DecodeReservation.h
@@ -9,7 +9,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Holds the largest number of engines needed within the last seconds, so that a short lull does not release engines.
+// Holds the largest number of engines needed within the last seconds, so that a short drop in load does not release
+// engines.
 class PeakHold {
 public:
     size_t update(size_t needed, Common::TimePoint now);
@@ -22,14 +23,14 @@
 // Computes how many engines are reserved for decode-heavy generations, so that long prompts do not delay their
 // decoding.
 //
-// Reserved engines are planned at half a batch on up to half of the engines, and at nearly full batches beyond that.
-// While prefill-heavy generations are late, nearly full batches are planned throughout: this takes about half as many
-// engines, and a fuller batch decodes only slightly slower.
+// Up to half of the engines are reserved so that each runs half a batch. More than half are reserved only if the
+// generations need them even with nearly full batches. While prefill-heavy generations are late, nearly full batches
+// are always planned: this takes about half as many engines, and a fuller batch decodes only slightly slower.
 //
 // Not thread-safe.
 class DecodeReservation {
 public:
-    // Records that a prefill-heavy generation cannot begin in time on the engines left to it.
+    // Records that a prefill-heavy generation is not expected to begin in time on the engines that are not reserved.
     void recordLatePrefill(Common::TimePoint now) { m_lastLatePrefill = now; }
 
     // Returns how many engines to reserve now. `batch` is the number of requests that one engine runs at once.
--- a/Source/RouteServing/Routing/DrainSchedule.h
+++ b/Source/RouteServing/Routing/DrainSchedule.h
@@ -8,16 +8,16 @@
 // Schedules the steps of a planned stop. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// Time until the balancer has removed a stopping instance. It probes readiness once a second and removes an instance
-// after two failed probes (PROTOCOL, "Ingress"); half a second is left for the answer. Until then new connections still
-// arrive, so requests are still served.
+// Time until the balancer has removed a stopping instance from its rotation. The balancer probes readiness once a
+// second and removes an instance after two failed probes (PROTOCOL, "Ingress"); half a second is added for the response
+// to a probe. New connections arrive until then, so requests are still served.
 inline constexpr Common::Milliseconds balancerRemovalDelay { 2500 };
 // Requests in flight are aborted this long before the platform kills the process, to leave time for the last log lines.
 inline constexpr Common::Milliseconds killMargin { 250 };
 
 struct DrainSchedule {
-    Common::TimePoint refuseFrom; // From here on, no new request is accepted and idle connections are closed.
-    Common::TimePoint end; // The process ends here, or earlier once nothing is in flight.
+    Common::TimePoint refuseFrom; // From this time on, no new request is accepted and idle connections are closed.
+    Common::TimePoint end; // The process ends at this time, or earlier if no request is in flight.
 
     // `grace` is the time from the signal until the platform kills the process. If it is short, at most half of it is
     // spent waiting for the balancer, and at most a quarter is the margin.
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -11,9 +11,11 @@
 
 // Cost of one decoded token in prefill tokens: each decoded token needs a step of its own.
 static constexpr uint64_t prefillTokensPerDecodedToken = 10;
-// Cost of one running request to a new prompt, in prefill tokens: it slightly lengthens each step of the batch.
+// Cost that each running request adds for a new prompt, in prefill tokens: it slightly lengthens each step of the
+// batch.
 static constexpr double prefillTokensPerRunningRequest = 30;
-// Cost factor of prefilling a shared prefix again: it delays the prefills queued behind it and evicts another prefix.
+// Cost factor of prefilling a shared prefix again: the prefill delays those queued behind it, and the prefix evicts
+// another one.
 static constexpr double repeatedPrefillFactor = 10;
 // Cost factor of an outlier.
 static constexpr double outlierCostFactor = 5;
@@ -67,7 +69,8 @@
 }
 
 // Returns the engine with the lowest cost, in prefill tokens until the new prompt is prefilled. A prefix that can be
-// fetched from another engine is charged as if it were prefilled again, because that engine has often evicted it.
+// fetched from another engine costs as much as one that is prefilled again, because the other engine has often evicted
+// it.
 static EnginePlacementResult pickPrefillEngine(const Prompt& prompt, std::span<const EngineState> engines,
     std::span<const size_t> offered, const EngineLimits& limits)
 {
--- a/Source/RouteServing/Routing/EnginePlacement.h
+++ b/Source/RouteServing/Routing/EnginePlacement.h
@@ -24,7 +24,7 @@
 // Where a generation is placed, and the prefill that is expected there.
 struct EnginePlacementResult {
     size_t index { 0 }; // Into the engines passed to place().
-    uint64_t prefillTokens { 0 }; // Tokens of this prompt to prefill, without the prefix that is expected to be cached.
+    uint64_t prefillTokens { 0 }; // Of this prompt; excludes the prefix that is expected to be cached.
     uint64_t queuedPrefillTokens { 0 }; // Tokens of other prompts that the engine prefills first.
     std::optional<size_t> prefixSource; // Another engine that is expected to have the shared prefix cached.
     Common::Milliseconds expectedFirstEvent { 0 }; // From now on; zero while there are no observations.
@@ -34,18 +34,18 @@
 // Places generations on the engines of one service.
 //
 // Each prefill step delays the decoding of all other requests in the batch, so decode-heavy generations (long
-// responses) and prefill-heavy ones (long prompts) use different engines. Decode-heavy generations use the first
-// engines of a fixed order, as many as DecodeReservation reserves. Prefill-heavy ones use the others, and prefer the
-// engine that is expected to have their shared prefix cached. All routers use the same order and hash, so they agree on
-// both without messages.
+// responses) and prefill-heavy ones (long prompts) use different engines where possible. The engines have a fixed
+// order. Decode-heavy generations use the first ones, as many as DecodeReservation reserves. Prefill-heavy generations
+// use the others, but at least the last half, and prefer the engine that is expected to have their shared prefix
+// cached. All routers compute the same order and hashes, so they agree without messages.
 //
 // Not thread-safe.
 class EnginePlacement {
 public:
     // Returns nullopt if no engine is offered. `due` is when the first event is wanted.
     //
-    // Only prefill-heavy generations can be late. A late generation may be preempted in the middle of its response, and
-    // the short prompt of a decode-heavy one hardly delays others.
+    // Only prefill-heavy generations are marked late. A late generation may be preempted in the middle of its response.
+    // A decode-heavy one would then be interrupted in a long response, although its short prompt hardly delays others.
     std::optional<EnginePlacementResult> place(
         const Prompt&, std::span<const EngineState>, const EngineLimits&, Common::TimePoint due, Common::TimePoint now);
 
--- a/Source/RouteServing/Routing/EngineState.h
+++ b/Source/RouteServing/Routing/EngineState.h
@@ -10,11 +10,11 @@
 // The router's view of one model engine when it places a generation.
 struct EngineState {
     std::string_view id;
-    double running { 0 }; // Requests of all routers, as far as reported.
-    double decodeHeavy { 0 }; // The decode-heavy ones among them.
-    double prefillTokens { 0 }; // Prompt tokens waiting for their prefill, of generations that are on time.
+    double running { 0 }; // Requests of all routers, as far as load reports cover them.
+    double decodeHeavy { 0 }; // Number of decode-heavy requests among them.
+    double prefillTokens { 0 }; // Prompt tokens that wait for their prefill; only of generations that are on time.
     FirstEventEstimate firstEvent;
-    bool isOutlier { false }; // Fails more often than the others.
+    bool isOutlier { false }; // See outlierErrorRateExcess.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/FirstEventEstimate.cpp
+++ b/Source/RouteServing/Routing/FirstEventEstimate.cpp
@@ -10,7 +10,8 @@
 static constexpr double halfLifeSeconds = 5.0;
 // The weight of all observations of the service, as a number of observations of the engine.
 static constexpr double serviceWeightObservations = 5.0;
-// Below this relative spread, all observations have nearly the same number of tokens, and the slope is noise.
+// Below this relative spread, all observations have nearly the same number of tokens, and the slope cannot be
+// determined.
 static constexpr double minSpreadRatio = 1e-6;
 
 Common::Milliseconds FirstEventEstimate::delayFor(double tokens) const
--- a/Source/RouteServing/Routing/FirstEventEstimate.h
+++ b/Source/RouteServing/Routing/FirstEventEstimate.h
@@ -6,8 +6,8 @@
 // Estimates how long a generation waits for its first event, from earlier generations. Pure.
 namespace Brassladder::RouteServing::Routing {
 
-// A linear model: a base delay for every generation (its own first steps, the network), plus a time for each prompt
-// token that the engine prefills before the event, of this prompt and of those queued before it.
+// A linear model: a base delay for each generation (its own first engine steps and the network), plus a time for each
+// prompt token that the engine prefills before the event, of this prompt and of those queued before it.
 struct FirstEventEstimate {
     double baseMilliseconds { 0 };
     double millisecondsPerToken { 0 };
@@ -20,11 +20,13 @@
 // speed changes with its batch and with faults. Not thread-safe.
 class FirstEventObservations {
 public:
-    // `tokens` is the number of tokens to prefill that was known at placement; the first event came after `elapsed`.
+    // `tokens` is the number of tokens to prefill before the event, as known at placement. `elapsed` is the time from
+    // placement to the first event.
     void record(double tokens, Common::Milliseconds elapsed, Common::TimePoint now);
 
-    // Fits the line by least squares. `service` holds the observations of all engines of the service. They count as a
-    // few of the engine's own, so that the estimate for a seldom used engine relies on the others.
+    // Fits the line by least squares. `service` holds the observations of all engines of the service. Together they
+    // have the weight of a few observations of this engine, so the estimate for a seldom used engine relies on the
+    // others.
     FirstEventEstimate estimate(const FirstEventObservations& service, Common::TimePoint now) const;
 
 private:
--- a/Source/RouteServing/Routing/FleetConnectivity.cpp
+++ b/Source/RouteServing/Routing/FleetConnectivity.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// How long a peak counts: longer than the expected network partitions (up to 12 s). After this, a fleet that lost half
-// of its routers continues with the rest.
+// How long a peak is remembered: longer than the expected network partitions (up to 12 s). After this time, a fleet
+// that has lost half of its routers counts as complete again.
 static constexpr Common::Milliseconds peakRetention = 15'000ms;
 
 void FleetConnectivity::record(unsigned routers, Common::TimePoint now)
--- a/Source/RouteServing/Routing/FleetConnectivity.h
+++ b/Source/RouteServing/Routing/FleetConnectivity.h
@@ -7,18 +7,19 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Detects whether this router is cut off from most of its fleet. Such a router does not know what the others served, so
-// it should not perform duties for the whole fleet. Compares the reachable routers with their recent peak, because the
-// roster also lists routers that have ended for good. Not thread-safe.
+// Detects whether this router is cut off from most of its fleet. Such a router lacks the reports of the others, so it
+// should not perform duties for the whole fleet. Compares the number of reachable routers with its recent peak, because
+// the roster also lists routers that have ended for good. Not thread-safe.
 class FleetConnectivity {
 public:
-    // Records the number of other routers whose load is known now.
+    // Records the number of other routers that have reported their load recently.
     void record(unsigned routers, Common::TimePoint now);
     bool isPartitioned(Common::TimePoint now) const;
     // Returns the reachable routers divided by their recent peak, both including this router.
     double reachableShare(Common::TimePoint now) const;
-    // Returns the factor from the known load to that of the whole fleet: the recent peak of reachable routers divided
-    // by those reachable now, both including this router; at most 2. The load of unreachable routers has not gone away.
+    // Returns the factor by which to scale the known load to estimate that of the whole fleet: the recent peak of
+    // reachable routers divided by those reachable now, both including this router; at most 2. Unreachable routers are
+    // assumed to still have the same load as the others.
     double unreachableLoadFactor(Common::TimePoint now) const;
 
 private:
@@ -26,7 +27,8 @@
         Common::TimePoint at;
         unsigned routers { 0 };
     };
-    std::deque<Sample> m_peaks; // Decreasing: each is the maximum since the one before it.
+    // In order of time, with decreasing counts: each is the maximum since the one before it.
+    std::deque<Sample> m_peaks;
     unsigned m_routers { 0 };
 };
 
--- a/Source/RouteServing/Routing/FleetMember.h
+++ b/Source/RouteServing/Routing/FleetMember.h
@@ -23,7 +23,7 @@
     // Sets where peers connect to this router. Must be called before all other functions.
     void setOwnEndpoint(const Common::Endpoint&, Common::TimePoint now);
 
-    // Records an address that another router stated itself. Returns whether the router or its address is new.
+    // Records an address that another router stated for itself. Returns whether the router or its address is new.
     bool addContact(const std::string& id, const Common::Endpoint&, Common::TimePoint now);
     // Returns whether an address is new.
     bool addRoster(std::span<const RosterEntry>);
@@ -34,33 +34,34 @@
     struct RosterRange {
         uint64_t after { 0 };
         uint64_t revision { 0 };
-        bool isComplete { false }; // The peer has the roster of the whole fleet.
+        bool isComplete { false }; // The peer's roster covers the whole fleet.
     };
-    // Records that a part of a peer's roster was received, after its entries were added. `incarnation` identifies the
-    // process that sent it. Returns whether the part completed this router's roster.
+    // Records that a part of a peer's roster was received. Call it after addRoster() with the entries of the part.
+    // `incarnation` identifies the process that sent it. Returns whether this router's roster became complete with this
+    // part.
     bool recordRosterPart(const std::string& peer, uint64_t incarnation, const RosterRange&);
-    // Whether this router's roster may be taken for that of the whole fleet.
+    // Whether this router's roster covers the whole fleet, as far as can be known.
     bool hasCompleteRoster(Common::TimePoint now) const { return m_isRosterKnown && m_start.isSettled(now); }
     RosterSituation rosterSituation(Common::TimePoint now) const;
 
     // Where this router requests snapshots from now on.
     struct Target {
-        // Has a generated id, since the seed's own id is not known yet. If empty, the ranking decides.
+        // Its id is generated, because the seed's own id is not known yet. If empty, the ranking applies.
         std::optional<RosterEntry> seed;
         HubRanking ranking;
         bool seedHasChanged { false };
         bool roleHasChanged { false };
     };
-    // Updates the role and the target, leaving out routers that do not respond.
+    // Updates the role and the target. Routers that do not respond are ignored.
     Target update(Common::TimePoint now);
-    // Records a timeout if the target has not responded in time. Returns its id, or nullopt if it was a seed or nothing
-    // is overdue.
+    // Records a timeout if the response of the target is overdue. Returns the target's id, or nullopt if it was a seed
+    // or no response is overdue.
     std::optional<std::string> handleOverdueHub(Common::TimePoint now);
     const std::optional<RosterEntry>& seed() const { return m_seed; }
     void recordSeedFailure() { m_start.recordSeedFailure(); }
 
-    // Records the result of a read of the platform's store. After repeated failures, the router leaves reading to
-    // others.
+    // Records the result of a read of the platform's store. After repeated failures, canReadStore() is false for a
+    // backoff, and other hubs become store readers.
     void recordStoreRead(bool hasSucceeded, Common::TimePoint now);
     bool canReadStore(Common::TimePoint now) const { return !m_storeBackoff.isIgnored(now); }
     // Records what a peer stated about its own access to the store.
@@ -74,8 +75,8 @@
     {
         return m_start.awaitsState(now) && !(m_isRosterKnown && m_isHub);
     }
-    // Returns how many routers may be running, including this one: all that were ever announced. Nullopt before the
-    // roster is known.
+    // Returns how many routers may be running, including this one. Counts every router in the directory, also those
+    // that have ended. Nullopt before the roster is known.
     std::optional<size_t> fleetSize() const;
 
     PeerDirectory& peers() { return m_peers; }
@@ -92,7 +93,7 @@
     StartPhase m_start;
     OutstandingRequests m_outstanding;
     std::optional<RosterEntry> m_seed; // Set while a seed is queried.
-    RosterPosition m_seedRoster; // How far its roster was received.
+    RosterPosition m_seedRoster; // How far the seed's roster was received.
     HubBackoff m_storeBackoff;
     unsigned m_storeFailures { 0 }; // Consecutive.
     bool m_isRosterKnown { false };
--- a/Source/RouteServing/Routing/FreshnessLease.h
+++ b/Source/RouteServing/Routing/FreshnessLease.h
@@ -8,20 +8,21 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Tracks whether the current configuration was confirmed recently enough to serve requests that carry a key. A key may
-// be revoked at any time, so a router that cannot read the configuration must stop using keys within a bound.
+// be revoked at any time, so a router that cannot read the configuration must refuse such requests after a bound.
 //
-// The lease runs from the *start* of the last successful read, because only changes accepted before that moment are
-// certain to be included. It uses the monotonic clock, which continues while the process is stopped. Thread-safe.
+// The lease runs from the *start* of the last successful read, because only changes that were accepted before that
+// moment are certain to be included. It uses the monotonic clock, which continues while the process is stopped.
+// Thread-safe.
 class FreshnessLease {
 public:
-    // `duration` is the maximum age of the last confirmation. Zero: the lease never expires.
+    // `duration` is the maximum age of the last confirmation. If it is zero, the lease never expires.
     explicit FreshnessLease(Common::Milliseconds duration)
         : m_duration(duration)
     {
     }
 
-    // Returns the lease duration for a bound after which a revoked key must not be used. It is 5% shorter, to cover the
-    // time that a request takes from the check to the upstream.
+    // Returns the lease duration for `bound`, the time after which a revoked key must not be used. The duration is 5%
+    // shorter, to cover the time from the check until the request reaches the upstream.
     static Common::Milliseconds durationWithin(Common::Milliseconds bound) { return bound - bound / marginDivisor; }
 
     void confirm(Common::TimePoint readingStarted)
@@ -46,7 +47,7 @@
         return Common::TimePoint(Common::Duration(m_confirmed.load(std::memory_order_relaxed)));
     }
 
-    // 5% of the bound, see durationWithin.
+    // 5% of the bound; see durationWithin().
     static constexpr int marginDivisor = 20;
 
     Common::Milliseconds m_duration;
--- a/Source/RouteServing/Routing/HubBackoff.h
+++ b/Source/RouteServing/Routing/HubBackoff.h
@@ -7,30 +7,31 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Tracks how long a router that does not respond is left out of the ranking of hubs. Not thread-safe.
+// Tracks how long a router is ignored as a hub because it does not respond, or as a store reader because it cannot read
+// the store. Not thread-safe.
 class HubBackoff {
 public:
-    // Backoff before an unresponsive hub is used again; doubles with each timeout, up to 32 s. Longer than most freezes
-    // from which an instance recovers.
+    // Backoff after the first timeout. It doubles with each further timeout, up to 32 s, and is longer than most
+    // freezes from which an instance recovers.
     static constexpr Common::Milliseconds initialBackoff { 2000 };
     // 2 s x 2^4 is 32 s.
     static constexpr unsigned maxDoublings = 4;
 
-    // The router did not respond in time.
+    // The router did not respond in time, or failed to read the store.
     void recordTimeout(Common::TimePoint now)
     {
         m_ignoredUntil = now + initialBackoff * (1U << std::min(m_timeouts, maxDoublings));
         ++m_timeouts;
     }
-    // The router stated that it is stopping.
+    // The router stated that it is stopping, or that it cannot read the store.
     void recordLeaving(Common::TimePoint now) { m_ignoredUntil = now + initialBackoff; }
-    // The router responded, or has a new address.
+    // The router responded, has a new address, or can read the store.
     void recordResponse()
     {
         m_timeouts = 0;
         m_ignoredUntil = {};
     }
-    // The router sent a request. It is alive, but may still not respond.
+    // The router sent a request. It is running, but may still fail to respond, so the number of timeouts stays.
     void recordRequest() { m_ignoredUntil = {}; }
 
     bool isIgnored(Common::TimePoint now) const { return now < m_ignoredUntil; }
--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -8,9 +8,9 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// In a smaller fleet all routers are hubs, because a single hub would leave none to take over at once.
+// In a smaller fleet all routers are hubs, because a single hub would have no immediate replacement.
 static constexpr size_t minRoutersWithHubs = 4;
-// One store reader may fail and another may be cut off from the store; the third one remains.
+// If one store reader fails and another is cut off from the store, the third one remains.
 static constexpr size_t maxStoreReaders = 3;
 
 size_t HubRanking::hubCount(size_t routers)
@@ -45,8 +45,8 @@
     return first;
 }
 
-// Returns the first hubs that can read the store. If none can, returns the first ones, so that they notice when it is
-// back.
+// Returns the first hubs that can read the store. If none can, returns the first hubs, so that they keep trying until
+// the store recovers.
 static std::vector<std::string> storeReaders(std::span<const HubRanking::Router> hubs, size_t count)
 {
     std::vector<std::string> readers;
--- a/Source/RouteServing/Routing/HubRanking.h
+++ b/Source/RouteServing/Routing/HubRanking.h
@@ -13,16 +13,16 @@
 // Decides which router requests state from which, in a fleet of any size. All routers are ranked by a hash of their
 // ids. The first ones, about the square root of the fleet, are hubs, and the first few hubs are store readers. Store
 // readers read the platform's store, other hubs request snapshots from a store reader, hubs exchange their loads, and
-// every other router requests snapshots from one hub. Calls to the store therefore do not grow with the fleet, and the
+// every other router requests snapshots from one hub. Reads of the store therefore do not grow with the fleet, and the
 // messages of a router grow with the square root of the fleet.
 //
-// A hub that cannot read the store is no store reader while other hubs can; otherwise all routers that rely on it would
-// have stale state and read the store themselves. Pure.
+// A hub that cannot read the store is not a store reader while other hubs can read it. Otherwise all routers that
+// depend on it would have stale state and read the store themselves. Pure.
 class HubRanking {
 public:
     struct Router {
         std::string_view id;
-        bool canReadStore { true }; // As far as known.
+        bool canReadStore { true }; // Assumed true unless a failure is known.
     };
 
     // `others` are the other routers that respond.
@@ -30,7 +30,8 @@
 
     bool isHub() const { return m_isHub; }
     bool readsStore() const { return !m_source; }
-    // Where this router requests snapshots: a hub, or for a hub a store reader. Nullopt if it reads the store itself.
+    // Returns the router that this one requests snapshots from: a hub or, if this router is a hub, a store reader.
+    // Nullopt if it reads the store itself.
     const std::optional<std::string>& source() const { return m_source; }
     // The other hubs; empty if this router is not a hub.
     const std::vector<std::string>& otherHubs() const { return m_otherHubs; }
--- a/Source/RouteServing/Routing/LoadSums.h
+++ b/Source/RouteServing/Routing/LoadSums.h
@@ -10,8 +10,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Sums the newest load reports of other routers. Ignores reports older than `maxAge`, because their sender may be gone.
-// Not thread-safe.
+// Sums the newest load reports of other routers. Ignores reports older than `maxAge`, because their sender may have
+// ended. Not thread-safe.
 class LoadSums {
 public:
     explicit LoadSums(Common::Milliseconds maxAge)
@@ -22,9 +22,9 @@
     // Replaces the sender's last report. `routers` is the number of routers that the report covers.
     void record(const std::string& sender, LoadsByUpstream, unsigned routers, Common::TimePoint now);
     void forget(std::string_view sender);
-    // Returns the sum over all senders except one.
+    // Returns the sum over all senders except `sender`.
     LoadsByUpstream sumExcluding(std::string_view sender, Common::TimePoint now) const;
-    // Returns how many routers all recent reports cover.
+    // Returns how many routers the recent reports cover in total.
     unsigned routers(Common::TimePoint now) const;
 
 private:
--- a/Source/RouteServing/Routing/OutstandingRequests.cpp
+++ b/Source/RouteServing/Routing/OutstandingRequests.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-// Five exchange intervals. A router that takes longer to respond is dead or cut off.
+// Five exchange intervals. A router that takes longer counts as unresponsive.
 static constexpr Common::Milliseconds responseTimeout = 500ms;
 
 void OutstandingRequests::setTarget(std::string target, bool asHub)
--- a/Source/RouteServing/Routing/OutstandingRequests.h
+++ b/Source/RouteServing/Routing/OutstandingRequests.h
@@ -15,21 +15,21 @@
 // than the interval between requests. Decides when the target counts as unresponsive. Not thread-safe.
 class OutstandingRequests {
 public:
-    // Sets where requests go from now on: a hub, or for a hub a store reader; empty if there is no target. Drops the
-    // requests to another target.
+    // Sets the router that requests go to: a hub or, if this router is a hub, a store reader; empty if there is none.
+    // If the target or the role changes, drops the outstanding requests.
     void setTarget(std::string target, bool asHub);
     const std::string& target() const { return m_target; }
     // Whether this router sends its requests as a hub.
     bool asHub() const { return m_asHub; }
 
-    // Records a request and returns the number that its response will carry. If the target has changed since the
-    // request was prepared, records nothing and returns nullopt; the request must not be sent then.
+    // Records a request and returns the number that its response will carry. If the target or the role has changed
+    // since the request was prepared, records nothing and returns nullopt; the request must not be sent then.
     std::optional<uint64_t> add(std::string_view target, bool asHub, Common::TimePoint now);
-    // Returns when the request was sent that a response belongs to, or nullopt if no such request is outstanding. Older
-    // requests count as answered too.
+    // Removes the request that a response belongs to, and all older ones. Returns when the request was sent, or nullopt
+    // if it is not outstanding.
     std::optional<Common::TimePoint> take(std::string_view from, uint64_t number);
 
-    // Whether a response is overdue. The target is then dead or cut off.
+    // Whether a response is overdue, so that the target counts as unresponsive.
     bool isOverdue(Common::TimePoint now) const;
     void clear() { m_sent.clear(); }
 
@@ -40,8 +40,8 @@
     std::map<uint64_t, Common::TimePoint> m_sent; // By number.
 };
 
-// The version of a piece of state that was last sent to a peer. It is not sent again with each response while the first
-// copy may still be in flight. Not thread-safe.
+// The version of a piece of state that was last sent to a peer. While it may still be in flight, responses to the peer
+// do not include it again. Not thread-safe.
 class LastSentVersion {
 public:
     // `lostAfter` is how long a copy may be in flight before it counts as lost.
@@ -50,7 +50,7 @@
     {
     }
 
-    // Returns whether the version must be sent now. If so, it counts as in flight from then on.
+    // Returns whether the version must be sent now. If so, records it as in flight.
     bool beginSend(uint64_t version, Common::TimePoint now);
     // Marks the copy in flight as lost.
     void forget() { m_at.reset(); }
--- a/Source/RouteServing/Routing/PeerDirectory.h
+++ b/Source/RouteServing/Routing/PeerDirectory.h
@@ -16,17 +16,18 @@
 
 // The state that a router keeps about one peer.
 struct PeerState {
-    // A copy of the configuration that the peer dropped is sent again after this; meanwhile the peer reads the store
-    // itself. The time must be longer than the transfer of several copies on a slow link. A lost connection does not
-    // need it, because its end is reported (Inner/PeerLink.h).
+    // If the peer does not have a configuration this long after it was sent, it is sent again; until then the peer
+    // reads the store itself. Longer than the transfer of several copies on a slow link. Does not apply when the
+    // connection is lost, because its end is reported (Inner/PeerLink.h).
     static constexpr Common::Milliseconds configurationLostAfter { 30'000 };
-    // The peer ignores a list of upstreams if its request is overdue (OutstandingRequests), so the list is sent again
-    // after the same time: five exchange intervals.
+    // The same for a list of upstreams. Equal to the response timeout of OutstandingRequests (five exchange intervals),
+    // because the peer ignores the response to an overdue request.
     static constexpr Common::Milliseconds upstreamsLostAfter { 500 };
 
-    // The peer is alive. `sender` identifies its process; a new process has received nothing yet.
+    // Records that the peer is running. `sender` identifies its process; a new process has received nothing yet.
     void recordContact(uint64_t sender);
-    // The peer sent a request, and relies on this router from then on.
+    // Records a request for a snapshot, which makes the peer a subscriber. `version` is the version of its
+    // configuration.
     void recordRequest(uint64_t sender, uint64_t version, Common::TimePoint now);
     // Marks everything in flight to the peer as lost.
     void forgetSent();
@@ -35,7 +36,7 @@
     uint64_t rosterVersion { 0 }; // Of the peer's newest known announcement.
     uint64_t rosterRevision { 0 }; // Of this router's roster when the entry last changed.
     HubBackoff backoff;
-    HubBackoff storeBackoff; // Active while the peer cannot read the store.
+    HubBackoff storeBackoff; // Active while the peer reports that it cannot read the store.
     Common::TimePoint lastRequest {}; // When the peer last requested a snapshot from this router.
     uint64_t incarnation { 0 }; // Of the peer's process at its last contact.
     uint64_t configurationVersion { 0 }; // The version that the peer had at its last request.
@@ -56,11 +57,11 @@
 
     // Sets where peers connect to this router. Must be called before all other functions.
     void setOwnEndpoint(const Common::Endpoint&);
-    // Records an address that a peer stated itself. Returns whether the peer or its address is new.
+    // Records an address that a peer stated for itself. Returns whether the peer or its address is new.
     bool addContact(const std::string& id, const Common::Endpoint&);
-    // Adds an entry that the platform or a peer has of a router; it may be this router's. A known entry is replaced
-    // only by a newer version, so that routers with different rosters do not replace each other's addresses again and
-    // again. Returns whether a peer or its address is new.
+    // Adds a roster entry from the platform or a peer, which may be the entry of this router. A known entry is replaced
+    // only by a newer version; otherwise routers with different rosters would overwrite each other's addresses
+    // repeatedly. Returns whether a peer or its address is new.
     bool add(const RosterEntry&);
     // Increases with each entry that changes.
     uint64_t rosterRevision() const { return m_revision; }
@@ -77,7 +78,7 @@
     // Returns which routers are hubs now and where this router requests snapshots. `canReadStore` applies to this
     // router.
     HubRanking ranking(bool canReadStore, Common::TimePoint now) const;
-    // Returns the peers that requested a snapshot from this router recently and therefore rely on it.
+    // Returns the peers that requested a snapshot from this router recently.
     std::vector<std::string> subscribers(Common::TimePoint now) const;
 
 private:
--- a/Source/RouteServing/Routing/PeerLoads.cpp
+++ b/Source/RouteServing/Routing/PeerLoads.cpp
@@ -5,8 +5,8 @@
 
 using namespace std::chrono_literals;
 
-// Load reports older than this are ignored: fifteen exchange intervals, so that a few lost messages do not make a
-// loaded upstream look idle.
+// Load reports older than this are ignored. Fifteen exchange intervals, so that the loss of a few messages does not
+// make a loaded upstream appear idle.
 static constexpr Common::Milliseconds reportMaxAge = 1500ms;
 
 PeerLoads::PeerLoads()
--- a/Source/RouteServing/Routing/PeerLoads.h
+++ b/Source/RouteServing/Routing/PeerLoads.h
@@ -23,8 +23,8 @@
 
     // Returns the load of all other routers.
     LoadsByUpstream sumOfOthers(Common::TimePoint now) const;
-    // Returns the load that this router reports to other hubs or, with `target`, to the hub that it requests snapshots
-    // from. What `target` reported as a subscriber is left out.
+    // Returns the load that this router reports: to the other hubs, or to the hub `target` that it requests snapshots
+    // from. Excludes what `target` reported as a subscriber.
     LoadsByUpstream sumWithSubscribers(
         LoadsByUpstream own, Common::TimePoint now, const std::string& target = {}) const;
     // Returns the load that this hub sends to a subscriber: that of all routers except the subscriber.
@@ -36,7 +36,7 @@
 
 private:
     LoadSums m_subscribers;
-    LoadSums m_hubs; // Other hubs; on a subscriber, its own hub.
+    LoadSums m_hubs; // Reports of other hubs or, on a subscriber, of its own hub.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/PlainPlacement.cpp
+++ b/Source/RouteServing/Routing/PlainPlacement.cpp
@@ -6,12 +6,12 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Cost of another failure domain, in full loads of an upstream: traffic between domains is billed, and the round trip
-// is a considerable part of a short call.
+// Cost of using another failure domain, as a share of an upstream's full load: traffic between domains is billed, and
+// the round trip is a considerable part of a short call.
 static constexpr double otherDomainCost = 0.34;
 // Cost factor of an outlier, so that it is used only while the others are busy.
 static constexpr double outlierCostFactor = 5.0;
-// Costs vary randomly by up to this share. Otherwise all routers would choose the same upstream among equal ones.
+// Costs vary randomly by up to this share. Otherwise all routers would choose the same one of several equal upstreams.
 static constexpr double jitterShare = 0.02;
 
 static double baseCost(const PlainCandidate& candidate)
--- a/Source/RouteServing/Routing/PlainPlacement.h
+++ b/Source/RouteServing/Routing/PlainPlacement.h
@@ -21,8 +21,8 @@
 // distributed in [0, 1).
 std::optional<size_t> choosePlainUpstream(std::span<const PlainCandidate>, const std::function<double()>& random);
 
-// An upstream is an outlier if its error rate exceeds the lowest one of its service by more than this. One failed
-// attempt alone moves the rate by 0.15, so smaller differences may be chance.
+// An upstream is an outlier if its error rate exceeds the lowest one of its service by more than this. A single failed
+// attempt raises the rate by 0.15, so smaller differences may be chance.
 inline constexpr double outlierErrorRateExcess = 0.25;
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/Prompt.h
+++ b/Source/RouteServing/Routing/Prompt.h
@@ -6,8 +6,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// One part of a prompt. Requests share parts: an engine that has a part and all parts before it in its prefix cache
-// does not prefill them again.
+// One part of a prompt, which several requests may share. An engine that has a part and all parts before it in its
+// prefix cache does not prefill them again.
 struct PromptPart {
     uint64_t id { 0 };
     uint32_t tokens { 0 };
--- a/Source/RouteServing/Routing/RefreshIntervals.cpp
+++ b/Source/RouteServing/Routing/RefreshIntervals.cpp
@@ -5,9 +5,11 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// All values are percentages of a bound. A read confirms the configuration as of its start and, while nothing changes,
-// takes the whole long poll. A confirmation is therefore up to two long polls old when it reaches another router: half
-// of the bound.
+// All values are percentages of a bound.
+//
+// A read confirms the configuration as of its start. While nothing changes, it takes the whole long poll, and its
+// result is the newest until the next read ends. The newest confirmation is therefore up to two long polls old: half of
+// the bound.
 static constexpr int configurationLongPollPercent = 25;
 // Leaves the rest of the bound for a read by the router itself.
 static constexpr int configurationStalePercent = 70;
@@ -37,7 +39,7 @@
     return exponentialBackoff(initialBackoff, maxBackoff, failures);
 }
 
-// In maximum backoffs of a store reader.
+// Maximum backoff of a router that is not a store reader, as a multiple of that of a store reader.
 static constexpr int nonReaderBackoffFactor = 4;
 
 Common::Milliseconds RefreshIntervals::nonReaderBackoffAfter(unsigned failures) const
--- a/Source/RouteServing/Routing/RefreshIntervals.h
+++ b/Source/RouteServing/Routing/RefreshIntervals.h
@@ -3,16 +3,17 @@
 
 #include "Common/Clock.h"
 
-// Derives how often the platform's store is read, when another router's report is stale, and the backoff after a failed
-// read. Everything follows from the two bounds that the operators set. Pure.
+// Derives from two bounds that the operators set: how often the platform's store is read, when state from other routers
+// is stale, and the backoff after a failed read. Pure.
 namespace Brassladder::RouteServing::Routing {
 
 struct RefreshIntervals {
     Common::Milliseconds configurationLongPoll { 0 }; // How long one read of the configuration waits for a change.
-    Common::Milliseconds configurationStaleAfter { 0 }; // Maximum age of a confirmation.
+    // Age of the last confirmation from which a router that is not a store reader reads the store itself.
+    Common::Milliseconds configurationStaleAfter { 0 };
     Common::Milliseconds upstreamInterval { 0 }; // Between two reads of the list of upstreams.
-    Common::Milliseconds upstreamsStaleAfter { 0 }; // Maximum age of a confirmed list.
-    Common::Milliseconds initialBackoff { 0 }; // After a failed read; doubles with each further one.
+    Common::Milliseconds upstreamsStaleAfter { 0 }; // The same for the list of upstreams.
+    Common::Milliseconds initialBackoff { 0 }; // Backoff after the first failed read; doubles with each further one.
     Common::Milliseconds maxBackoff { 0 };
 
     // `configurationBound` is the time after which a new configuration must be in force. `leavingBound` is the time
@@ -22,9 +23,9 @@
     // Returns the exponential backoff of a store reader, which limits the load on a failing store. `failures` is the
     // number of consecutive failures, at least 1.
     Common::Milliseconds backoffAfter(unsigned failures) const;
-    // Returns the backoff of any other router, which reads the store only because its state from other routers is
-    // stale. It is longer from the second failure on, because such routers are many, and the store readers report when
-    // the store is back.
+    // Returns the backoff of a router that is not a store reader. Such a router reads the store only if its state from
+    // other routers is stale. The backoff is longer from the second failure on, because many routers may read at once,
+    // and the store readers pass on the state once the store recovers.
     Common::Milliseconds nonReaderBackoffAfter(unsigned failures) const;
 };
 
--- a/Source/RouteServing/Routing/ReplicaPolicy.h
+++ b/Source/RouteServing/Routing/ReplicaPolicy.h
@@ -11,7 +11,7 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Tracks whether an engine failed in the middle of a response recently. Replicas cost transfers and memory, so they are
-// kept only while such failures are likely to repeat. Not thread-safe.
+// kept only for some time after such a failure. Not thread-safe.
 class MidStreamFailures {
 public:
     void record(Common::TimePoint now) { m_last = now; }
--- a/Source/RouteServing/Routing/RetryPolicy.cpp
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -8,12 +8,12 @@
 using Common::ErrorKind;
 using Common::Ran;
 
-// Connection attempts that may fail for one request before it is given up. A failed connection costs no upstream any
-// work, so it does not count against the retry budget, and several upstreams may have just ended at once.
+// Maximum number of failed connection attempts per request. A failed connection causes no work on an upstream, so it
+// does not count against the retry budget. Several upstreams may have ended at the same time.
 static constexpr unsigned maxConnectFailures = 4;
 
-// Retry-after for a request that one upstream refused while others have room. Short enough to meet an objective of 300
-// ms, and the mean time until the next exchange of loads between routers (every 100 ms).
+// Retry delay after a refusal while another upstream can take the request. Half the interval at which routers exchange
+// loads, and short enough to meet an objective of 300 ms.
 static constexpr Common::Milliseconds retryAfterWithFreeUpstream { 50 };
 
 void AttemptHistory::record(AttemptOutcome outcome)
@@ -39,11 +39,11 @@
         return RetryDecision::GiveUp;
     if (history.mayHaveRun && !route.mayRepeat()) {
         // A failover is not a second run: the same run continues from its replica. Before the first event there may be
-        // no replica yet, and an engine without one might run the request again.
+        // no replica yet, and an engine without the replica might run the request again.
         bool isRunBrokenOff = ranAfter(last) != Ran::No && hasRelayedEvents;
         return isRunBrokenOff ? RetryDecision::FailOver : RetryDecision::GiveUp;
     }
-    // Each upstream is tried at most once, so this ends.
+    // Each upstream is tried at most once, so the number of retries is bounded.
     if (last == AttemptOutcome::Withheld)
         return RetryDecision::Retry;
     if (last == AttemptOutcome::ConnectFailed || last == AttemptOutcome::CancelledBeforeSending)
--- a/Source/RouteServing/Routing/RetryPolicy.h
+++ b/Source/RouteServing/Routing/RetryPolicy.h
@@ -5,8 +5,8 @@
 #include "RouteServing/Routing/AttemptOutcome.h"
 #include "RouteServing/Routing/RouteTable.h"
 
-// Decides what follows a failed attempt: another attempt, a failover, or a final response. Pure. RetryWindow keeps the
-// retry budget; UpstreamRegistry selects the next upstream.
+// Decides what follows a failed attempt: another attempt, a failover, or a final response. Pure. RetryWindow enforces
+// the retry budget; UpstreamRegistry selects the next upstream.
 namespace Brassladder::RouteServing::Routing {
 
 // Counts the attempts of one request so far.
@@ -20,7 +20,7 @@
 
 enum class RetryDecision : uint8_t {
     GiveUp,
-    Retry, // On another upstream. Does not use up the budget, because nothing was sent.
+    Retry, // On another upstream. Does not count against the budget, because nothing was sent.
     RetryWithinBudget, // On another upstream, if the service's retry window allows it.
     FailOver, // Continue the same run on the engine that holds its KV-cache replica, if the retry window allows it.
 };
@@ -33,8 +33,8 @@
 // Returns the final response if there is no further attempt. `problem` describes the failure at the last upstream.
 Refusal refusalAfterFailure(const AttemptHistory&, AttemptOutcome last, bool isPastDeadline, std::string_view problem);
 
-// Returns when the caller of a request that an upstream refused may retry. `hasHealthyUpstream` is whether another
-// upstream may take the request.
+// Returns the retry delay for the caller of a request that an upstream refused. `hasHealthyUpstream` is whether another
+// upstream can take the request now.
 Common::Milliseconds retryAfterRefusal(bool hasHealthyUpstream);
 
 // Returns the kind of error to report. Kinds that promise "did not run" become UpstreamBroken once the request may have
--- a/Source/RouteServing/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -3,10 +3,10 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// The share of the ratio that is used. The rest is slack, because the windows of different routers are not aligned.
+// The share of the ratio that is used. The rest is a margin, because the windows of different routers are not aligned.
 static constexpr double ratioSafetyFactor = 0.9;
-// The share of the fleet's allowance that is used. The rest is slack for routers that have just started and do not know
-// the size of the fleet.
+// The share of the fleet's allowance that is used. The rest is a margin for routers that have just started and do not
+// have the complete roster yet.
 static constexpr double allowanceSafetyFactor = 0.8;
 
 double retryAllowanceShare(double fleetAllowance, size_t routers)
--- a/Source/RouteServing/Routing/RetryWindow.h
+++ b/Source/RouteServing/Routing/RetryWindow.h
@@ -11,18 +11,18 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Bounds the retries that the whole fleet sends to one service: within any sliding window, at most a ratio of its
-// requests plus a fixed allowance. Each router keeps to the ratio of its own requests and to its share of the
-// allowance, so the fleet keeps to the bound without coordination.
+// requests plus a fixed allowance. Each router applies the ratio to its own requests and uses only its share of the
+// allowance, so the fleet stays within the bound without coordination.
 //
-// Class serving uses a token bucket instead (ClassServing/Scheduling/RetryBudget.h). A bucket saves up unused retries
-// over time, which the operators' rule for a window does not allow.
+// Class serving uses a token bucket instead (ClassServing/Scheduling/RetryBudget.h). A bucket accumulates unused
+// retries over time, which the operators' rule for a window does not allow.
 //
 // Thread-safe.
 class RetryWindow {
 public:
     struct Bounds {
         double ratio { 0 }; // Retries per request.
-        double allowance { 0 }; // Additional retries in one window; this router's share.
+        double allowance { 0 }; // This router's share of the additional retries in one window.
         Common::Milliseconds window { 0 };
     };
 
@@ -34,8 +34,8 @@
     bool takeRetry(Common::TimePoint now);
 
 private:
-    // The slices of the window plus one. The oldest slice is partly outside of the window: its retries count but its
-    // requests do not, so the bound holds. With 40 slices per window the error is at most 2.5%.
+    // The slices of the window plus one. The oldest slice is partly outside of the window: its retries are counted but
+    // its requests are not, so the bound is never exceeded. With 40 slices per window the error is at most 2.5%.
     static constexpr size_t sliceCount = 41;
     struct Slice {
         int64_t number { -1 };
--- a/Source/RouteServing/Routing/RevisionCursor.cpp
+++ b/Source/RouteServing/Routing/RevisionCursor.cpp
@@ -24,7 +24,7 @@
 
 void RevisionCursor::acknowledge(uint64_t revision)
 {
-    // The acknowledgement belongs to an earlier process of this router.
+    // An acknowledgement of changes that this process has not sent belongs to an earlier process of this router.
     if (revision > m_sent)
         return;
     bool hasRestarted = revision < m_acknowledged;
--- a/Source/RouteServing/Routing/Roster.cpp
+++ b/Source/RouteServing/Routing/Roster.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// A part of the roster that was not acknowledged is sent again after this: five exchange intervals.
+// Time after which an unacknowledged part of the roster is sent again: five exchange intervals.
 static constexpr Common::Milliseconds partLostAfter = 500ms;
 
 void RosterPosition::advance(uint64_t process, uint64_t after, uint64_t to)
--- a/Source/RouteServing/Routing/Roster.h
+++ b/Source/RouteServing/Routing/Roster.h
@@ -8,8 +8,8 @@
 #include <optional>
 #include <string>
 
-// The fleet's roster, as routers pass it on to each other. If each starting router read all of it from the platform's
-// store, the calls at a start of all routers would grow with the square of the fleet. Pure.
+// The fleet's roster, which routers pass on to each other. If each starting router read all of it from the platform's
+// store instead, the calls at a simultaneous start of all routers would grow with the square of the fleet. Pure.
 namespace Brassladder::RouteServing::Routing {
 
 struct RosterEntry {
@@ -24,9 +24,10 @@
     uint64_t incarnation { 0 };
     uint64_t revision { 0 };
 
-    // Returns the revision up to which the process need not send its roster.
+    // Returns the revision up to which the roster of `process` was received.
     uint64_t revisionOf(uint64_t process) const { return process == incarnation ? revision : 0; }
-    // Records that the entries between two revisions were received. Records nothing if entries before them are missing.
+    // Records that the entries after revision `after`, up to `to`, were received. Does nothing if entries before them
+    // are missing.
     void advance(uint64_t process, uint64_t after, uint64_t to);
 };
 
@@ -34,8 +35,8 @@
 // thread-safe.
 class RosterCursor {
 public:
-    // Returns the revision after which entries must be sent now. The entries up to `newest` count as in flight from
-    // then on. `acknowledged` is the revision that the peer reports.
+    // Returns the revision after which entries must be sent now, and records the entries up to `newest` as in flight.
+    // `acknowledged` is the revision that the peer reports.
     uint64_t beginSend(uint64_t acknowledged, uint64_t newest, Common::TimePoint now);
     // Marks what was in flight as lost.
     void forget() { m_at.reset(); }
--- a/Source/RouteServing/Routing/RosterDuty.cpp
+++ b/Source/RouteServing/Routing/RosterDuty.cpp
@@ -7,9 +7,10 @@
 
 using namespace std::chrono_literals;
 
-// After the first read; longer than the routers of a fleet take to start together.
+// Interval after the first read. Longer than the time within which the routers of a fleet start together.
 static constexpr Common::Milliseconds initialInterval = 1000ms;
-// Routers that start between two reads contact a peer, so they are known without a read.
+// A long interval suffices, because a router that starts between two reads contacts a peer and becomes known without a
+// read.
 static constexpr Common::Milliseconds longestInterval = 6000ms;
 
 Common::Milliseconds rosterInterval(unsigned reads)
--- a/Source/RouteServing/Routing/RosterDuty.h
+++ b/Source/RouteServing/Routing/RosterDuty.h
@@ -14,15 +14,15 @@
 // The input of nextRosterStep().
 struct RosterSituation {
     bool isKnown { false }; // Read from the store, or received from a router that has it.
-    bool awaitsPeers { false }; // The roster is expected from another router (StartPhase).
+    bool awaitsPeers { false }; // The roster is expected from a seed (StartPhase).
     bool isAnnounced { false }; // The platform has this router's current address.
-    bool isStoreReader { false }; // This router reads the store for others (HubRanking).
+    bool isStoreReader { false }; // This router reads the store for other routers (HubRanking).
     unsigned reads { 0 }; // Reads by this router so far.
     std::optional<Common::Milliseconds> sinceLastRead;
 };
 
-// Each router announces itself once per address. It reads the roster only if no peer sent it; after that, only store
-// readers read it and pass it on, so that the calls do not grow with the fleet.
+// Each router announces itself once per address. It reads the roster only if no peer sent it. Afterwards only store
+// readers read it and pass it on, so that the number of calls does not grow with the fleet.
 RosterStep nextRosterStep(const RosterSituation&);
 
 // Returns the interval between a store reader's reads. It is short after the first read, because other routers may have
--- a/Source/RouteServing/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -39,7 +39,7 @@
     unsigned priority { 0 }; // 0 is the most urgent.
     unsigned maxAttempts { 1 }; // Maximum number of upstreams that one request is sent to.
     bool anonymous { false }; // Requires no key.
-    bool resumable { false }; // Another upstream can resume a stream after its last event.
+    bool resumable { false }; // After a failure, another upstream can resume a stream after its last event.
     std::vector<ServiceShare> shares;
 
     // Whether a request that may have run may be sent again.
@@ -56,15 +56,15 @@
 struct Service {
     std::string name;
     std::optional<EngineTraits> engine;
-    std::optional<Duties::ScalingTerms> scaling; // Set if the fleet orders engines for the service.
+    std::optional<Duties::ScalingTerms> scaling; // Set if the fleet scales the engines of the service.
 };
 
 struct Workspace {
     std::string name;
-    std::optional<unsigned> priority; // Combined with that of the route, see UrgencyScale.
+    std::optional<unsigned> priority; // Combined with the route's priority; see UrgencyScale.
 };
 
-// Limits on what a caller may send, and on how slowly.
+// Limits on the size of a caller's requests and on the time to send them.
 struct CallerLimits {
     // Defaults for a configuration that states none.
     static constexpr Common::Milliseconds defaultHeaderTimeout { 3000 };
@@ -72,7 +72,7 @@
 
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 4 * 1024 * 1024 };
-    Common::Milliseconds headerTimeout { defaultHeaderTimeout }; // For receiving a request.
+    Common::Milliseconds headerTimeout { defaultHeaderTimeout }; // For receiving a whole request after its first byte.
     Common::Milliseconds idleTimeout { defaultIdleTimeout }; // Between two requests on one connection.
 };
 
@@ -93,7 +93,7 @@
     const Service* service(std::string_view name) const;
     void forEachRoute(const std::function<void(const Route&)>&) const;
     const std::map<std::string, Service, std::less<>>& services() const { return m_services; }
-    // Ranks the generations that this version allows.
+    // Returns the ranking of generations by the priorities in this version.
     const UrgencyScale& urgency() const { return m_urgency; }
     // Returns the workspace that the key belongs to, or null if there is none.
     const Workspace* workspaceOfKey(std::string_view key) const;
--- a/Source/RouteServing/Routing/StartPhase.cpp
+++ b/Source/RouteServing/Routing/StartPhase.cpp
@@ -11,7 +11,7 @@
     , m_started(started)
     , m_rosterDeadline(
           started + rosterTimeout + std::chrono::duration_cast<Common::Milliseconds>(rosterTimeoutJitter * jitter))
-    // Routers begin with different seeds.
+    // Spreads the starting routers over the seeds.
     , m_seedIndex(static_cast<size_t>(jitter * static_cast<double>(m_seeds.size())))
 {
 }
--- a/Source/RouteServing/Routing/StartPhase.h
+++ b/Source/RouteServing/Routing/StartPhase.h
@@ -10,23 +10,25 @@
 namespace Brassladder::RouteServing::Routing {
 
 // The phase from a router's start until it has the roster of its fleet. The settings may list a few seeds: routers that
-// were listed when this one started. The router requests the roster from a seed, finds its hub in it, and gets all
-// other state from there, which saves calls to the platform's store. If no seed responds in time, it reads the store
-// itself. A seed does so at once, because the others wait for it.
+// were listed when this one started. The router requests the roster from a seed, and then all other state from its hub,
+// which follows from the roster. This saves calls to the platform's store. If no seed responds in time, the router
+// reads the store itself. A router that is a seed reads the store at once, because others wait for it.
 //
-// Callers wait for the first state, but not for the roster. Except at the first start of the whole fleet, a router
-// therefore waits for its first state only briefly, and only until a seed fails.
+// Requests cannot be served before the first state (configuration and list of upstreams) has arrived, but do not need
+// the roster. A router therefore waits for its first state only briefly, and only until a seed fails. At the first
+// start of the whole fleet there is no traffic, and it waits as long as for the roster.
 //
 // Times are those of the steady clock. Not thread-safe.
 class StartPhase {
 public:
-    // How long a router waits for others before it reads the store itself. Covers the time in which all routers of a
-    // fleet start and a slow one begins to listen.
+    // How long a router waits for others before it reads the store itself. Covers the time until all routers of a
+    // fleet have started and listen.
     static constexpr Common::Milliseconds rosterTimeout { 1000 };
     // Random addition of up to this time, so that routers that start together do not read in step.
     static constexpr Common::Milliseconds rosterTimeoutJitter { 500 };
-    // How long a router waits for its first state when callers may be waiting: a few round trips and connections within
-    // a fleet. It is also the delay after a power loss, because connections to instances without power time out.
+    // How long a router waits for its first state when there may be traffic: a few round trips and connection setups
+    // within a fleet. It is also the added delay after a power loss, when connections to instances without power time
+    // out.
     static constexpr Common::Milliseconds firstStateTimeout { 50 };
     // A seed that has just started considers its roster complete when no unlisted router has appeared for this long:
     // two exchange intervals.
@@ -57,8 +59,8 @@
 
     // A router has appeared that was in no roster.
     void recordUnlistedRouter(Common::TimePoint now) { m_lastUnlistedRouter = now; }
-    // Whether a roster that was read from the store may be taken for that of the whole fleet. When all routers start
-    // for the first time, only a few have announced themselves by the time of the read.
+    // Whether a roster that was read from the store can be considered complete. When all routers start for the first
+    // time, only a few have announced themselves by the time of the read.
     bool isSettled(Common::TimePoint now) const;
 
 private:
--- a/Source/RouteServing/Routing/Urgency.h
+++ b/Source/RouteServing/Routing/Urgency.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <set>
 
-// Decides in which order an engine takes the generations that wait for it. Pure.
+// Decides the order in which an engine serves waiting generations. Pure.
 namespace Brassladder::RouteServing::Routing {
 
 // Whether a generation is expected to begin within its route's objective.
@@ -15,23 +15,25 @@
 // Ranks generations by the priorities in one configuration, and maps ranks to the priority levels of an engine (0 is
 // the most urgent).
 //
-// The rank is the sum of the positions of the workspace's and the route's priority. Both count equally, so a generation
-// never preempts one that is ahead of it in one of the two and not behind it in the other.
+// The rank is the number of more urgent workspace priorities plus the number of more urgent route priorities. Both
+// count equally: a generation never preempts one that is more urgent by one of the two priorities and not less urgent
+// by the other.
 //
 // Within a rank, generations that can still meet their objective go first. Otherwise an overloaded engine would serve
-// all in order of arrival, and all late.
+// all generations in order of arrival, and most of them late.
 class UrgencyScale {
 public:
-    // Adds the priority of a workspace. Workspaces without one come last.
+    // Adds the priority of a workspace. A workspace without a priority is the least urgent.
     void addWorkspace(std::optional<unsigned> priority);
-    // Adds the priority of a route that leads to engines.
+    // Adds the priority of a route to a service with engines.
     void addRoute(unsigned priority);
 
-    // 0 is the most urgent.
+    // Returns the rank; 0 is the most urgent.
     size_t rank(std::optional<unsigned> workspacePriority, unsigned routePriority) const;
 
-    // Returns the level for a generation of that rank, below `levels`. If there are fewer than two levels per rank, the
-    // least urgent ranks have two, because they wait the longest.
+    // Returns the priority level for a generation of that rank, below `levels`. Late generations have a level of their
+    // own, right after that of their rank. If the levels do not suffice for two per rank, only the least urgent ranks
+    // have two, because they wait the longest.
     size_t level(size_t rank, Punctuality, size_t levels) const;
 
 private:
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -126,7 +126,7 @@
     EXPECT_EQ(usedBy(270), 6U) << "nearly full batches take more than half of the engines";
 }
 
-// In a burst of prompts, half-full batches would keep engines from late prompts.
+// Half-full batches would reserve engines that could take the late prompts.
 TEST(EnginePlacementTest, DecodeHeavyWorkUsesFewerEnginesWhilePromptsAreLate)
 {
     EnginePlacement placement;
@@ -145,7 +145,7 @@
     EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 3s, s_now)->punctuality, Punctuality::OnTime);
     EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U);
     EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 1s, s_now)->punctuality, Punctuality::Late);
-    EXPECT_EQ(enginesOfDecodeHeavy(s_now + 1s), 2U) << "57 per engine";
+    EXPECT_EQ(enginesOfDecodeHeavy(s_now + 1s), 2U) << "nearly full batches: 57 per engine";
     EXPECT_EQ(enginesOfDecodeHeavy(s_now + 4s), 4U) << "no prompt was late for three seconds";
 }
 
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 // Simulates the start of many routers on virtual time; messages and the store respond at once. Checks how many calls to
-// the platform's store a start takes, and that all routers come to know each other.
+// the platform's store a start takes, and that each router gets the complete roster.
 namespace Brassladder::RouteServing::Routing {
 
 using namespace std::chrono_literals;
@@ -99,7 +99,7 @@
         }
     }
 
-    // Whether all routers know all others and agree on the roles.
+    // Whether each router has the complete roster, and there are as many hubs and store readers as expected.
     bool isComplete() const
     {
         size_t hubs = 0;
@@ -192,8 +192,8 @@
 
 constexpr size_t s_seeds = 3;
 constexpr Common::Milliseconds s_runLength { 12'000 };
-// In a run, each store reader reads four times (RosterDuty), and so does each seed at most: it is a store reader until
-// it has received the roster.
+// Each store reader reads four times in a run (RosterDuty). A seed is a store reader until it has received the roster,
+// so it reads at most four times too.
 constexpr size_t s_maxReadsPerRun = (3 + s_seeds) * 4;
 
 } // namespace
@@ -225,7 +225,7 @@
     EXPECT_TRUE(fleet.isComplete()) << "after one second all have their roles again";
     fleet.run(s_start + s_runLength + 1000ms, s_runLength - 1000ms);
     EXPECT_TRUE(fleet.isComplete());
-    EXPECT_LE(fleet.store.announcements, s_seeds) << "seeds do not wait for a roster that lists them";
+    EXPECT_LE(fleet.store.announcements, s_seeds) << "seeds announce themselves before they receive the roster";
     EXPECT_LE(fleet.store.reads, s_maxReadsPerRun);
 }
 
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -22,7 +22,7 @@
     return ids;
 }
 
-// The role of `self` while all other routers except `lost` respond.
+// Returns the ranking that `self` computes while all other routers except `lost` respond.
 HubRanking rankingOf(const std::string& self, const std::vector<std::string>& ids, const std::string& lost = {})
 {
     std::vector<HubRanking::Router> others;
--- a/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -25,7 +25,7 @@
     EXPECT_FALSE(requests.take("h1", *first)) << "the later response covers the earlier request";
     EXPECT_FALSE(requests.take("h2", *third)) << "nothing was requested from it";
     EXPECT_EQ(requests.take("h1", *third), s_now + 200ms);
-    EXPECT_FALSE(requests.take("h1", 0)) << "a notification answers no request";
+    EXPECT_FALSE(requests.take("h1", 0)) << "number 0 belongs to no request";
 }
 
 TEST(OutstandingRequestsTest, ATargetIsOverdueWhenItsFirstResponseIsLate)
@@ -43,7 +43,7 @@
     EXPECT_FALSE(requests.isOverdue(s_now + 500ms));
 }
 
-// Another thread may set another target between the choice of the target and the request.
+// Another thread may change the target after a request was prepared for it.
 TEST(OutstandingRequestsTest, ARequestThatWasPreparedForAnotherTargetIsNotRecorded)
 {
     OutstandingRequests requests;
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -23,10 +23,10 @@
     double perSecond { 0 };
     uint32_t sharedTokens { 0 };
     unsigned prefixes { 1 };
-    double ownTokens { 0 }; // Mean of a log-normal distribution, as long prompts are rare.
+    double ownTokens { 0 }; // Mean of a log-normal distribution, because long prompts are rare.
     uint32_t outputTokens { 0 };
     Common::Milliseconds objective { 600 };
-    // A caller cancels if no event has arrived by then.
+    // The caller cancels if no event arrives within this time.
     Common::Milliseconds callerTimeout { 2400 };
 };
 
@@ -182,7 +182,7 @@
 
 } // namespace
 
-// 80 prompts a second are more than the engines can prefill in time. In order of arrival most would be late.
+// 80 prompts per second exceed what the engines can prefill in time. If served in order of arrival, most would be late.
 TEST(OverloadTest, GenerationsThatCanStillBeInTimeGoFirst)
 {
     auto before = BurstSimulation(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
--- a/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -25,8 +25,8 @@
     }
     EXPECT_EQ(backoff.timeouts(), 7U);
     backoff.recordRequest();
-    EXPECT_FALSE(backoff.isIgnored(s_now)) << "the router is alive";
-    EXPECT_EQ(backoff.timeouts(), 7U) << "but has not responded";
+    EXPECT_FALSE(backoff.isIgnored(s_now)) << "the router is running";
+    EXPECT_EQ(backoff.timeouts(), 7U) << "a request is not a response";
     backoff.recordResponse();
     backoff.recordTimeout(s_now);
     EXPECT_FALSE(backoff.isIgnored(s_now + 2000ms)) << "the backoff starts again from its initial value";
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -49,7 +49,7 @@
             "not_sent", "not_sent", "refused", "maybe_ran", "maybe_ran", "ran", "ran", "not_sent" }));
 }
 
-// A once-only request that may have run is never sent again, whatever happened before.
+// Covers all pairs of outcomes.
 TEST(RetryPolicyTest, ARequestThatMustRunOnceIsNotSentAgainOnceItMayHaveRun)
 {
     for (const auto& route : { routeOf(RouteKind::OnceOnly), routeOf(RouteKind::Stream) }) {
@@ -144,7 +144,8 @@
     EXPECT_EQ(maxIdleTime(routeOf(RouteKind::Repeatable)), Common::Milliseconds::max());
 }
 
-// Waiting for a second would miss shorter objectives, and is not needed while other upstreams have room.
+// Guards against a delay of a second, which would miss shorter objectives although another upstream can take the
+// request.
 TEST(RetryPolicyTest, RetryAfterIsShorterWhileOtherUpstreamsHaveRoom)
 {
     EXPECT_EQ(retryAfterRefusal(true), 50ms);
--- a/Source/UnitTests/RouteServing/Routing/RevisionCursorTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RevisionCursorTest.cpp
@@ -23,7 +23,7 @@
     cursor.forgetSent();
     EXPECT_EQ(cursor.next(s_start + 200ms), 10U) << "the connection has ended";
     cursor.recordSent(20, s_start + 200ms);
-    EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "the peer dropped it";
+    EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "the part was not acknowledged in time";
     cursor.acknowledge(5000);
     EXPECT_EQ(cursor.next(s_start + 3200ms), 10U) << "the acknowledgement belongs to an earlier process of this router";
     cursor.acknowledge(0);
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -120,7 +120,7 @@
     situation.isAnnounced = false;
     situation.isStoreReader = false;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce)
-        << "the roster is known, but the platform lacks this address";
+        << "the roster is known, but the platform does not have the address of this router";
 }
 
 TEST(RosterDutyTest, TheIntervalBetweenReadsDoublesUpToItsMaximum)
@@ -157,7 +157,7 @@
         << "the jitter adds up to rosterTimeoutJitter";
 }
 
-// Callers wait for the first state.
+// Requests cannot be served before the first state, so a router does not wait for it after a seed has failed.
 TEST(StartPhaseTest, TheFirstStateIsAwaitedOnlyUntilASeedFails)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
@@ -165,7 +165,7 @@
     EXPECT_TRUE(start.awaitsState(s_now));
     EXPECT_FALSE(start.awaitsState(s_now + StartPhase::firstStateTimeout));
     start.recordSeedFailure();
-    EXPECT_FALSE(start.awaitsState(s_now)) << "other routers may be starting as well";
+    EXPECT_FALSE(start.awaitsState(s_now)) << "the router reads the store instead";
     EXPECT_TRUE(start.awaitsRoster(s_now)) << "callers do not wait for the roster";
 }
 
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -15,7 +15,7 @@
 
 static constexpr Common::TimePoint s_now(1h);
 
-// State that is just not stale, plus one read of the store with its backoff, stays within the bound.
+// The values are fixed percentages of the bounds.
 TEST(RefreshIntervalsTest, AllFollowFromTheBounds)
 {
     auto intervals = RefreshIntervals::within(2000ms, 1000ms);
--- a/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
@@ -21,14 +21,15 @@
 
 } // namespace
 
-// Guards against urgent chats that wait behind long prompts if all workspaces have the same priority.
+// All workspaces have the same priority. Guards against urgent chats that wait behind long prompts.
 TEST(UrgencyTest, TheRoutesPriorityDecidesAmongWorkspacesOfOnePriority)
 {
     auto urgency = scale({ 1, 1 }, { 0, 1 });
     EXPECT_LT(urgency.rank(1, 0), urgency.rank(1, 1));
 }
 
-// Guards against chats (1, 0) that are preempted for summaries (0, 1) while other summaries continue.
+// Each of the two generations is more urgent by one priority. Guards against preempting a chat (workspace priority 1,
+// route priority 0) for a summary (0, 1).
 TEST(UrgencyTest, WhereTheTwoOrdersDisagreeNeitherPreemptsTheOther)
 {
     auto urgency = scale({ 0, 1 }, { 0, 1 });
