--- a/Source/Inner/FrameCodec.h
+++ b/Source/Inner/FrameCodec.h
@@ -10,10 +10,10 @@
 
 namespace Brassladder::Inner {
 
-// The largest frame that is accepted from a peer; a configuration of 4,300 workspaces takes about 2.6 MB.
+// Maximum size of a received frame, without its length prefix.
 inline constexpr uint32_t maxFrameBytes = 16 * 1024 * 1024;
 
-// Serializes a frame behind its length prefix (four bytes, big-endian).
+// Serializes a frame and prepends its length (four bytes, big-endian).
 std::string encodeFrame(const Wire::Frame&);
 
 // Splits a byte stream into frames.
--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -13,12 +13,12 @@
 
 // The connection is closed when sent bytes stay unacknowledged for this long (TCP_USER_TIMEOUT), for example during a
 // network partition. The kernel of a stopped process still acknowledges bytes, so the connection is also closed when
-// outbound bytes wait this long for the peer's HTTP/2 window.
+// the peer's HTTP/2 window accepts no outbound bytes for this long.
 static constexpr int writeStallTimeoutMs = 2000;
 
 // Buffer size of one read: the default maximum HTTP/2 frame size (RFC 9113, 6.5.2).
 static constexpr size_t readBufferBytes = 16 * 1024;
-// HTTP/2 flow control window: holds a burst of frames without a wait for window updates.
+// HTTP/2 flow control window; large enough for a burst of frames to be sent without waiting for window updates.
 static constexpr int32_t flowControlWindowBytes = 1 << 20;
 
 Http2Session::Http2Session(Socket socket, Hooks hooks)
@@ -101,7 +101,8 @@
     std::copy_n(self.m_outbound.data() + self.m_outboundConsumed, bytes, target);
     self.m_outboundConsumed += bytes;
     self.m_totalConsumed += bytes;
-    // Compaction at the halfway point bounds the consumed prefix even if the peer never catches up completely.
+    // Erases the consumed prefix once it is at least half of the buffer, so the buffer stays bounded even if it is
+    // never empty.
     if (self.m_outboundConsumed >= self.m_outbound.size() - self.m_outboundConsumed) {
         self.m_outbound.erase(0, self.m_outboundConsumed);
         self.m_outboundConsumed = 0;
@@ -194,14 +195,14 @@
 }
 
 // Waits until nghttp2 has consumed all outbound bytes. Another fiber may be writing, or the peer's flow control window
-// may be exhausted; in that case the reader fiber resumes sending when the window opens.
+// may be exhausted. In the latter case, the reader fiber resumes sending after it has received a window update.
 void Http2Session::awaitOutboundConsumed()
 {
     std::unique_lock lock(m_progressMutex);
     while (m_open && !m_outbound.empty()) {
         auto consumedBefore = m_totalConsumed;
         auto status = m_progress.wait_for(lock, std::chrono::milliseconds(writeStallTimeoutMs));
-        // TCP_USER_TIMEOUT covers bytes that are already being written to the socket.
+        // While bytes are being written to the socket (`m_flushing`), TCP_USER_TIMEOUT applies instead.
         bool isStuck
             = status == boost::fibers::cv_status::timeout && m_totalConsumed == consumedBefore && !m_flushing && m_open;
         if (isStuck)
@@ -218,8 +219,8 @@
     m_flushing = true;
     writePending();
     m_flushing = false;
-    // The stream was closed, or nghttp2 ended the session after a protocol error. No more data follows, so the reader
-    // fiber must not wait for it.
+    // The stream was closed, or nghttp2 ended the session after a protocol error. Closing the socket also ends the
+    // pending read of the reader fiber, which would otherwise wait for data that the session no longer accepts.
     if (!m_open || (!nghttp2_session_want_read(m_session) && !nghttp2_session_want_write(m_session)))
         close();
     m_progress.notify_all();
--- a/Source/Inner/Http2Session.h
+++ b/Source/Inner/Http2Session.h
@@ -9,7 +9,7 @@
 namespace Brassladder::Inner {
 
 // An HTTP/2 connection that carries one byte stream from the client to the server. The client sends a POST to `/inner`
-// whose body never ends. Bound to one thread: a reader fiber runs `run`, and any fiber of the thread may `send`.
+// whose body has no end. All functions must be called on one thread: `run` by a reader fiber, `send` by another fiber.
 class Http2Session : public std::enable_shared_from_this<Http2Session> {
 public:
     using Socket = boost::asio::ip::tcp::socket;
@@ -26,9 +26,9 @@
 
     // Reads until the connection ends.
     void run();
-    // Client: sends bytes of the stream. Suspends the calling fiber until all bytes fit into the peer's flow control
-    // window, or the connection ends, including when the peer makes no progress before the timeout. One fiber at a
-    // time.
+    // Client: sends bytes of the stream. Suspends the calling fiber until nghttp2 has framed all bytes, for which the
+    // peer's flow control window must have room, or until the connection ends. Closes the connection if the window
+    // accepts no bytes for the write stall timeout. Only one fiber may call this at a time.
     void send(std::string bytes);
     void close();
     bool isOpen() const { return m_open; }
@@ -54,11 +54,11 @@
     int32_t m_stream { 0 };
     std::string m_authorization;
     bool m_authorized { false };
-    std::string m_received; // Bytes of the stream that are not delivered to the hook yet.
+    std::string m_received; // Bytes of the stream that `onData` has not received yet.
     std::string m_outbound;
     size_t m_outboundConsumed { 0 };
-    uint64_t m_totalConsumed { 0 }; // Bytes over the lifetime of the connection.
-    bool m_deferred { false };
+    uint64_t m_totalConsumed { 0 }; // Outbound bytes that nghttp2 has consumed since the connection opened.
+    bool m_deferred { false }; // nghttp2 waits for outbound bytes; `nghttp2_session_resume_data` ends the wait.
     bool m_flushing { false };
     bool m_open { true };
     boost::fibers::mutex m_progressMutex;
--- a/Source/Inner/Mesh.h
+++ b/Source/Inner/Mesh.h
@@ -11,8 +11,8 @@
 
 // Sends items between routers, in order. Each direction uses its own connection, which is opened when there is an item
 // to send. Delivery is at most once: when a connection breaks, items in flight are lost and the mesh does not resend
-// them. It calls the sender's `onDisconnected` hook, and the owner of the state sends it again (see PeerLink.h for the
-// guarantees). Items that wait for the same peer are batched into frames. Thread-safe.
+// them. It calls the sender's `onDisconnected` hook; the callee must send its current state again (see PeerLink.h for
+// the guarantees). Items that are queued for the same peer are batched into frames. Thread-safe.
 class Mesh {
 public:
     struct Sender {
@@ -20,7 +20,7 @@
         uint64_t incarnation { 0 }; // Differs for each start of the instance.
     };
     struct Hooks {
-        // Called on a thread of the runtime, in sending order. Must not block.
+        // Called for each received item on a thread of the runtime, in sending order per connection. Must not block.
         std::function<void(const Sender&, const Wire::Item&)> onItem;
         // A connection to the peer was opened; the callee must send the state that the peer needs. Must not block.
         std::function<void(const std::string& peer)> onConnected;
--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -11,15 +11,15 @@
 using tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
 
-// Connection timeout between routers. One-way latency within a region is a few milliseconds.
+// Timeout of a connection attempt between routers of a region.
 static constexpr Common::Milliseconds connectTimeout { 500 };
-// Minimum delay between the end of a connection or failed attempt and the next attempt. An owner that resends on every
-// notification would otherwise cause a busy loop of connection attempts to a peer that refuses them.
+// Minimum delay between the end of a connection or failed attempt and the next attempt. `onDisconnected` hooks that
+// send items would otherwise cause a busy loop of connection attempts to a peer that refuses them.
 static constexpr Common::Milliseconds reconnectDelay { 10 };
 // A connection is closed when more than this is queued behind the first item. The first item may have any size.
 static constexpr size_t maxBacklogBytes = 8 * 1024 * 1024;
-// Queued items are batched into one frame up to this size; a larger item gets a frame of its own. For a slow peer, the
-// router holds a batch of this size twice: as items and encoded.
+// Queued items are batched into one frame up to this size; a larger item gets a frame of its own. While a batch is
+// encoded, it is in memory twice.
 static constexpr size_t maxBatchBytes = 1024 * 1024;
 
 PeerLink::PeerLink(Context& context, Peer peer, size_t thread)
@@ -128,7 +128,7 @@
 {
     if (m_session && m_session->isOpen())
         return m_session;
-    // The connection ended during a write, and its reader fiber has not handled that yet.
+    // The connection ended during a write, and its reader fiber has not called `closeConnection` yet.
     if (auto ended = m_session) {
         closeConnection(ended);
         return nullptr;
@@ -136,7 +136,7 @@
     awaitReconnectDelay();
     auto session = m_removed ? nullptr : connect();
     if (m_removed) {
-        // `remove` has already notified the owner.
+        // `removeOnLinkThread` has already called `onDisconnected` if that was necessary.
         dropOutbox();
         return nullptr;
     }
@@ -194,7 +194,7 @@
         if (!m_stalled)
             return;
     }
-    // If there is no session yet, the connection attempt has its own timeout.
+    // If there is no session yet, `connectTimeout` ends the connection attempt.
     if (auto session = m_session)
         closeConnection(session);
 }
--- a/Source/Inner/PeerLink.h
+++ b/Source/Inner/PeerLink.h
@@ -23,13 +23,13 @@
 // Sends items to one peer. Owns an outbox and one connection, which is opened when there is an item to send.
 //
 // Connecting and writing suspend the sending fiber. Meanwhile the reader fiber or `remove` may end the connection, so a
-// fiber holds a reference to its own session and checks the state of the link again after each suspension. The fiber
-// that first notices the end of a connection calls `closeConnection`, which handles it in one step; later calls do
-// nothing.
+// fiber holds a reference to its own session and checks the state of the link again after each suspension. Each fiber
+// that detects the end of a connection calls `closeConnection`. The first call handles it without suspension; later
+// calls do nothing.
 //
-// Guarantees: an item is either written to an open connection, or dropped with a call of `onDisconnected` afterwards.
-// Items sent after that call use another connection. `onDisconnected` is called once per connection, before the next
-// one opens, and never after the link was removed.
+// Guarantees: each item is either written to an open connection, or dropped before a call of `onDisconnected`. Items
+// sent after that call use another connection. `onDisconnected` is called once per connection or failed connection
+// attempt, before the next connection opens, and never after the link was removed.
 //
 // `send` and `remove` are thread-safe; everything else runs on the link's thread.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
@@ -50,29 +50,30 @@
     const Peer& peer() const { return m_peer; }
 
     void send(Wire::Item);
-    // Ends the connection permanently and drops queued items. A later link to a peer with the same id must use the same
-    // thread and receive its first item after this call.
+    // Closes the connection, drops queued items and disables the link. A later link to a peer with the same id must use
+    // the same thread, and its first `send` must follow this call.
     void remove();
 
 private:
     using Session = std::shared_ptr<Http2Session>;
 
     void drain();
-    // Returns whether items are queued. If not, marks the drain as finished, and the next `send` starts a new one. Only
-    // for `drain`.
+    // Returns whether items are queued. If not, marks the drain as finished, and the next `send` starts a new one.
+    // Called only by `drain`.
     bool continueDrain();
     bool hasPendingItems();
     // Takes the items for one frame from the outbox.
     std::vector<Wire::Item> takeBatch();
     void dropOutbox();
     void write(const Session&, std::vector<Wire::Item>);
-    // Returns the open session and connects if there is none. Returns nullptr if the outbox was dropped instead.
+    // Returns the open session, after connecting if there is none. Returns nullptr if the link was removed or there is
+    // no connection; the outbox was then dropped.
     Session openSession();
     Session connect();
     void awaitReconnectDelay() const;
     void startReading(const Session&);
     void closeConnection(const Session&);
-    // Closes the connection to a peer that does not accept items fast enough.
+    // Closes the connection if the backlog still exceeds its limit.
     void closeStalledConnection();
     void dropOutboxAndNotify();
     void removeOnLinkThread();
--- a/Source/RouteServing/Duties/CapacityDemand.cpp
+++ b/Source/RouteServing/Duties/CapacityDemand.cpp
@@ -10,20 +10,20 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// Share of the shortest objective that queued prompts of an engine may take. The rest is left for prompts that arrive
-// meanwhile and for the engine's own first step.
+// Share of the shortest objective that the prefill of an engine's queued prompts may take. The rest covers prompts that
+// arrive in the meantime and the engine's first decode step.
 static constexpr double backlogShareOfObjective = 0.25;
-// Share of a batch that long responses may take; equal to the share that Routing/DecodeReservation.h reserves.
+// Share of a batch that decode-heavy generations may occupy; must equal the share in Routing/DecodeReservation.h.
 static constexpr double decodeShareOfBatch = 0.5;
 static constexpr double maxHeadroomFactor = 3;
-// Weight of a new sample in the moving average. Single samples vary with the size of prompts.
+// Weight of a new sample in the exponential moving average, which smooths the effect of single large prompts.
 static constexpr double sampleWeight = 0.5;
-// A load counts as sustained if it has persisted for this long; it exceeds the length of common bursts.
+// A load counts as sustained if it persists for this long, which exceeds the length of common bursts.
 static constexpr Milliseconds sustainedLoadWindow = 12'000ms;
-// The largest need within this time determines the headroom; it spans the gaps between recurring bursts.
+// The need with headroom follows the maximum within this time, which spans the gaps between recurring bursts.
 static constexpr Milliseconds peakLoadWindow = 60'000ms;
-// The number of serving engines counts as stable if it has not changed for this long. It exceeds the interval at which
-// upstreams announce themselves.
+// The number of serving engines counts as stable if it has not changed for this long, which exceeds the announcement
+// interval of upstreams.
 static constexpr Milliseconds servingCountStableTime = 2000ms;
 // The load counts as known if it has been observed for this long.
 static constexpr Milliseconds minLoadObservation = 5000ms;
@@ -75,7 +75,7 @@
             least = std::min(least, sample.engines);
     }
     auto withHeadroom = engines(m_headroom * most);
-    // A new holder may not have observed a burst yet; serving engines may exist for one.
+    // The initial engines may be headroom for bursts that a new holder has not observed yet.
     if (now - *m_firstLoadAt < peakLoadWindow)
         withHeadroom = std::max(withHeadroom, *m_initialEngines);
     return CapacityNeed { engines(least), withHeadroom };
--- a/Source/RouteServing/Duties/CapacityDemand.h
+++ b/Source/RouteServing/Duties/CapacityDemand.h
@@ -11,10 +11,11 @@
 // Outstanding work of all routers at the engines of one service, as reported to the holder of the duties.
 struct EngineLoad {
     double decodeHeavy { 0 }; // Generations whose decode takes longer than their prefill.
-    double prefillTokens { 0 }; // Of prompts that wait for their first event.
-    double millisecondsPerToken { 0 }; // Learned prefill time; 0 if unknown.
+    double prefillTokens { 0 }; // Prompt tokens of requests that wait for their first event.
+    double millisecondsPerToken { 0 }; // Estimated prefill time per token; 0 if unknown.
     unsigned batch { 1 }; // Generations that an engine runs concurrently.
-    Common::Milliseconds objective { 0 }; // The shortest time to first event that a route promises.
+    // Shortest objective for the time to the first event, of all routes to the service.
+    Common::Milliseconds objective { 0 };
 };
 
 // Number of engines that a service needs.
@@ -27,12 +28,13 @@
 // Computes how many engines a service needs from its outstanding work.
 //
 // Bursts begin within a second and end before another engine has booted, so only engines that already serve can absorb
-// them. The headroom factor is the inverse square root of the spot price, within bounds, and applies to the recent
-// maximum of the need. The sustained need is the recent minimum: on-demand engines that are ordered for a burst would
-// serve only after it has ended and displace spot engines.
+// them. The need with headroom is the recent maximum of the required engines, multiplied by the inverse square root of
+// the spot price, within bounds. The sustained need is the recent minimum, which excludes bursts: on-demand engines
+// that are ordered during a burst would start to serve after its end, and then take the place of cheaper spot engines.
 //
-// While the load is unknown, the need equals the initial number of serving engines. For one minute after that, the need
-// with headroom does not fall below it; otherwise a new holder could release engines too early. Not thread-safe.
+// Until the load has been observed for a few seconds, both needs equal the initial number of serving engines. During
+// the first minute of observation, the need with headroom does not fall below that number; otherwise a new holder could
+// release engines too early. Not thread-safe.
 class CapacityDemand {
 public:
     // `spotPrice`: price of a spot engine relative to an on-demand engine.
@@ -40,10 +42,10 @@
 
     // `servingEngines`: number of engines that serve now.
     void observe(const EngineLoad&, unsigned servingEngines, Common::TimePoint now);
-    // Returns nullopt until the number of serving engines is stable; nothing may be ordered before.
+    // Returns nullopt until the number of serving engines has become stable. No engines may be ordered until then.
     std::optional<CapacityNeed> need(Common::TimePoint now) const;
 
-    // Returns the engines that the load requires, without headroom.
+    // Returns the number of engines that the load requires, without headroom.
     static double enginesFor(const EngineLoad&);
 
 private:
--- a/Source/RouteServing/Duties/CapacityOrders.cpp
+++ b/Source/RouteServing/Duties/CapacityOrders.cpp
@@ -6,14 +6,15 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// Delay after the platform reported that it has no such engines; limits the calls per failure domain.
+// Delay before the next order for a failure domain that had no capacity.
 static constexpr Common::Milliseconds noCapacityRetryDelay = 2000ms;
-// Delay after another rejection or a missing response.
+// Delay before the next order after another rejection or a missing response.
 static constexpr Common::Milliseconds failureRetryDelay = 500ms;
-// Allowance for the delay of the upstream list.
+// Allowance for the delay until a started engine appears in the upstream list.
 static constexpr Common::Milliseconds upstreamListLag = 3000ms;
 
-// Returns nullopt, which causes a new order, if the platform accepted a number long ago and fewer engines serve.
+// Returns the last accepted number. Returns nullopt, which causes a new order, if there is none, or if fewer engines
+// serve although the time for them to boot has passed.
 std::optional<unsigned> CapacityOrders::orderedNumber(
     const Subject& subject, unsigned servingEngines, TimePoint now) const
 {
@@ -57,7 +58,7 @@
     case Outcome::Accepted:
         state.accepted = order.desired;
         state.acceptedAt = now;
-        // The platform now rejects a late order with a lower token; a late order with the same number changes nothing.
+        // The platform now rejects the unanswered order if its token is lower. With the same number, it has no effect.
         if (state.unansweredToken < token || state.unanswered == order.desired)
             state.unanswered.reset();
         return;
--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -14,31 +14,33 @@
 
 // Tracks the orders of one holder of the duties and selects the order to send next.
 //
-// An order without a response may be carried out seconds later, after newer orders. The platform checks its token at
-// that time. An order for a different number therefore needs a new token, which makes the platform reject the late one.
-// An order for the same number may be repeated with the same token. Not thread-safe.
+// If the response to an order is lost, the platform may still execute the order seconds later, after newer ones. It
+// checks the token of an order when it executes it. An order for a different number therefore needs a new token, so
+// that the platform rejects the late order. An order for the same number may be repeated with the same token. Not
+// thread-safe.
 class CapacityOrders {
 public:
-    // `boot`: boot time of an engine. An accepted number is ordered again if the upstream list does not reach it within
-    // this time plus an allowance.
+    // `boot`: boot time of an engine. An accepted order is sent again if the upstream list does not contain that many
+    // engines after this time plus an allowance.
     explicit CapacityOrders(Common::Milliseconds boot)
         : m_boot(boot)
     {
     }
 
-    // Sets the ordered numbers of each domain.
+    // Sets `orderedOnDemand` and `orderedSpot` of each domain. A number is nullopt if the platform accepted none, or if
+    // the engines did not appear in time; `CapacityPlan::orders` then orders them again.
     void setOrderedNumbers(const std::string& service, std::span<DomainCapacity>, Common::TimePoint now);
 
     struct Next {
         CapacityOrder order;
         bool needsNewToken { false };
     };
-    // Returns the first of the wanted orders that may be sent now. `token`: the holder's token.
+    // Returns the first of the wanted orders that may be sent now. `token`: the current fencing token of the holder.
     std::optional<Next> next(std::span<const CapacityOrder> wanted, uint64_t token, Common::TimePoint now) const;
 
     enum class Outcome : uint8_t {
         Accepted,
-        NoCapacity, // The platform has no such engines in the domain now.
+        NoCapacity, // The platform currently has no free engines of this kind in the domain.
         Rejected,
         NoResponse,
     };
@@ -50,8 +52,8 @@
         std::optional<unsigned> accepted;
         Common::TimePoint acceptedAt {};
         Common::TimePoint notBefore {};
-        std::optional<unsigned> unanswered; // Number that may still be carried out,
-        uint64_t unansweredToken { 0 }; // with this token.
+        std::optional<unsigned> unanswered; // Number of an order without a response, which may still be executed.
+        uint64_t unansweredToken { 0 }; // Token of that order.
     };
     static Subject subjectOf(const CapacityOrder& order) { return { order.service, order.domain, order.kind }; }
     std::optional<unsigned> orderedNumber(const Subject&, unsigned servingEngines, Common::TimePoint now) const;
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -7,17 +7,17 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// Minimum of on-demand engines per domain, independent of the need. They serve when all spot engines of all domains are
-// taken away.
+// Minimum of on-demand engines per domain, independent of the need, in case the platform reclaims the spot engines of
+// all domains.
 static constexpr unsigned onDemandFloor = 1;
 
-// Hysteresis for the release of spot engines, because a new engine starts with an empty cache: the surplus must exceed
-// both an eighth of the ordered number and a minimum.
+// Hysteresis for the release of spot engines: the surplus must exceed both a fraction of the ordered number and a
+// minimum. An engine that is released and ordered again starts with an empty cache.
 static constexpr unsigned spotSurplusDivisor = 8;
 static constexpr unsigned minSpotSurplus = 2;
 
-// Engines of a kind that are added to or removed from a domain in one step. Each change of the upstream list is sent to
-// every router, so a large change in one step would overload the hubs.
+// Maximum number of engines of one kind that are added to or removed from a domain in one step. Hubs send each change
+// of the upstream list to every router, so a larger step could overload them.
 static constexpr unsigned maxEnginesPerStep = 60;
 
 static unsigned limitStep(unsigned servingEngines, unsigned wanted)
@@ -43,8 +43,8 @@
     return order;
 }
 
-// Spreads the engines evenly, so that the remaining domains carry the load if one domain loses its spot engines. A
-// single domain has no others.
+// Returns the number of spot engines per domain with which the other domains carry the load if one domain loses its
+// spot engines. With a single domain, there is no such reserve.
 unsigned CapacityPlan::spotTarget(size_t domains, unsigned needed) const
 {
     auto carriers = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
@@ -65,8 +65,9 @@
                 = std::min(spotTarget(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
         carried += floor + std::min(domain.spot, targets.back().spot);
     }
-    // On-demand engines cover the sustained need that spot engines do not, in the cheapest domains first, and never
-    // displace a serving spot engine. Serving on-demand engines are kept before new ones are added.
+    // On-demand engines cover the part of the sustained need that the engines counted so far do not cover, in the
+    // cheapest domains first. They never displace a serving spot engine. Serving on-demand engines are kept before new
+    // ones are added.
     auto missing = need.sustained - std::min(need.sustained, carried);
     for (bool keepsServing : { true, false }) {
         for (size_t index : domainsByPrice(domains)) {
@@ -89,7 +90,7 @@
     std::vector<CapacityOrder> orders;
     for (size_t index = 0; index < domains.size(); ++index) {
         const auto& domain = domains[index];
-        // Before this holder's first order, the serving engines are the best estimate of what was ordered.
+        // If the ordered number is unknown, the number of serving engines is the best estimate.
         auto onDemand = domain.orderedOnDemand.value_or(domain.onDemand);
         auto spot = domain.orderedSpot.value_or(domain.spot);
         auto room = [&](unsigned other) { return m_terms.max - std::min(m_terms.max, other); };
--- a/Source/RouteServing/Duties/CapacityPlan.h
+++ b/Source/RouteServing/Duties/CapacityPlan.h
@@ -13,19 +13,19 @@
 
 namespace Brassladder::RouteServing::Duties {
 
-// Limits and prices that operators set for a service whose engines the fleet orders.
+// Limits and prices that operators set for a service with automatic scaling.
 struct ScalingTerms {
     unsigned min { 0 }; // Engines per failure domain, of both kinds together.
     unsigned max { 0 };
     Common::Milliseconds boot { 0 }; // Time from the order until the engine serves.
     double spotPrice { 1 }; // Price of a spot engine relative to an on-demand engine.
-    std::map<std::string, double> domainPrices; // Price of an engine per second, by failure domain.
+    std::map<std::string, double> domainPrices; // Price of an engine per second, by failure domain; 1 if absent.
     bool operator==(const ScalingTerms&) const = default;
 };
 
 enum class EngineKind : uint8_t {
     OnDemand,
-    Spot, // May be taken away at short notice, all of one failure domain at once.
+    Spot, // The platform may reclaim it at short notice, also all spot engines of a failure domain at once.
 };
 
 // The wanted number of engines of one kind in a failure domain.
@@ -42,18 +42,18 @@
     std::string domain;
     unsigned onDemand { 0 }; // Serving and not draining.
     unsigned spot { 0 };
-    std::optional<unsigned> orderedOnDemand; // The last number that the platform accepted from this holder.
+    std::optional<unsigned> orderedOnDemand; // See CapacityOrders::setOrderedNumbers.
     std::optional<unsigned> orderedSpot;
     bool operator==(const DomainCapacity&) const = default;
 };
 
 // Computes how many engines of each kind a service should have in each failure domain.
 //
-// Spot engines are cheaper and carry the load with headroom for bursts. Their number suffices even if the spot engines
-// of one domain are all taken away at once. On-demand engines form a permanent minimum and fill in while there are
-// fewer spot engines than needed. They are released only when spot engines already serve in their place.
+// If spot engines are cheaper, they carry the load with headroom for bursts. Within `max`, their target suffices even
+// if the platform reclaims all spot engines of one domain at once. On-demand engines form a permanent minimum and
+// replace missing spot engines. They are released only when spot engines already serve in their place.
 //
-// Targets are within `min` and `max` of their domain, for both kinds together, independent of the need. Pure.
+// The targets of each domain add up to at least `min` and at most `max`, whatever the need. No side effects.
 class CapacityPlan {
 public:
     explicit CapacityPlan(ScalingTerms terms)
@@ -61,17 +61,18 @@
     {
     }
 
-    // Numbers that are wanted now, in the order of `domains`.
+    // Wanted numbers of engines in one domain.
     struct Target {
         unsigned onDemand { 0 };
         unsigned spot { 0 };
         bool operator==(const Target&) const = default;
     };
+    // Returns the targets in the order of `domains`.
     std::vector<Target> targets(std::span<const DomainCapacity> domains, const CapacityNeed&) const;
 
-    // Returns the next orders towards the targets. A kind is raised only into the room that the ordered number of the
-    // other kind leaves below `max`, because only some orders may be accepted. On-demand engines are also raised as far
-    // as `min` requires.
+    // Returns the next orders towards the targets. The number of one kind is limited to `max` minus the ordered number
+    // of the other kind, because the platform may accept only some of the orders. If both numbers together are below
+    // `min`, the number of on-demand engines is raised to reach it.
     std::vector<CapacityOrder> orders(
         const std::string& service, std::span<const DomainCapacity> domains, std::span<const Target> targets) const;
 
--- a/Source/RouteServing/Duties/DutyRecord.h
+++ b/Source/RouteServing/Duties/DutyRecord.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <variant>
 
-// Records of the duty log: a topic of the fleet in the platform's store, with one partition. A record is appended only
-// if the log still ends where its writer has read up to, so all routers see the same sequence.
+// Records of the duty log: a topic of the fleet in the platform's store, with one partition. An append succeeds only if
+// its writer has read the log up to its end, so the writer of each record had read all earlier ones.
 namespace Brassladder::RouteServing::Duties {
 
 // Requests that began to run, by workspace.
@@ -21,7 +21,8 @@
     uint64_t incarnation { 0 }; // Incarnation of the holder's process.
     uint64_t token { 0 }; // Fencing token, derived from the position of the claim in the log (see tokenAt).
     bool isReleased { false };
-    uint64_t firstUnreported { 0 }; // Windows before this one need no report: they were accepted or given up.
+    // The first window whose report is outstanding. Earlier reports were accepted, rejected or given up.
+    uint64_t firstUnreported { 0 };
     bool operator==(const LeaseRecord&) const = default;
 };
 
@@ -35,8 +36,8 @@
 
 using DutyRecord = std::variant<LeaseRecord, WindowRecord>;
 
-// Number of windows that the log retains. It exceeds the number that can be due at one time; a newer window replaces an
-// older one.
+// Number of windows that the log retains; a newer window replaces the oldest one. Must exceed the number of windows
+// whose reports can be due at one time.
 inline constexpr uint64_t maxLoggedWindows = 16;
 
 // Returns the compaction key: the log retains the newest record of each key.
--- a/Source/RouteServing/Duties/FleetClock.cpp
+++ b/Source/RouteServing/Duties/FleetClock.cpp
@@ -10,11 +10,11 @@
 using Common::TimePoint;
 using namespace std::chrono_literals;
 
-// Smaller differences are attributed to drift or to the time between two calls.
+// Smaller differences between system time and own time, for example drift, are not treated as jumps.
 static constexpr Milliseconds jumpThreshold = 50ms;
-// A jump that persists for this long is adopted as a correction. Temporary jumps last for seconds.
+// A jump that persists for this long is adopted as a correction.
 static constexpr Milliseconds jumpConfirmationTime = 60'000ms;
-// Times from other routers expire after this long, which spans several dozen exchange intervals.
+// A time received from another router expires after this long.
 static constexpr Milliseconds maxOffsetAge = 5000ms;
 
 static Milliseconds sinceEpoch(TimePoint now) { return Common::toMilliseconds(now.time_since_epoch()); }
--- a/Source/RouteServing/Duties/FleetClock.h
+++ b/Source/RouteServing/Duties/FleetClock.h
@@ -10,16 +10,17 @@
 
 // The wall-clock time that the routers of a fleet agree on, in Unix milliseconds.
 //
-// Usage windows are spans of wall-clock time, but the clock of a single instance may jump temporarily. A router's own
-// time starts at the system time and advances with the monotonic clock; it adopts a jump only if it persists. A hub
-// uses the median of its own time and its subscribers' times; a subscriber uses the time of its hub. This corrects a
-// router whose clock was wrong at its start. Not thread-safe.
+// Usage windows are spans of wall-clock time, but the system clock of a single instance may jump temporarily. A
+// router's own time starts at the system time and advances with the monotonic clock; a jump of the system clock is
+// adopted only if it persists. The agreed time of a hub is the median of its own time and its subscribers' own times;
+// the agreed time of a subscriber is that of its hub. This corrects a router whose clock was wrong at its start. Not
+// thread-safe.
 class FleetClock {
 public:
     // `system`: the current system time of the instance.
     FleetClock(Common::Milliseconds system, Common::TimePoint now);
 
-    // Must be called regularly.
+    // Adopts a persistent jump of the system clock. Must be called regularly.
     void observeSystem(Common::Milliseconds system, Common::TimePoint now);
     // Records the own time of a subscriber.
     void recordSubscriber(const std::string& id, Common::Milliseconds own, Common::TimePoint now);
--- a/Source/RouteServing/Duties/Lease.cpp
+++ b/Source/RouteServing/Duties/Lease.cpp
@@ -8,7 +8,7 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-// 32 bits exceed the offsets of any log, and JSON represents the token exactly for two million eras.
+// Bits of a token below its era. Below era 2^21, tokens are less than 2^53 and thus exact as JSON numbers.
 static constexpr unsigned offsetBits = 32;
 
 uint64_t tokenAt(const LogEnd& end) { return (end.era << offsetBits) + end.offset + 1; }
@@ -40,8 +40,8 @@
 // Returns when this router may claim the lease if it reads no newer record.
 TimePoint Lease::claimableFrom() const
 {
-    // A released lease is claimable at once, except by a router that has just started. Its previous process may have
-    // held the lease, and the lease would alternate between holders.
+    // A released lease is claimable at once, except by a router that has just started: its previous process may have
+    // released the lease, and claiming it back would make it alternate between holders.
     auto from = m_state.newest->isReleased ? m_started + m_times.duration : m_state.newestSeen + m_times.duration;
     return m_state.lastHeld ? std::max(from, *m_state.lastHeld + m_times.reclaimDelay) : from;
 }
@@ -55,13 +55,13 @@
 {
     if (m_state.readStarted < eraClaimableFrom())
         return false;
-    // The duties were never held.
+    // The log contains no claim.
     if (!m_state.newest)
         return true;
-    // An earlier process of this instance holds the lease, so no other router has acted since.
+    // The newest claim is of an earlier process of this instance, so no other router holds the lease.
     if (m_state.newest->holder == m_id && m_state.newest->incarnation != m_incarnation && !m_state.newest->isReleased)
         return true;
-    // A read that began earlier may have missed a renewal.
+    // The log is known only up to the start of the last read; a later renewal may be missing.
     auto seenUntil = m_state.newest->isReleased ? now : m_state.readStarted;
     return seenUntil >= claimableFrom();
 }
@@ -102,8 +102,8 @@
     bool isOver = newest && (lease.token < newest->token || (isKnown && newest->isReleased));
     if (isOver || (isOfEarlierEra && isKnown))
         return;
-    // The record is part of the copy that the store was restored from, or its writer had not noticed the restore. It is
-    // no valid claim in this era, even if this router wrote it.
+    // The record is part of the copy that the store was restored from, or its writer had not read the new era yet. It
+    // is not a valid claim in this era, even if this router wrote it.
     lease.isReleased |= isOfEarlierEra;
     m_state.newest = std::move(lease);
 }
@@ -141,7 +141,7 @@
     if (end.era > m_state.end.era)
         beginEra(end.era, started);
     for (const auto& record : records) {
-        // A newer record occupies the offset of this router's unresolved append and thereby decides that append.
+        // Once a record occupies the offset of this router's unresolved append, that append can no longer succeed.
         if (m_state.newestOffset && record.offset <= *m_state.newestOffset)
             continue;
         apply(record, now);
--- a/Source/RouteServing/Duties/Lease.h
+++ b/Source/RouteServing/Duties/Lease.h
@@ -12,24 +12,25 @@
 namespace Brassladder::RouteServing::Duties {
 
 struct LeaseTimes {
-    Common::Milliseconds duration { 0 }; // Other routers take over if they see no record of the holder for this long.
-    Common::Milliseconds margin { 0 }; // The holder stops acting this much earlier.
-    // Minimum time before a holder that released or lost the lease claims it again.
+    Common::Milliseconds duration { 0 }; // Other routers may claim the lease if they read no new record for this long.
+    Common::Milliseconds margin { 0 }; // The holder stops acting this long before the end of `duration`.
+    // Minimum time before a former holder claims the lease again.
     Common::Milliseconds reclaimDelay { 0 };
 
-    // `duration`: length of the lease. `margin`: how long an instance that was stopped may continue to act on it.
+    // `duration`: length of the lease. `margin`: how long a holder that was paused may still act on its expired lease
+    // after it has resumed; limited to half of `duration`.
     static LeaseTimes fromDurationAndMargin(Common::Milliseconds duration, Common::Milliseconds margin)
     {
         return { duration, std::min(margin, duration / 2), 2 * duration };
     }
-    // Leaves time for one renewal that times out (one second) before the holder stops acting.
+    // Age of the last successful append at which a renewal is due.
     Common::Milliseconds renewalInterval() const { return duration * renewalPercent / wholePercent; }
 
     static constexpr int renewalPercent = 60;
     static constexpr int wholePercent = 100;
 };
 
-// End of the log. A store that was restored from a copy assigns offsets again, in a later era.
+// End of the log. When the store is restored from a copy, it begins a new era and assigns some offsets again.
 struct LogEnd {
     uint64_t era { 0 }; // 0 if the store has no eras.
     uint64_t offset { 0 }; // Offset of the next record.
@@ -42,24 +43,25 @@
 // A record of the duty log with its offset.
 struct LoggedRecord {
     uint64_t offset { 0 };
-    std::optional<DutyRecord> record; // Nullopt for bytes of another writer.
+    std::optional<DutyRecord> record; // Nullopt if the bytes are not a valid record.
 };
 
 // Decides which router performs the fleet's duties, that is, work that the platform accepts from one holder at a time.
 //
-// The log decides: a claim is appended only at the end that its router has read, so one of two concurrent claims
-// succeeds. Its position is the fencing token, which is unique to one holder even across restarts. Clocks only
-// determine when a router tries: it claims a released lease, or one without new records for the lease duration,
-// measured on its own monotonic clock. By then a holder whose renewals fail has stopped acting, and a frozen holder has
-// a lower token.
+// The order of records in the log determines the holder. A claim is appended only if its router has read the log up to
+// the end, so at most one of two concurrent claims succeeds. The position of the claim is the fencing token, which is
+// unique to one holder even across restarts. Clocks only determine when a router sends a claim: if the lease was
+// released, or if the log has no new records for the lease duration, measured on the router's own monotonic clock. By
+// then, a holder whose renewals fail has stopped acting, and a paused holder has a lower token.
 //
 // A store that was restored from a copy may contain an expired lease or lack a valid one. The holder therefore claims
 // the lease again before it acts, and other routers wait for one lease duration.
 //
-// An append without a response may be carried out later. The log is read again before the next append. The next append
-// either uses the same offset, or a newer end has decided the unresolved one.
+// An append without a response may be executed later, so the log is read before the next append. If the log still ends
+// at the same offset, the next append uses that offset, and at most one of the two succeeds. If the log is longer, the
+// earlier append either is in it or can no longer succeed.
 //
-// Pure: computes the next step from what was read and appended. Not thread-safe.
+// No I/O and no clock of its own: computes the next step from what was read and appended. Not thread-safe.
 class Lease {
 public:
     Lease(LeaseTimes, std::string id, uint64_t incarnation, Common::TimePoint started);
@@ -87,18 +89,18 @@
     // The append failed because the log ends elsewhere, or there was no response.
     void recordAppendUncertain() { m_state.mustRead = true; }
 
-    // Returns the token to act with, or nullopt unless this router holds the duties now. Must be checked before each
-    // call.
+    // Returns the fencing token if this router holds the duties now, otherwise nullopt. Must be checked before each
+    // call to the platform.
     std::optional<uint64_t> token(Common::TimePoint now) const;
-    // Requires a new token for the next order, because an earlier one may still be carried out with the current token.
+    // Requests a claim with a new token, because an earlier order may still be executed with the current one.
     void requireNewToken() { m_state.wantsNewToken = true; }
-    // Usage windows before `window` need no report. Written with the next record.
+    // Sets the first window whose report is outstanding. Written to the log with the next record.
     void setFirstUnreported(uint64_t window) { m_state.firstUnreported = window; }
 
     // This router's view of the log and of its own appends.
     struct State {
         LogEnd end;
-        // Start of the first read in this era; nullopt if the store has no eras.
+        // Start of the first read in this era; nullopt if no read has reported an era.
         std::optional<Common::TimePoint> eraFirstReadAt;
         bool mustReclaim { false }; // The router held the lease when the era changed.
         bool mustRead { true };
@@ -106,11 +108,11 @@
         uint64_t firstUnreported { 0 };
         std::optional<LeaseRecord> newest;
         std::optional<uint64_t> newestOffset; // Offset of the newest valid record that was applied.
-        Common::TimePoint newestSeen {}; // When this router first read or sent that record.
+        Common::TimePoint newestSeen {}; // When this router read or sent that record.
         Common::TimePoint readStarted {}; // Start of the last read.
         // Send time of the first append at `end` whose outcome is unknown.
         std::optional<Common::TimePoint> unresolvedAppendAt;
-        Common::TimePoint validFrom {}; // Send time of this router's last record.
+        Common::TimePoint validFrom {}; // Send time of this router's last successful append.
         std::optional<Common::TimePoint> lastHeld;
     };
     const State& state() const { return m_state; }
@@ -123,9 +125,9 @@
     bool isOwn(const LeaseRecord&) const;
     bool mayClaim(Common::TimePoint now) const;
     Common::TimePoint claimableFrom() const;
-    // Returns when the holder stops acting unless it renews the lease.
+    // Returns when this router, as the holder, must stop acting unless it renews the lease.
     Common::TimePoint validUntil() const { return m_state.validFrom + m_times.duration - m_times.margin; }
-    // Before this time, a holder may be active whose claim the store has lost.
+    // Returns the time until which a holder may act whose claim the store has lost.
     Common::TimePoint eraClaimableFrom() const;
     void beginEra(uint64_t era, Common::TimePoint started);
     void apply(const LoggedRecord&, Common::TimePoint now);
--- a/Source/RouteServing/Duties/UsageLedger.cpp
+++ b/Source/RouteServing/Duties/UsageLedger.cpp
@@ -152,7 +152,8 @@
     return counts;
 }
 
-// A process that started after the window has no counts for it.
+// Returns whether the process may still count requests for the window. A process that started after the window has no
+// counts for it.
 bool UsageLedger::hasUnfinishedWindow(const Process& process, uint64_t window) const
 {
     return process.openWindow <= window && process.firstCompleteWindow <= window + 1;
--- a/Source/RouteServing/Duties/UsageLedger.h
+++ b/Source/RouteServing/Duties/UsageLedger.h
@@ -14,7 +14,7 @@
 // wall-clock time; windows are numbered from the Unix epoch.
 namespace Brassladder::RouteServing::Duties {
 
-// One process of a router. Its counts never decrease.
+// One process of a router.
 struct RouterProcess {
     std::string id;
     uint64_t incarnation { 0 };
@@ -30,14 +30,14 @@
         bool operator==(const Row&) const = default;
     };
     RouterProcess router;
-    uint64_t firstCompleteWindow { 0 }; // The first window that the process counted from its start.
+    uint64_t firstCompleteWindow { 0 }; // The first window during all of which the process was running.
     uint64_t openWindow { 0 }; // Windows before this one are final.
     std::vector<Row> rows;
     bool operator==(const RouterUsage&) const = default;
 };
 
-// Counts of this router and those received from others. Counts are cumulative per process and merged by maximum, so
-// messages may be lost, duplicated, delayed or arrive on several paths. Not thread-safe.
+// Counts of this router and counts received from other routers. They never decrease within a process and are merged by
+// maximum, so messages may be lost, duplicated, delayed or received over several paths. Not thread-safe.
 class UsageLedger {
 public:
     // `openWindow`: the current window when this process starts.
@@ -53,7 +53,8 @@
 
     // Increases with each change.
     uint64_t revision() const { return m_revision; }
-    // Returns the first changes after a revision, at most `maxRows` rows, and the revision that they lead to.
+    // Returns the changes after `revision`, the oldest first and at most `maxRows`, and the revision that a receiver
+    // has after it has merged them.
     struct Changes {
         std::vector<RouterUsage> routers;
         uint64_t upTo { 0 };
@@ -68,10 +69,10 @@
     // Returns the number of processes that have not finished the window.
     size_t unfinishedProcesses(uint64_t window) const;
 
-    // Number of retained windows, including the open one: windows are due within two windows of their end, and one more
-    // allows for a late report.
+    // Number of retained windows, including the open one. With default settings, a report is due two windows after the
+    // end of its window; one more window allows for a late report.
     static constexpr uint64_t retainedWindows = 4;
-    // About 20 KB on the wire.
+    // Limits a message to about 20 KB.
     static constexpr size_t defaultMaxRows = 2000;
 
 private:
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -8,11 +8,9 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// Time for counts to travel from a router over its hub and a store reader to the holder. Each hop takes at most one
-// exchange interval (100 ms).
+// Time until the counts of a router have reached the holder through its hub and a store reader.
 static constexpr Milliseconds countPropagationTime = 500ms;
-// Time before the due time that is reserved to write and send the report, with one retry each. A call without a
-// response takes one second.
+// Time before the due time that is reserved to write and send the report.
 static constexpr Milliseconds reportLeadTime = 1200ms;
 
 void UsageReports::recordWritten(const WindowRecord& record)
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -22,14 +22,15 @@
 
 // Decides which usage window the holder of the duties writes or sends next. Windows are handled in order.
 //
-// The platform must never accept two different reports of one window, and a call without a response may be carried out
-// later. The counts are therefore written to the log first, under the lease, and every holder sends exactly those.
+// The platform must never accept two different reports of one window, and a call without a response may be executed
+// later. The holder therefore first writes the counts to the log, under the lease, and every holder sends the logged
+// counts.
 //
-// A window is written when all routers have finished it, or shortly before its report is due if routers are killed or
-// unreachable. A window that no router counted completely is not sent, because a missing report is detectable and a
-// wrong one is not.
+// The counts of a window are written when all routers have finished it, or shortly before the report is due if some
+// routers were killed or are unreachable. If no router counted the window from start to end, no report is sent, because
+// a missing report is detectable and a wrong one is not.
 //
-// Pure. Not thread-safe.
+// No I/O. Not thread-safe.
 class UsageReports {
 public:
     explicit UsageReports(UsageTimes times)
@@ -46,9 +47,9 @@
         Wait,
         Write, // Write the ledger's counts to the log.
         Send, // Send the logged counts.
-        GiveUp, // The counts are incomplete and will remain so.
+        GiveUp, // Send no report: the counts are incomplete, and no time is left to complete them.
     };
-    // `window`: the first window that was neither accepted nor given up. `wall`: time in Unix milliseconds.
+    // `window`: the first window whose report is outstanding. `wall`: agreed wall-clock time in Unix milliseconds.
     Step next(uint64_t window, const UsageLedger&, Common::Milliseconds wall) const;
     // Returns the first window that can still be reported.
     static uint64_t firstReportableWindow(uint64_t open);
--- a/Source/RouteServing/Duties/UsageStart.h
+++ b/Source/RouteServing/Duties/UsageStart.h
@@ -11,20 +11,20 @@
 // How an attempt without a relayed event ended.
 struct EndedAttempt {
     Routing::AttemptOutcome outcome { Routing::AttemptOutcome::Answered };
-    bool isGeneration { false }; // Runs on an engine, which signals the start with its first event.
+    bool isGeneration { false }; // The request runs on an engine, whose first event shows that it has begun.
     Common::Milliseconds elapsed { 0 }; // Time since the upstream was chosen.
-    // Measured from the choice of the upstream; nullopt if unknown.
+    // Expected time from the choice of the upstream to the first event; nullopt if unknown.
     std::optional<Common::Milliseconds> expectedFirstEvent;
 };
 
 // Returns whether an attempt counts as usage. Usage is every request that an upstream began to run, even if the caller
 // received no response.
 //
-// A response or an error of the upstream itself proves that the request began. If the attempt was interrupted without
+// A response or an error from the upstream proves that the request began. If the attempt was interrupted without
 // either, a generation is assumed to have begun if its first event was due by then; otherwise it was probably still
-// queued. A plain request begins within milliseconds.
+// queued. Other requests are assumed to have begun, because they begin within milliseconds.
 //
-// An answered generation is counted at its first event instead. Pure.
+// Returns false for an answered generation, which is counted at its first event instead.
 inline bool hadStartedAtUpstream(const EndedAttempt& attempt)
 {
     switch (attempt.outcome) {
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -12,8 +12,8 @@
 #include <mutex>
 #include <thread>
 
-// Guarantees of the mesh when a connection ends: an item is written to an open connection, or its owner is notified
-// after it was dropped.
+// Tests the guarantees of the mesh when a connection ends: each item is either written to an open connection, or
+// dropped before `onDisconnected` is called.
 namespace Brassladder::Inner {
 
 using boost::asio::ip::tcp;
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Upper bound for waits; passing tests do not reach it.
+// Upper bound for waits in failing tests.
 constexpr auto testTimeout = 20s;
 // Exceeds the socket buffers of both sides.
 constexpr size_t largeItemBytes = 15 * 1024 * 1024;
@@ -53,7 +53,7 @@
 
     Peer asPeer(const std::string& id) const { return { id, { "127.0.0.1", m_acceptor.local_endpoint().port() } }; }
 
-    // Accepts one connection and reads until a large item must be in transit.
+    // Accepts one connection, and reads so many bytes that the sender must be writing a large item.
     void acceptAndStall()
     {
         m_acceptor.accept(m_socket);
@@ -65,7 +65,7 @@
         boost::asio::read(m_socket, boost::asio::buffer(received));
     }
     void end() { m_socket.close(); }
-    // Reads in small pieces until the connection ends or `stop` is set. The connection always makes progress.
+    // Reads in small pieces until the connection ends or `stop` is set, so the write stall timeout does not apply.
     void readSlowly(const std::atomic<bool>& stop)
     {
         boost::system::error_code error;
@@ -229,7 +229,7 @@
     EXPECT_EQ(sender.events(), (std::vector<std::string> { "connected b", "disconnected b", "connected b" }));
 }
 
-// A stopped process, whose kernel still accepts connections and acknowledges bytes.
+// The peer models a stopped process, whose kernel still accepts connections and acknowledges bytes.
 TEST(MeshConnectionTest, PeerThatReadsNothingIsReportedDisconnected)
 {
     boost::asio::io_context io;
@@ -267,7 +267,7 @@
     }
 }
 
-// The backlog exceeds its limit while connection attempts fail: one fiber continues to send, over one connection.
+// The backlog exceeds its limit while connection attempts fail. Only one fiber may send, over one connection.
 TEST(MeshConnectionTest, LargeBacklogDuringAFailingConnectOpensOneConnection)
 {
     auto& runtime = Common::FiberRuntime::start(1);
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <thread>
 
-// Guarantees of the mesh to the sender when peers terminate at any stage and in any way.
+// Tests the guarantees of the mesh to the sender when peers terminate at different stages and in different ways.
 namespace Brassladder::Inner {
 
 using Stage = TerminatingPeer::Stage;
@@ -18,13 +18,13 @@
 
 namespace {
 
-// Exceeds what the kernel accepts for a `TerminatingPeer` that does not read.
+// Exceeds the socket buffers between a sender and a `TerminatingPeer` that does not read.
 constexpr size_t largeBytes = 2 * 1024 * 1024;
 // Sequence of items that are sent only to open a connection.
 constexpr uint64_t probeSequence = 100;
 
-// Sends a large item and small ones until the peer has reached its stage. Resends them after each disconnection, as an
-// owner of state does.
+// Sends a large item and small ones, and sends them again after each disconnection, until the peer has reached its
+// stage.
 bool sendUntilAtStage(MeshNode& sender, const std::string& id, const TerminatingPeer& peer, uint64_t smallItems)
 {
     int disconnections = -1;
@@ -168,7 +168,7 @@
     fleet.expectDeliveryAfterRestart();
 }
 
-// The address changes while one item is being written and another one is queued.
+// The address of the peer changes while one item is being written and another one is queued.
 TEST(MeshFailureTest, PeerWithANewAddressReceivesOnlyLaterItems)
 {
     auto& sender = *new MeshNode("a", "key");
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -60,7 +60,7 @@
         static constexpr char s_openWindows[] = "\0\0\6\4\0\0\0\0\0\0\4\x7f\xff\xff\xff"
                                                 "\0\0\4\x8\0\0\0\0\0\x7f\xff\0\0";
         boost::asio::write(socket, boost::asio::buffer(s_openWindows, sizeof s_openWindows - 1));
-        // Exceeds the preface and a small frame, so the large frame must be in transit.
+        // Exceeds the preface and a small frame, so the sender must be writing the large frame.
         std::string received(256 * 1024, '\0');
         boost::asio::read(socket, boost::asio::buffer(received));
         isWriting.set_value();
@@ -84,7 +84,7 @@
     EXPECT_TRUE(receiver.awaitCount(1)) << "the sender still delivers items";
 }
 
-// Guards against silently dropping all data after a protocol error of a peer that keeps its connection open.
+// Guards against a connection that stays open after a protocol error of the peer while all its data is dropped.
 TEST(MeshTest, ProtocolErrorClosesTheConnection)
 {
     using boost::asio::ip::tcp;
--- a/Source/UnitTests/Inner/TerminatingPeer.h
+++ b/Source/UnitTests/Inner/TerminatingPeer.h
@@ -35,21 +35,21 @@
     uint16_t m_port { 0 };
 };
 
-// A peer that accepts a connection of a mesh and ends it at the planned stage and in the planned way, when the test
-// calls `end`. Connections that break before the stage is reached, for example under load, are replaced by the next
-// one. Runs on its own thread.
+// A peer that accepts a connection of a mesh and reads up to the planned stage. When the test calls `end`, it ends the
+// connection in the planned way. If a connection breaks before the stage is reached, for example under load, the peer
+// accepts the next one. Runs on its own thread.
 class TerminatingPeer {
 public:
     enum class Stage {
-        Connecting, // Refused, or never accepted with `Silence`.
+        Connecting, // Connections are refused, or with `Silence` never accepted.
         BeforeSettings,
-        DuringMessage, // After `bytes` of the body were read.
-        AfterMessages, // After `items` were read.
+        DuringMessage, // `Plan::bytes` of the body have been read.
+        AfterMessages, // `Plan::items` items have been read.
     };
     enum class Termination {
-        Reset, // Like a process that is killed with unread bytes.
-        Shutdown, // Like a process that is killed without unread bytes; the other side may still write.
-        Silence, // Like a stopped process that reads nothing more; `awaitEnd` kills it.
+        Reset, // The connection is reset, as when a process with unread bytes is killed.
+        Shutdown, // The sending side is shut down, as when a process without unread bytes is killed.
+        Silence, // The peer reads nothing more, as when a process is stopped; `awaitEnd` closes the connection.
     };
     struct Plan {
         Stage stage { Stage::DuringMessage };
@@ -85,7 +85,7 @@
         if (!std::exchange(m_isEnding, true))
             m_mayEnd.set_value();
     }
-    // Also kills a peer with `Silence`. Blocks until the connection is closed.
+    // With `Silence`, closes the connection. Blocks until the connection is closed.
     void awaitEnd()
     {
         if (!std::exchange(m_isKilled, true))
@@ -100,8 +100,8 @@
 private:
     using tcp = boost::asio::ip::tcp;
     using MaximumSegment = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_MAXSEG>;
-    // Limits the data in the kernel's buffers to a few hundred KB, as on a real network. With loopback segments of 64
-    // KB, the kernel accepts megabytes before a write blocks.
+    // Limits the data in the socket buffers to a few hundred KB, as on a real network. With loopback segments of 64 KB,
+    // a write blocks only after megabytes.
     static constexpr int segmentBytes = 1400;
     static constexpr int receiveBytes = 16 * 1024;
     static constexpr size_t prefaceBytes = 24; // RFC 9113, 3.4.
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -35,7 +35,7 @@
     return total;
 }
 
-// A platform that carries out each order. Spot engines serve after their boot; released engines leave at once.
+// A platform that executes each order. Ordered engines serve after `boot`; released engines are removed at once.
 struct Platform {
     std::vector<DomainCapacity> domains;
 
@@ -74,7 +74,7 @@
     auto targets = plan.targets(threeDomains(20, 30), { 60, 60 });
     for (const auto& target : targets)
         EXPECT_EQ(target.spot, 30U);
-    EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "one on-demand engine per domain remains";
+    EXPECT_EQ(sum(targets, &Target::onDemand), 3U) << "the targets keep one on-demand engine per domain";
 }
 
 TEST(CapacityPlanTest, OnDemandEnginesStayUntilSpotEnginesServe)
@@ -91,7 +91,8 @@
     domains[2].spot = 0;
     auto targets = plan.targets(domains, { 80, 80 });
     EXPECT_EQ(sum(targets, &Target::onDemand), 20U);
-    EXPECT_EQ(targets[0].onDemand, 10U) << "north is cheapest, but its serving spot engines limit the room";
+    EXPECT_EQ(targets[0].onDemand, 10U)
+        << "north is cheapest, but its spot engines leave room for only ten on-demand engines";
     EXPECT_EQ(targets[0].spot, 30U);
     EXPECT_EQ(targets[2].onDemand, 9U);
 }
@@ -101,7 +102,7 @@
     CapacityDemand demand(0.15);
     unsigned servingEngines = 0;
     auto now = s_start;
-    // The upstream list fills while engines announce themselves.
+    // The upstream list grows while a new holder receives the announcements of the engines.
     for (; servingEngines < 60; servingEngines += 6, now += 500ms) {
         demand.observe({}, servingEngines, now);
         EXPECT_FALSE(demand.need(now));
@@ -109,7 +110,7 @@
     for (int step = 0; step < 5; ++step, now += 500ms)
         demand.observe({}, servingEngines, now);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 60, 60 }));
-    // Engines that were ordered meanwhile do not count as needed.
+    // More serving engines do not raise the need.
     demand.observe({}, 120, now + 5s);
     EXPECT_EQ(demand.need(now + 5s), (CapacityNeed { 60, 60 }));
 }
@@ -139,10 +140,10 @@
     observeFor(100'000, 60s);
     EXPECT_EQ(demand.need(now), (CapacityNeed { 25, 49 }));
     observeFor(300'000, 15s);
-    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a sustained load";
+    EXPECT_EQ(demand.need(now)->sustained, 72U) << "a load of 15 s counts as sustained";
 }
 
-// No order exceeds `max`, alone or together with earlier ones, for any need and any state.
+// For any need and state, the ordered numbers of a domain never exceed `max`, whichever orders are accepted.
 TEST(CapacityPlanTest, OrdersStayWithinMax)
 {
     EXPECT_TRUE(rc::check([] {
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -9,11 +9,11 @@
 #include <unordered_set>
 
 // Explores all interleavings, up to a depth, of two routers that compete for the duties and report one usage window.
-// Appends and calls may lose their responses or be carried out late; routers may stop; time passes between any two
-// steps. A router that takes no step while time passes models a frozen process.
+// The response to an append or call may be lost, or the append or call may be executed late. A router may stop. Time
+// may pass between any two steps; a router that takes no step in the meantime models a paused process.
 //
-// Violations are detected in the log and in the calls that the platform receives. Each safeguard is disabled in turn,
-// and the search must then find the violation that it prevents.
+// Violations are detected in the tokens of both routers and in the calls that the platform receives. Further tests
+// disable one of the `Guards` each; the search must then find the violation that it prevents.
 namespace Brassladder::RouteServing::Duties {
 
 using namespace std::chrono_literals;
@@ -36,7 +36,7 @@
 struct Limits {
     size_t depth { 0 };
     int ticks { 0 };
-    size_t lostOrLate { 2 }; // Limit for appends and calls whose response is lost or that are carried out late.
+    size_t lostOrLate { 2 }; // Limit for appends and calls whose response is lost or that are executed late.
     uint64_t eras { 0 }; // Limit for restores of the store.
 };
 
@@ -191,7 +191,7 @@
         if (fate == Fate::Late)
             m_lateAppends.push_back({ index, record, at });
         bool isDone = fate != Fate::Late && store(record, at);
-        // The response names the era.
+        // The response contains the era, so the router detects that its append is lost.
         isLost |= m_guards.tracksEras && m_era != router.lease.state().end.era;
         if ((isDone && !isLost) || (isLost && !m_guards.readsAfterUncertainAppend)) {
             router.lease.recordAppended(record);
@@ -208,7 +208,7 @@
         ++m_era;
         m_log.resize(copyEnd);
         m_lateAppends.clear();
-        // A router that has not read the lost count may count again, which is no violation.
+        // The restore loses the logged count. A report of a different count afterwards is not a violation.
         m_accepted.reset();
         return true;
     }
@@ -229,7 +229,7 @@
         return true;
     }
 
-    // The holder writes or sends the window's count.
+    // If the router is the holder, writes or sends the count of the window.
     bool act(size_t index, Fate fate)
     {
         auto& router = m_routers[index];
@@ -240,9 +240,9 @@
             const auto& lease = m_routers[other].lease;
             bool mayAct = lease.token(now()) && lease.nextStep(situation(m_routers[other]), now()) == Step::Wait;
             if (m_era && other != index && mayAct)
-                m_violation = "two holders at once";
+                m_violation = "two routers may act as holder at the same time";
         }
-        // Each router has received different counts.
+        // The counts of the two routers differ.
         auto own = 10 + index;
         if (m_guards.writesBeforeSending && !router.written)
             return append(index, WindowRecord { *token, s_window, { { "blue", own } } }, fate);
@@ -263,19 +263,19 @@
         return true;
     }
 
-    // Models the platform.
+    // Models a call that the platform executes: rejects tokens below the highest one and checks invariants.
     void receive(const Call& call)
     {
         auto [token, isNew] = m_tokens.emplace(call.token, call.router);
         if (!isNew && token->second != call.router) {
-            m_violation = "one token of two holders";
+            m_violation = "two holders use the same token";
             return;
         }
         if (call.token < m_highestToken)
             return;
         m_highestToken = call.token;
         if (m_accepted && *m_accepted != call.count)
-            m_violation = "two reports of one window that differ";
+            m_violation = "two different reports of one window were accepted";
         m_accepted = call.count;
         m_acts.push_back({ call.router, now() });
         if (m_acts.size() > 3)
@@ -283,7 +283,7 @@
         bool isBackAndForth = m_acts.size() == 3 && m_acts[0].router == m_acts[2].router
             && m_acts[0].router != m_acts[1].router && m_acts[2].at - m_acts[0].at < 3000ms;
         if (isBackAndForth)
-            m_violation = "holders A, B, A within a lease";
+            m_violation = "the duties returned to a former holder within one lease duration";
     }
 
     Guards m_guards;
@@ -292,7 +292,7 @@
     uint64_t m_era { 0 };
     std::vector<LateAppend> m_lateAppends;
     std::vector<Call> m_lateCalls;
-    std::deque<Act> m_acts; // The last three accepted calls.
+    std::deque<Act> m_acts; // The last three accepted calls, for the detection of alternating holders.
     std::map<uint64_t, size_t> m_tokens; // Sender of each token.
     uint64_t m_highestToken { 0 };
     std::optional<uint64_t> m_accepted;
@@ -345,7 +345,7 @@
     EXPECT_GT(outcome.states, 10'000U);
 }
 
-// The depth covers a takeover after which the new holder releases the lease.
+// The depth suffices for a takeover after which the new holder releases the lease.
 TEST(DutyModelTest, NoInterleavingViolatesAnInvariantWhenAllResponsesArrive)
 {
     auto outcome = explore({}, { 16, 3, 0 });
@@ -365,35 +365,38 @@
     Guards guards;
     guards.tracksEras = false;
     auto violation = explore(guards, { 11, 3, 0, 1 }).violation;
-    EXPECT_TRUE(violation == "two holders at once" || violation == "one token of two holders") << violation;
+    EXPECT_TRUE(
+        violation == "two routers may act as holder at the same time" || violation == "two holders use the same token")
+        << violation;
 }
 
 TEST(DutyModelTest, WithoutConditionalAppendsTwoHoldersShareAToken)
 {
     Guards guards;
     guards.appendsConditionally = false;
-    EXPECT_EQ(explore(guards, { 9, 1, 0 }).violation, "one token of two holders");
+    EXPECT_EQ(explore(guards, { 9, 1, 0 }).violation, "two holders use the same token");
 }
 
 TEST(DutyModelTest, WithoutAReadAfterAnUnansweredAppendTwoHoldersShareAToken)
 {
     Guards guards;
     guards.readsAfterUncertainAppend = false;
-    EXPECT_EQ(explore(guards, { 9, 1, 1 }).violation, "one token of two holders");
+    EXPECT_EQ(explore(guards, { 9, 1, 1 }).violation, "two holders use the same token");
 }
 
 TEST(DutyModelTest, WithoutAReclaimDelayTheLeaseAlternatesBetweenHolders)
 {
     Guards guards;
     guards.delaysReclaim = false;
-    EXPECT_EQ(explore(guards, { 16, 3, 0 }).violation, "holders A, B, A within a lease");
+    EXPECT_EQ(
+        explore(guards, { 16, 3, 0 }).violation, "the duties returned to a former holder within one lease duration");
 }
 
 TEST(DutyModelTest, WithoutLoggingCountsFirstReportsOfOneWindowDiffer)
 {
     Guards guards;
     guards.writesBeforeSending = false;
-    EXPECT_EQ(explore(guards, { 10, 2, 1 }).violation, "two reports of one window that differ");
+    EXPECT_EQ(explore(guards, { 10, 2, 1 }).violation, "two different reports of one window were accepted");
 }
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -16,7 +16,7 @@
 constexpr Lease::Situation s_candidate { true, false };
 const auto s_times = LeaseTimes::fromDurationAndMargin(3000ms, 300ms);
 
-// Models the log of the store, and the reads and appends of routers.
+// The duty log in the store. Reads and appends update the lease of a router.
 struct Log {
     std::vector<LoggedRecord> records;
 
@@ -121,7 +121,8 @@
     log.append(b, Step::Claim, s_start + 3s);
     log.append(b, Step::Release, s_start + 3100ms);
     log.read(a, s_start + 3200ms);
-    EXPECT_EQ(a.nextStep(s_candidate, s_start + 3200ms), Step::Read) << "a must not reclaim directly after b";
+    EXPECT_EQ(a.nextStep(s_candidate, s_start + 3200ms), Step::Read)
+        << "a must not claim the lease again directly after b";
     log.read(a, s_start + 6s);
     EXPECT_EQ(a.nextStep(s_candidate, s_start + 6s), Step::Claim);
 }
@@ -160,7 +161,7 @@
     log.read(a, s_start + 2s);
     ASSERT_TRUE(a.isHolder());
     EXPECT_TRUE(a.token(s_start + 2600ms));
-    EXPECT_FALSE(a.token(s_start + 2700ms)) << "validity counts from the send, not from the read";
+    EXPECT_FALSE(a.token(s_start + 2700ms)) << "the lease is valid from the time of the append, not of the read";
 }
 
 TEST(LeaseTest, RestartedInstanceReclaimsAtOnceWithANewToken)
@@ -210,7 +211,7 @@
     log.records.push_back({ 1, std::nullopt });
     log.read(b, s_start + 2999ms);
     log.read(b, s_start + 3000ms);
-    EXPECT_EQ(b.nextStep(s_candidate, s_start + 3000ms), Step::Claim) << "foreign records renew no lease";
+    EXPECT_EQ(b.nextStep(s_candidate, s_start + 3000ms), Step::Claim) << "invalid records do not renew the lease";
     EXPECT_FALSE(log.append(a, Step::Renew, s_start + 1s));
     log.read(a, s_start + 1s);
     EXPECT_TRUE(a.isHolder());
@@ -238,7 +239,7 @@
         EXPECT_FALSE(b.token(s_start + 2s));
         EXPECT_EQ(b.nextStep(s_candidate, s_start + 2s), Step::Claim);
         EXPECT_TRUE(log.append(b, Step::Claim, s_start + 2s));
-        EXPECT_GT(*b.token(s_start + 2s), token) << "although the log ends earlier";
+        EXPECT_GT(*b.token(s_start + 2s), token) << "the token increases although the log ends earlier";
         log.read(a, s_start + 2s);
         EXPECT_FALSE(a.isHolder());
     }
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -19,7 +19,7 @@
 const UsageTimes s_times { 5000ms, 10'000ms };
 constexpr uint64_t s_window = 100;
 
-// Merges all of `from` into `to`.
+// Merges all counts of `from` into `to`.
 void forwardAll(const UsageLedger& from, UsageLedger& to) { to.merge(from.changesAfter(0).routers); }
 
 } // namespace
@@ -54,7 +54,7 @@
     EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 1U);
     b.finish();
     forwardAll(b, a);
-    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a planned stop makes all windows final";
+    EXPECT_EQ(a.unfinishedProcesses(s_window + 1), 0U) << "a process that stops as planned has finished all windows";
 }
 
 TEST(UsageLedgerTest, RouterThatStartedAfterTheWindowDoesNotDelayIt)
@@ -77,7 +77,7 @@
     EXPECT_EQ(a.total(s_window).size(), 1U);
     a.advance(s_window + UsageLedger::retainedWindows);
     EXPECT_TRUE(a.total(s_window).empty());
-    EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only its own process remains";
+    EXPECT_EQ(a.changesAfter(0).routers.size(), 1U) << "only the process of the ledger itself remains";
 }
 
 TEST(UsageLedgerTest, RowsFarInTheFutureAreIgnored)
@@ -88,7 +88,7 @@
     EXPECT_TRUE(a.total(s_window + 1000).empty());
 }
 
-// Lost, duplicated, late and redundantly routed messages lead to the same totals.
+// The totals do not depend on which messages were lost, duplicated or delayed, or over which path they came.
 TEST(UsageLedgerTest, MergeIsCommutativeAndIdempotent)
 {
     EXPECT_TRUE(rc::check([] {
@@ -112,7 +112,7 @@
     }));
 }
 
-// Partial updates that are sent in sequence add up to the complete ledger.
+// Partial updates of limited size, merged in sequence, add up to the complete ledger.
 TEST(UsageLedgerTest, PartialUpdatesOfAnySizeYieldTheCompleteLedger)
 {
     EXPECT_TRUE(rc::check([] {
