--- a/Source/RouteServing/Gateway/CapacityView.cpp
+++ b/Source/RouteServing/Gateway/CapacityView.cpp
@@ -6,8 +6,8 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Counts the engines per failure domain, excluding those that are leaving. The result covers the failure domains that
-// have a price and those that have engines.
+// Counts the engines of the service in each failure domain, without leaving engines. The result covers every failure
+// domain that has a price or such engines.
 static std::vector<Duties::DomainCapacity> domainCapacities(
     const Routing::Service& service, std::span<const Routing::UpstreamRecord> upstreams)
 {
--- a/Source/RouteServing/Gateway/CrashDetector.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -14,9 +14,9 @@
 
 // Attempts at one upstream that end within this time are attributed to the same cause.
 static constexpr Milliseconds groupingWindow = 25ms;
-// A live process accepts a connection, and a dead one refuses it, within one network round trip.
+// Timeout of the probe. On a reachable instance, a connection is accepted or refused within one network round trip.
 static constexpr Milliseconds probeTimeout = 250ms;
-// Requests that one log line lists.
+// Maximum number of requests that one log line lists.
 static constexpr size_t maxLoggedRequests = 8;
 
 static std::string_view name(DisconnectCause cause)
--- a/Source/RouteServing/Gateway/CrashDetector.h
+++ b/Source/RouteServing/Gateway/CrashDetector.h
@@ -14,13 +14,13 @@
 enum class DisconnectCause : uint8_t {
     Crash, // The process ended without notice: its address refuses connections.
     PlannedEnd, // The upstream was leaving, or was no longer listed.
-    Alive, // The upstream accepts connections: a reset, a lost response or an idle timeout.
-    Unknown, // Connecting fails otherwise: a partition, a frozen process or a power loss.
+    Alive, // The upstream still accepts connections. Covers resets, lost responses and idle timeouts.
+    Unknown, // Connecting fails in another way. Covers partitions, frozen processes and power loss.
 };
 
-// Determines whether an upstream has crashed when attempts there end early: waits a moment for further attempts to end,
-// then connects to the address once. Only a refused connection counts as a crash; resets, partitions and planned ends
-// do not. Keeps its state in memory only. Thread-safe.
+// Determines whether an upstream has crashed when attempts there end early: waits briefly for further attempts to end,
+// then tries once to connect to the address. Only a refused connection counts as a crash; resets, partitions and
+// planned ends do not. Keeps its state in memory only. Thread-safe.
 class CrashDetector {
 public:
     // Receives this router's attempts that were in flight at the upstream when it crashed.
@@ -34,7 +34,8 @@
         : m_registry(registry)
     {
     }
-    // The hook runs in a fiber of the thread that recorded the first of the attempts. Set it before any is recorded.
+    // The hook runs in a fiber of the thread that recorded the first of the attempts. Must be set before any attempt is
+    // recorded.
     void setOnCrash(OnCrash hook) { m_onCrash = std::move(hook); }
 
     // Records an attempt that ended because the upstream closed or reset the connection. Does not block.
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -13,16 +13,18 @@
 
 // Increments `brassladder_duties_lease_changes_total{change}`.
 void leaseChanged(LeaseChange);
-// Sets `brassladder_duties_token`, which is 0 unless this router holds the duties, and
-// `brassladder_usage_reported_before`, the number of a usage window. Called whenever the metrics are read.
+// Sets `brassladder_duties_token` to the fencing token, or to 0 if this router does not hold the duties. Sets
+// `brassladder_usage_reported_before` to the first usage window that is neither reported nor given up. Called whenever
+// the metrics are read.
 void dutyState(uint64_t ownToken, uint64_t firstUnreported);
 // Increments `brassladder_duties_calls_total{call,outcome}`. `call` is usage or capacity.
 void callEnded(std::string_view call, DutyCallOutcome);
-// Increments `brassladder_usage_windows_total{how}`. `how` is accepted, rejected or unknown.
+// Increments `brassladder_usage_windows_total{how}`. `how` is accepted or rejected, or unknown if the counts are
+// incomplete.
 void usageWindowClosed(std::string_view how);
 
-// Sets `brassladder_capacity_engines{service,what}`. `what` is standing (listed engines), lasting (needed for the
-// sustained load) or ahead (needed with headroom).
+// Sets `brassladder_capacity_engines{service,what}`. `what` is standing (listed engines that are not leaving), lasting
+// (needed for the sustained load) or ahead (needed with headroom).
 void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>&);
 
 std::string_view label(DutyCallOutcome);
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -122,9 +122,9 @@
     DutyMetrics::leaseChanged(wasReleased ? DutyMetrics::LeaseChange::Released : DutyMetrics::LeaseChange::Lost);
 }
 
-// Called after a read of the log that follows a Conflict response. If this router still holds the lease, the conflict
-// was not about the lease. A capacity order was refused because the platform has no capacity now. Any other call needs
-// a fencing token above all tokens that the platform has seen.
+// Handles a Conflict response, once the log has been read again. If this router no longer holds the lease, there is
+// nothing to do. Otherwise, a capacity order was refused because the platform has no capacity now, and a usage report
+// needs a new fencing token, because the platform has seen a higher one.
 void DutyRunner::resolveConflict()
 {
     if (!m_hasUnresolvedConflict)
@@ -150,7 +150,7 @@
         return true;
     }
     m_lease.recordAppendUncertain();
-    // The next step reads the log. That read may succeed while appends fail, so the backoff happens here.
+    // Backs off here, because the next step reads the log, and a successful read does not back off.
     if (isError(appended))
         Common::sleepFor(backoffAfter(++m_appendFailures));
     return false;
@@ -269,7 +269,7 @@
     m_nextCapacityPlanAt = now + planInterval;
     for (const auto& service : m_parts.capacity()) {
         observeDemand(service, now);
-        // Plan again without delay: further orders may be due.
+        // Plans again without a pause, because further orders may be due.
         if (orderCapacity(service, now))
             m_nextCapacityPlanAt = now;
     }
--- a/Source/RouteServing/Gateway/DutyRunner.h
+++ b/Source/RouteServing/Gateway/DutyRunner.h
@@ -24,8 +24,8 @@
     Duties::EngineLoad load;
 };
 
-// Performs the duties of the fleet while this router holds the duty lease: reports usage and orders capacity. The rules
-// are in Duties/; this class reads and appends to the log and calls the platform, one call at a time. Runs as one
+// Performs the duties of the fleet while this router holds the duty lease: reports usage and orders capacity. Duties/
+// contains the rules; this class reads the log, appends to it and calls the platform, one call at a time. Runs as one
 // fiber; only view() is thread-safe.
 class DutyRunner {
 public:
@@ -48,7 +48,7 @@
     // Runs until the process ends. Must be started in its own fiber.
     void run();
 
-    // The state of the duties as this router last read it. view() is thread-safe.
+    // The state of the duties as known to this router after its last step. view() is thread-safe.
     struct View {
         std::string holder; // Empty if no router holds the duties, or if the holder is unknown.
         uint64_t token { 0 };
@@ -66,13 +66,14 @@
     void recordChanges(const DutyLogSource::Changes&, Common::TimePoint started);
     void handleLeaseChange();
     void resolveConflict();
-    // Returns whether the record was appended to the log. False also if the outcome is unknown.
+    // Appends the record to the log. Returns false if it was not appended, or if the outcome is unknown.
     bool append(const Duties::DutyRecord&);
     void appendLease(Step);
     // Returns this router's id and fencing token, or nullopt if the lease is not valid now. Called right before each
     // call to the platform.
     std::optional<DutyCaller> caller() const;
 
+    // In the two groups below, true means that the step did some work, so the next step follows without a pause.
     bool reportUsage();
     bool writeWindow(uint64_t window);
     bool sendWindow(const Duties::WindowRecord&);
@@ -92,10 +93,10 @@
     std::map<std::string, Duties::CapacityOrders> m_orders; // By service, like `m_demands`.
     std::map<std::string, Duties::CapacityDemand> m_demands;
     std::optional<Duties::LeaseRecord> m_lastLoggedLease;
-    uint64_t m_firstUnreported { 0 }; // Usage window; written with the next lease record.
+    uint64_t m_firstUnreported { 0 }; // First usage window to report; written with the next lease record.
     uint64_t m_heldToken { 0 }; // Fencing token while this process holds the lease, else 0.
     unsigned m_readFailures { 0 }; // Consecutive failed reads.
-    unsigned m_appendFailures { 0 };
+    unsigned m_appendFailures { 0 }; // Failed appends since the last success.
     unsigned m_usageFailures { 0 }; // Consecutive failed usage reports.
     Common::TimePoint m_nextUsageReportAt {};
     Common::TimePoint m_nextCapacityPlanAt {};
--- a/Source/RouteServing/Gateway/Forwarding.h
+++ b/Source/RouteServing/Gateway/Forwarding.h
@@ -28,8 +28,8 @@
 
 Common::HttpClientRequest requestForUpstream(const HeaderScheme&, const ForwardedRequest&, Common::TimePoint now);
 
-// Builds the response to a request that the router refuses. With `mayHaveRun`, the response does not promise that the
-// request did not run and has no `Retry-After` header, because a retry might run the request twice.
+// Builds the response to a request that the router refuses. With `mayHaveRun`, the response states that the request may
+// have run. It then has no `Retry-After` header, because a retry might run the request twice.
 Common::HttpResponse refusalResponse(
     const HeaderScheme&, const Routing::Refusal&, bool mayHaveRun, const std::string& requestId);
 
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -31,7 +31,7 @@
     uint16_t callerPort() const { return m_callers->port(); }
     uint16_t readinessPort() const { return m_readiness->port(); }
     uint16_t metricsPort() const { return m_metrics->port(); }
-    // Number of routers in the fleet, including this one; nullopt until it is known.
+    // Number of routers that were ever announced, including this one; nullopt until the roster is known.
     std::optional<size_t> fleetSize() const { return m_peers.fleetSize(); }
     const Routing::UpstreamRegistry& registry() const { return m_registry; }
     Routing::UpstreamRegistry& registry() { return m_registry; }
--- a/Source/RouteServing/Gateway/GatewayMetrics.h
+++ b/Source/RouteServing/Gateway/GatewayMetrics.h
@@ -14,8 +14,8 @@
 // Counters, gauges and histograms of a router that serves routes. Labels have a bounded number of values. Thread-safe.
 namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
-// Counts a finished request. `reason`: why the router refused it or cut its stream; empty if the whole response of an
-// upstream was relayed.
+// Counts a finished request. `reason`: why the router refused it or aborted its response; empty if the whole response
+// of an upstream was relayed.
 void requestEnded(unsigned status, std::string_view reason, Common::Duration);
 // Observes the time from a request's arrival to the first event of its stream, or to its whole response.
 void firstByte(Common::Duration afterArrival);
@@ -30,7 +30,7 @@
 void requestWithheld();
 // Sets the number of upstreams in cooldown; called when the metrics are read.
 void cooldownCount(size_t);
-// Sets the gauges of limited upstreams and of this router's quotas there; called when the metrics are read.
+// Sets the gauges for upstreams with a limit and for this router's quotas there; called when the metrics are read.
 void sendQuotas(const Routing::SendQuotas::Summary&);
 
 // Counts attempts at an upstream that ended early, by their cause (CrashDetector.h).
--- a/Source/RouteServing/Gateway/HeaderScheme.h
+++ b/Source/RouteServing/Gateway/HeaderScheme.h
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <vector>
 
-// The HTTP headers that the callers and upstreams of one platform use: names as data, parsers as hooks. An adapter
-// fills in this scheme; the gateway itself refers to no header of any platform.
+// The HTTP headers that the callers and upstreams of one platform use: their names, and hooks that parse or format
+// them. An adapter fills in this scheme; the gateway itself contains no platform-specific header name.
 namespace Brassladder::RouteServing::Gateway {
 
 struct CallerHeaders {
@@ -33,12 +33,12 @@
     std::string lastEventIdHeader; // Id of the last event that the caller has received; the stream resumes after it.
     std::string replicaTargetHeader; // Address of the engine that receives a replica of the run's KV cache.
     std::string prefixSourceHeader; // Address of the engine from which the cached prefix of the prompt is fetched.
-    std::string replicaSourceHeader; // Replica from which a run continues.
+    std::string replicaSourceHeader; // Name of the replica from which a run continues.
     std::function<std::string(const Common::Endpoint& engine, std::string_view requestId)> replicaName;
     size_t priorityLevels { 1 }; // Number of values of the priority header; 0 is the most urgent.
     std::vector<std::string> withheldHeaders; // In lower case: caller headers that are never forwarded.
-    std::function<bool(const Common::HttpClientResponse&)> isNotExecuted; // The upstream states that it did not run it.
-    std::function<bool(const Common::HttpClientResponse&)> isFromOtherUpstream; // Another upstream sent it.
+    std::function<bool(const Common::HttpClientResponse&)> isNotExecuted; // States that the request did not run.
+    std::function<bool(const Common::HttpClientResponse&)> isFromOtherUpstream; // Was sent by another upstream.
     std::function<bool(const Common::HttpClientResponse&)> isLeaving; // The upstream states that it is leaving.
     std::string limitHeader; // Requests per second that the upstream accepts from all routers together.
     std::function<std::optional<Routing::ReportedLoad>(const Common::HttpClientResponse&)> load;
--- a/Source/RouteServing/Gateway/KvReplica.h
+++ b/Source/RouteServing/Gateway/KvReplica.h
@@ -10,9 +10,9 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// The second engine of one request, which receives a replica of the run's KV cache as the cache grows. If the first
+// The second engine of one request, which receives a replica of the run's KV cache while the cache grows. If the first
 // engine fails, the same run continues at the second one after the last whole event. The request does not run twice, so
-// this also serves requests that must run only once. Routing/ReplicaPolicy.h decides which runs get a replica.
+// once-only requests may have a replica as well. Routing/ReplicaPolicy.h decides which runs get a replica.
 class KvReplica {
 public:
     explicit KvReplica(const UpstreamHeaders& headers)
@@ -20,8 +20,8 @@
     {
     }
 
-    // Chooses the engine for the replica of the next attempt; there is none if no other engine may take it. `attempted`
-    // of the request must include the engine of that attempt.
+    // Chooses the engine that receives the replica of the next attempt. The attempt has no replica if no other engine
+    // is available. `attempted` of the placement request must include the engine of the attempt itself.
     void choose(Routing::UpstreamRegistry&, Routing::UpstreamRegistry::PlacementRequest, Common::TimePoint now);
 
     // Clears the replica: the next attempt has none.
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -46,8 +46,8 @@
     hooks.onItem = [this](const auto& sender, const auto& item) { onItem(sender, item); };
     hooks.onConnected = [](const std::string&) {};
     hooks.onDisconnected = [this](const std::string& peer) { onDisconnected(peer); };
-    // Held until m_endpoint is set; it never changes afterwards. A peer may connect and send immediately, and every
-    // path from a message to m_endpoint takes this lock first.
+    // Holds the lock until m_endpoint is set, because a peer may connect and send immediately. Every path from a
+    // message to m_endpoint takes the lock first, and m_endpoint never changes afterwards.
     std::lock_guard lock(m_mutex);
     auto port = m_mesh.listen(endpoint, std::move(hooks));
     if (isError(port))
@@ -59,8 +59,9 @@
 
 // Roster
 
-// The caller must hold the lock since before it changed the peers. Otherwise, when two threads each add a peer, an
-// older list could replace a newer one in the mesh. The mesh calls no hook from setPeers().
+// The caller must take the lock before it changes the peers, and hold it during this call. Otherwise, if two threads
+// each add a peer, an older list could replace a newer one in the mesh. Mesh::setPeers() calls no hook, so holding the
+// lock cannot cause a deadlock.
 void PeerExchange::setMeshPeers()
 {
     std::vector<Inner::Peer> peers;
@@ -74,7 +75,8 @@
 void PeerExchange::addContact(const std::string& id, const std::string& address)
 {
     auto endpoint = Common::parseEndpoint(address);
-    // Without the address, the response can only be sent if the roster has the peer. Otherwise the mesh drops it.
+    // Without a valid address in the request, the mesh can send the response only if the roster contains the peer.
+    // Otherwise it drops the response.
     if (isError(endpoint))
         return Common::log(LogLevel::Warning, "gateway", "peer.bad_address",
             { { "peer", id }, { "address", address }, { "error", errorOf(endpoint).message } });
@@ -101,7 +103,8 @@
     addRoster(decodeRoster(part.packed()));
     Routing::FleetMember::RosterRange range { part.after(), part.revision(), part.is_whole() };
     bool isNew = locked([&](auto& member) { return member.recordRosterPart(from.id, from.incarnation, range); });
-    // The roster is complete now, so the hub is known: request a snapshot without delay.
+    // The roster has just become complete, so the hub is known. Requests a snapshot without waiting for the next
+    // interval.
     if (isNew)
         Common::FiberRuntime::spawnHere([this] { step(); });
 }
@@ -189,7 +192,8 @@
 }
 
 // Sets the nonce, this router's address and the received revision of the target's roster. Returns false if a step on
-// another thread has chosen another target in the meantime. The caller must hold the lock.
+// another thread has chosen another target in the meantime; the request must not be sent then. The caller must hold the
+// lock.
 bool PeerExchange::addRequestHeader(const std::string& target, bool asHub, Inner::Wire::KnowledgeAsk& request)
 {
     auto nonce = m_member.outstanding().add(target, asHub, Common::now());
@@ -275,7 +279,7 @@
 }
 
 // Adds the revision up to which this router has the hub's usage counts. If the hub holds the duties, also adds the
-// counts that it does not have yet.
+// counts that the hub does not have yet.
 void PeerExchange::addUsage(const std::string& hub, bool isDutyHolder, Inner::Wire::HubLoads& message)
 {
     auto received = m_parts.usage->received(hub);
@@ -285,8 +289,9 @@
         message.clear_usage();
 }
 
-// Notifies the routers that requested a snapshot recently; they then request the rest. The configuration, which may be
-// large, is sent only to routers with an older version: most changes affect upstreams only.
+// Notifies the routers that requested a snapshot recently; each of them then requests a new snapshot. A notification
+// carries the configuration, which may be large, only for routers with an older version, since most changes affect only
+// upstreams.
 void PeerExchange::notifySubscribers()
 {
     std::map<std::string, uint64_t> knownVersions;
@@ -314,8 +319,7 @@
         onHubLoads(sender, item.hub_loads());
 }
 
-// Discards the record of what was sent to the peer. It may have been lost with the connection, so the next response
-// includes it again.
+// Marks what was in flight to the peer as lost, because the connection has ended. The next response includes it again.
 void PeerExchange::onDisconnected(const std::string& id)
 {
     if (m_parts.usage)
@@ -346,8 +350,8 @@
     bool isResponse = snapshot.nonce() != 0;
     if (isResponse)
         m_member.peers().state(from).backoff.recordResponse();
-    // A seed's response carries only the roster. The request is registered under the placeholder id of the seed, not
-    // under the id of the sender.
+    // A seed's response carries only the roster. The request was recorded under a generated id (FleetMember::Target),
+    // because the seed's own id was not known when it was sent.
     auto& outstanding = m_member.outstanding();
     if (const auto& seed = m_member.seed()) {
         outstanding.take(seed->id, snapshot.nonce());
@@ -370,8 +374,8 @@
     auto requestedAt = recordSnapshot(from, snapshot);
     if (snapshot.has_roster())
         onRosterPart(sender, snapshot.roster());
-    // Ages count back from the time when this router sent its request. A notification has no request, so its transit
-    // time is unknown and it confirms nothing.
+    // Ages are relative to the time when this router sent its request. A notification responds to no request, so its
+    // transit time is unknown, and it confirms nothing.
     auto confirmedBy
         = [&](uint32_t ageMs) { return requestedAt ? decodeAge(ageMs, *requestedAt) : Common::TimePoint::min(); };
     onConfiguration(from, snapshot, confirmedBy(snapshot.configuration_age_ms()));
@@ -394,7 +398,8 @@
     const std::string& from, const Inner::Wire::Knowledge& snapshot, Common::TimePoint confirmedAt)
 {
     auto version = snapshot.configuration_version();
-    // The snapshot carries neither a configuration nor an age that would confirm the absence of one.
+    // Without a version and an age, the snapshot states nothing about the configuration. An age without a version
+    // confirms that there is no configuration yet.
     if (!version && !snapshot.configuration_age_ms())
         return;
     bool isNew = version > m_parts.watcher.activeVersion();
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -41,12 +41,12 @@
 
     // Listens for peers. Returns the port in use, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&);
-    // Both run until the process ends. Each must be started in its own fiber.
+    // watchRoster() and exchange() run until the process ends. Each must be started in its own fiber.
     void watchRoster() { m_roster.watch({ m_id, m_endpoint }); }
     void exchange();
 
     bool isHub() const;
-    // Whether this router reads the platform's store on behalf of others.
+    // Whether this router is a store reader: it reads the platform's store on behalf of other routers.
     bool readsStore() const;
     // Returns the number of routers that were ever announced, including this one. This is an upper bound of the running
     // routers. Returns nullopt until the roster is known.
@@ -55,7 +55,7 @@
     void leave() { m_snapshots.leave(); }
     // Whether this router receives loads from too few other routers to perform duties for the fleet.
     bool isPartitioned() const;
-    // See Routing/FleetConnectivity.h.
+    // Returns the factor from the known load to the load of the whole fleet (Routing/FleetConnectivity.h).
     double unreachableLoadFactor() const;
     // Sets the function that returns the id of the router that holds the duties, or an empty string if it is unknown.
     // Must be called before exchange().
--- a/Source/RouteServing/Gateway/PlatformSources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -19,8 +19,9 @@
 #include <string_view>
 #include <vector>
 
-// Access to the platform's state as hooks that an adapter implements. Unless stated otherwise, one fiber at a time
-// calls a hook, and the hook may suspend it. The only error is PlatformUnavailable: the current state is unknown.
+// Hooks through which a router accesses the platform's state; an adapter implements them. Unless stated otherwise, at
+// most one fiber at a time calls a hook, and the hook may suspend that fiber. The only error is PlatformUnavailable:
+// the current state is unknown.
 namespace Brassladder::RouteServing::Gateway {
 
 // One version of the configuration: the compiled table, and the original text that is sent to other routers.
@@ -31,8 +32,9 @@
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
 struct ConfigurationSource {
-    // Waits up to `wait` for a version that it has not returned before. Returns null if there is none. Any value,
-    // including null, confirms that the platform had accepted no newer version when the call was made.
+    // Waits up to `wait` for a version that it has not returned before, and returns null if there is none. Unless it is
+    // an error, the result confirms that the platform had accepted no version newer than the last one returned when the
+    // call was made.
     std::function<Common::Result<ConfigurationPtr>(Common::Milliseconds wait)> read;
     // Returns null if the text is not a valid configuration.
     std::function<ConfigurationPtr(std::string_view text)> parse;
@@ -74,7 +76,7 @@
         Duties::LogEnd end;
     };
     // Returns the records that were written since the last call, and waits up to `wait` for one. The first call, and
-    // the first one in a new era, returns the newest record of each key.
+    // the first one in a new era (Duties/Lease.h), returns the newest record of each key.
     std::function<Common::Result<Changes>(Common::Milliseconds wait)> read;
     // Appends a record if the log ends at `expectedEnd`, and returns whether it did. After an error the record may have
     // been appended, or may still be appended under the same condition.
@@ -106,7 +108,7 @@
     UpstreamSource upstreams;
     RosterSource roster;
     std::optional<SuspectLogSource> suspects {};
-    // Empty if no address is configured. The fleet then performs no duties.
+    // Both are nullopt if no address for duty calls is configured. The fleet then performs no duties.
     std::optional<DutyLogSource> dutyLog {};
     std::optional<DutyCalls> dutyCalls {};
 };
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -14,7 +14,7 @@
 // Interval at which a router that relies on its peers checks whether its state is stale. Equals the exchange interval
 // of PeerExchange.
 static constexpr Milliseconds staleCheckInterval = 100ms;
-// Check interval until the first state arrives. Shorter, since callers are waiting for it.
+// Check interval until the first state arrives. It is shorter because callers are waiting for that state.
 static constexpr Milliseconds firstStateCheckInterval = 20ms;
 
 PlatformWatcher::PlatformWatcher(PlatformSources sources, Routing::RefreshIntervals intervals,
@@ -162,8 +162,8 @@
 {
     bool hasChanged = false;
     {
-        // Held from the comparison to the change. While a read of the store is in progress, a list from a peer that was
-        // confirmed later may become active.
+        // Holds the lock from the comparison to the change. While a read of the store is in progress, a list that a
+        // peer confirmed later may become active.
         std::lock_guard lock(m_mutex);
         if (confirmedAt <= m_upstreamsConfirmedAt)
             return;
--- a/Source/RouteServing/Gateway/PlatformWatcher.h
+++ b/Source/RouteServing/Gateway/PlatformWatcher.h
@@ -12,8 +12,9 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Keeps the configuration and the list of upstreams up to date, and the time up to which each is confirmed. Both come
-// from the platform's store or from another router. Within one process, configuration versions only increase.
+// Keeps the configuration and the list of upstreams up to date, and records up to which time each is confirmed to be
+// the newest. Both come from the platform's store or from another router. Within one process, configuration versions
+// only increase.
 //
 // Store readers read at the intervals of Routing/RefreshIntervals.h, and PeerExchange passes the state on. Other
 // routers read the store only if their state is stale, or if they have none and do not wait for a peer
@@ -22,19 +23,19 @@
 public:
     PlatformWatcher(PlatformSources, Routing::RefreshIntervals, Routing::FreshnessLease&, Routing::UpstreamRegistry&);
 
-    // Whether this router is a store reader.
+    // Sets the function that returns whether this router is a store reader.
     void setStoreReaderCheck(std::function<bool()> isStoreReader) { m_isStoreReader = std::move(isStoreReader); }
-    // Whether a starting router may wait for its first state from a peer.
+    // Sets the function that returns whether a starting router may wait for its first state from a peer.
     void setFirstStateCheck(std::function<bool()> awaitsFirstState)
     {
         m_awaitsFirstState = std::move(awaitsFirstState);
     }
-    // Called after each read of the store, with whether it succeeded.
+    // The hook is called after each read of the store, with whether the read succeeded.
     void setOnStoreRead(std::function<void(bool)> hook) { m_onStoreRead = std::move(hook); }
-    // Called after each change, in the fiber that received it.
+    // The hook is called after each change, in the fiber that received the change.
     void setOnChange(std::function<void()> hook) { m_onChange = std::move(hook); }
 
-    // Both run until the process ends. Each must be started in its own fiber.
+    // The watch functions run until the process ends. Each must be started in its own fiber.
     void watchConfiguration();
     void watchUpstreams();
 
--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -15,14 +15,15 @@
 using Routing::SendQuotas;
 using namespace std::chrono_literals;
 
-// A hub that has sent no message for this long is not chosen to assign limits. Ten exchange intervals.
+// A hub that has sent no message for this long (ten exchange intervals) is not chosen to assign limits.
 static constexpr Common::Milliseconds hubTimeout = 1000ms;
 // A longer gap between two steps means that the process was paused.
 static constexpr Common::Milliseconds maxStepGap = 500ms;
 // Assumed upper bound for the transit time of a message between routers. It is subtracted from the time of receipt
-// before ages are decoded. Otherwise times that routers forward to each other in a circle would drift forward.
+// before ages are decoded. Otherwise a time that routers forward to each other would become later with each hop.
 static constexpr Common::Milliseconds maxTransitTime = 250ms;
-static constexpr double limitUnitsPerRequestPerSecond = 1000; // Wire format; see also roundedLimit.
+// Resolution of limits in messages. roundedLimit() rounds limits to it.
+static constexpr double limitUnitsPerRequestPerSecond = 1000;
 
 // Hubs
 
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -34,8 +34,8 @@
     void stepAsHub(std::span<const std::string> hubs, double reachableShare, Common::TimePoint now);
     void stepAsSubscriber(Common::TimePoint now);
 
-    // Adds the quota table to a message: in a request the wanted numbers, in a snapshot the granted totals, and between
-    // hubs both.
+    // Adds the quota table to a message: a request carries the wanted numbers, a snapshot the granted totals, and a
+    // message between hubs both.
     void addTo(Inner::Wire::KnowledgeAsk&, const std::string& hub, Common::TimePoint now);
     void addTo(Inner::Wire::Knowledge&, const Inner::Mesh::Sender& subscriber, Common::TimePoint now);
     void addTo(Inner::Wire::HubLoads&, const std::string& hub, Common::TimePoint now);
@@ -46,7 +46,7 @@
 
 private:
     using Key = uint32_t; // Routing::limitKey.
-    // Total quotas received from one other process, by upstream.
+    // Total quotas received from one process, by upstream. A hub also receives quotas from itself.
     struct Received {
         uint64_t incarnation { 0 };
         std::map<Key, uint64_t> counts;
@@ -61,7 +61,7 @@
         Routing::QuotaAssigner routerAssigner; // Grants quotas to this hub and its subscribers.
     };
 
-    // Another hub.
+    // Process and last message of another hub.
     struct HubContact {
         uint64_t incarnation { 0 };
         Common::TimePoint lastReceived {};
@@ -91,7 +91,7 @@
     const uint64_t m_incarnation;
     std::mutex m_mutex; // Guards the members below.
     std::map<Key, HubLimitState> m_limitStates; // Cleared at each step if this router is not a hub.
-    std::map<std::string, Received> m_received; // By the id of the granting peer.
+    std::map<std::string, Received> m_received; // By the id of the granting router, which may be this one.
     std::map<std::string, HubContact> m_hubContacts;
     std::vector<std::string> m_reachableHubs; // Hubs that sent a message recently, and this hub.
     Routing::QuotaOwnership::StableSince m_since;
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -148,7 +148,8 @@
     if (isPastDeadline())
         return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired,
             "the deadline of the request has passed" };
-    // Reads the lease before the table, which is then at least as recent as the one that the lease confirms.
+    // Reads the lease before the configuration, so the configuration is at least as recent as the one that the lease
+    // confirms.
     bool isKeyLeaseValid = areKeysConfirmed();
     auto inForce = m_services.watcher.configuration();
     return Routing::revalidateKey(inForce->table, m_workspace, key(), isKeyLeaseValid);
@@ -166,7 +167,7 @@
         request.prompt = &m_prompt;
         request.engine = { m_engine->batch, m_engine->fetchesKvCache };
     }
-    // A resumed stream has already met or missed its objective, so a new one starts now.
+    // A resumed stream has already met or missed its objective, so the objective is measured from now.
     request.due = (m_stream.hasSentHead() ? Common::now() : m_report.arrived) + m_route->objective;
     return request;
 }
@@ -251,7 +252,7 @@
         if (prepareRetry(attempt))
             return Next::Retry;
     }
-    // The attempt was to resume a stream, and the caller already has the response head of an earlier attempt.
+    // The attempt should have resumed a stream: the caller already has the response head of an earlier attempt.
     if (m_stream.hasSentHead()) {
         abortResponse("stream_not_resumed");
         return Next::Done;
@@ -320,19 +321,19 @@
     Common::log(LogLevel::Info, "gateway", "try.failed", std::move(fields));
 }
 
-// The failure is recorded all the same, because the upstream may have crashed at the same moment.
+// Records a failure although the caller has disconnected, because the upstream may have crashed at the same time.
 void RequestHandler::onCallerGone(const UpstreamAttempt& attempt)
 {
     m_suspectCheck.recordFailure(m_report.requestId, attempt, m_report.lastPlaced);
     abortResponse("caller_gone");
 }
 
-// Returns whether another attempt follows. Takes the attempt from the retry budget, unless nothing was sent, and sets
-// the placement of a failover.
+// Returns whether another attempt follows. Charges the next attempt to the retry budget, unless nothing was sent, and
+// sets the placement of a failover.
 bool RequestHandler::prepareRetry(const UpstreamAttempt& attempt)
 {
     auto outcome = attempt.outcome();
-    // Nobody waits for the response. The disconnect is reported only once, so nothing would cancel another attempt.
+    // The caller has disconnected. Its disconnect is reported only once, so another attempt would not be cancelled.
     if (isAbandoned())
         return false;
     if (m_suspectCheck.forbidsRetry())
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -73,12 +73,12 @@
     void onCallerGone(const UpstreamAttempt&);
     // Counts the request as usage of its workspace, once for all its attempts.
     void countUsage();
-    // Counts it if the attempt shows that the request had started to run at the upstream.
+    // Counts the request if the attempt shows that it had started to run at the upstream.
     void countUsageIfStarted(const UpstreamAttempt&);
 
     Routing::UpstreamRegistry::PlacementRequest placementRequest() const;
     Common::HttpClientRequest requestFor(const Placement&) const;
-    // Urgency of the request among all; 0 is the most urgent.
+    // Returns the urgency rank of the request; 0 is the most urgent.
     size_t rank() const;
     std::optional<size_t> engineLevel(const Placement&) const;
     void refuse(const Routing::Refusal&);
@@ -87,7 +87,8 @@
 
     const RequestServices m_services;
     Common::HttpExchange& m_exchange;
-    // On arrival. Read before the configuration, which is then at least as recent as the one that the lease confirms.
+    // Whether the keys were confirmed on arrival. Read before the configuration, so the configuration is at least as
+    // recent as the one that the lease confirms.
     const bool m_keysWereConfirmed;
     ConfigurationPtr m_configuration; // Keeps the table alive that the pointers below refer to.
     const Routing::RouteTable* m_table { nullptr };
--- a/Source/RouteServing/Gateway/RequestReport.h
+++ b/Source/RouteServing/Gateway/RequestReport.h
@@ -24,7 +24,7 @@
     std::string requestId;
     Common::TimePoint arrived;
     unsigned status { 0 }; // 0 if no response was begun.
-    std::string reason; // Why the router refused the request or cut the response; else empty.
+    std::string reason; // Why the router refused the request or aborted the response; else empty.
     std::string route; // Empty if no route matched.
     std::optional<DecisionBasis> basis; // nullopt if no configuration was known.
     std::vector<std::string> attemptedUpstreams; // Ids, in order.
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -32,13 +32,13 @@
 
 Routing::UpstreamStatement statementOf(const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
 {
-    // The statement would be attributed to the upstream that had the address before.
+    // Another upstream now has the address. Its statement must not be attributed to the expected upstream.
     if (headers.isFromOtherUpstream(response))
         return {};
     return { headers.isLeaving(response), retryAfterOf(response) };
 }
 
-// In requests per second; nullopt if the value is negative or not a number.
+// Returns the limit in requests per second, or nullopt if the value is negative or not a number.
 static std::optional<double> parseLimit(std::string_view value)
 {
     auto text = absl::StripAsciiWhitespace({ value.data(), value.size() });
--- a/Source/RouteServing/Gateway/ResponseStatement.h
+++ b/Source/RouteServing/Gateway/ResponseStatement.h
@@ -16,8 +16,9 @@
 // value is logged and ignored. Returns an empty statement if another upstream sent the response.
 Routing::UpstreamStatement statementOf(const UpstreamHeaders&, const Common::HttpClientResponse&);
 
-// Reads the limit for all routers together: the lowest one stated, or that there is none. Returns nullopt if another
-// upstream sent the response, or if every stated limit is invalid. Invalid limits are logged.
+// Reads the limit for all routers together. The lowest one applies if the response states several; the statement is
+// empty if it states none. Returns nullopt if another upstream sent the response, or if every stated limit is invalid.
+// Invalid limits are logged.
 std::optional<Routing::LimitStatement> limitStatementOf(const UpstreamHeaders&, const Common::HttpClientResponse&);
 
 // Logs and counts a change of an upstream's limit.
--- a/Source/RouteServing/Gateway/RosterWatcher.h
+++ b/Source/RouteServing/Gateway/RosterWatcher.h
@@ -14,11 +14,11 @@
 class RosterWatcher {
 public:
     struct Hooks {
-        // Returns the situation without the reads, which the watcher fills in.
+        // Returns the situation; the watcher sets `reads` and `sinceLastRead`.
         std::function<Routing::RosterSituation()> situation;
         // Called with the changes since the last read. The first read passes all entries.
         std::function<void(std::span<const Routing::RosterEntry>)> onRead;
-        std::function<void()> onAnnounced; // Called when the platform has this router's address.
+        std::function<void()> onAnnounced; // Called after each successful announcement.
     };
 
     RosterWatcher(RosterSource, Hooks);
--- a/Source/RouteServing/Gateway/SnapshotBuilder.cpp
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.cpp
@@ -48,8 +48,8 @@
         snapshot.set_configuration(configuration->text);
 }
 
-// Returns the compressed list of upstreams, cached by digest for all peers. A change of one entry sends the complete
-// list, so its size matters.
+// Returns the compressed list of upstreams, cached by digest for all peers. The complete list is sent after every
+// change of an entry, so its size matters.
 std::shared_ptr<const std::string> SnapshotBuilder::packedUpstreams(uint64_t digest)
 {
     {
@@ -120,7 +120,7 @@
         part.set_packed(encodeRoster(entries));
 }
 
-// Hubs send their loads to all hubs with HubLoads instead.
+// Does nothing for hubs, which exchange loads with HubLoads.
 void SnapshotBuilder::addLoads(
     const std::string& peer, const Inner::Wire::KnowledgeAsk& request, Inner::Wire::Knowledge& snapshot)
 {
--- a/Source/RouteServing/Gateway/SnapshotBuilder.h
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.h
@@ -20,15 +20,16 @@
 // already has and what is in flight to it.
 //
 // Reads each age before the state that it describes, so the state is at least as recent as the age says. Marks the
-// configuration, the list of upstreams and the roster as sent under the lock and before sending. Therefore only one of
-// two concurrent snapshots carries them, and the end of the connection is always handled after the mark. Thread-safe.
+// configuration, the list of upstreams and the roster as sent while it holds the lock, before the snapshot is sent.
+// Therefore only one of two concurrent snapshots carries them. If the connection ends after sending, the mark is
+// already set, and the disconnect handler removes it. Thread-safe.
 class SnapshotBuilder {
 public:
     struct Parts {
         const PlatformWatcher& watcher;
         const Routing::FreshnessLease& lease;
         const Routing::UpstreamRegistry& registry;
-        std::mutex& mutex; // Guards `member` and `loads`. The caller must not hold it.
+        std::mutex& mutex; // Guards `member` and `loads`. Must not be held when this class is called.
         Routing::FleetMember& member;
         Routing::PeerLoads& loads;
         UsageExchange* usage { nullptr }; // Null if usage is not reported. Thread-safe.
--- a/Source/RouteServing/Gateway/SnapshotCodec.cpp
+++ b/Source/RouteServing/Gateway/SnapshotCodec.cpp
@@ -154,7 +154,7 @@
 {
     if (snapshot.packed_configuration().empty())
         return snapshot.configuration();
-    // The limit of a plain text, which must fit into a frame.
+    // The decompressed text has the same limit as a plain one, which must fit into a frame.
     return Common::inflate(snapshot.packed_configuration(), Inner::maxFrameBytes);
 }
 
--- a/Source/RouteServing/Gateway/SnapshotCodec.h
+++ b/Source/RouteServing/Gateway/SnapshotCodec.h
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-// Encodes and decodes the messages of PeerExchange (Inner/Inner.proto). The message and field names are older than the
+// Encodes and decodes the messages of PeerExchange (Inner/Inner.proto). Some message and field names differ from the
 // terms of the code: `Knowledge` is a snapshot, `KnowledgeAsk` is a request for one, `writers` counts decode-heavy
 // generations and `unread_tokens` counts tokens that wait for prefill.
 namespace Brassladder::RouteServing::Gateway {
 
 // Returns the age in milliseconds, clamped to the range of the type. The maximum stands for "never confirmed".
 uint32_t encodeAge(Common::Milliseconds);
-// Returns the time of confirmation, for an age that counts back from `now`. The maximum age decodes to
-// TimePoint::min(): it means "never confirmed", not "confirmed long ago".
+// Returns the time of confirmation, which is `ageMs` before `now`. The maximum age stands for "never confirmed" and
+// decodes to TimePoint::min().
 Common::TimePoint decodeAge(uint32_t ageMs, Common::TimePoint now);
 
 // Omits upstreams without requests.
@@ -40,8 +40,8 @@
 // different lengths. Logs a warning in both cases.
 std::vector<Routing::RosterEntry> decodeRoster(std::string_view packed);
 
-// Returns the text of the configuration, plain or packed, or an empty string if the snapshot carries none. Returns an
-// error if a packed text is unreadable.
+// Returns the text of the configuration, decompressed if necessary, or an empty string if the snapshot carries none.
+// Returns an error if a compressed text is unreadable.
 Common::Result<std::string> decodeConfiguration(const Inner::Wire::Knowledge&);
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/SseFramer.h
+++ b/Source/RouteServing/Gateway/SseFramer.h
@@ -9,13 +9,14 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // Splits a server-sent event stream into whole events without changing a byte. A stream that is interrupted is relayed
-// up to its last whole event and can be resumed after it. Does not decode the events, unlike the parser of class
+// up to its last whole event and can be resumed after it. Decodes only the ids of events, unlike the parser of class
 // serving (ClassServing/Upstream/SseParser.h). Not thread-safe.
 class SseFramer {
 public:
     void feed(std::string_view bytes) { m_buffer += bytes; }
 
-    // Returns all buffered whole events that are newer than the last one taken; empty if there are none.
+    // Returns the buffered whole events, without those whose id is not above the last one taken; empty if there are
+    // none.
     std::string takeEvents();
     // Returns the bytes after the last whole event.
     std::string takeRemainder();
--- a/Source/RouteServing/Gateway/StreamRelay.h
+++ b/Source/RouteServing/Gateway/StreamRelay.h
@@ -21,8 +21,8 @@
 
     // The hook is called once, with the first event. Set it before relaying.
     void setOnFirstEvent(std::function<void()> hook) { m_onFirstEvent = std::move(hook); }
-    // Relays whole events until the stream ends, is interrupted by the upstream, or the caller is gone. Sends the
-    // response head with the first event; until then another upstream can still take over with its own head.
+    // Relays whole events until the stream ends, the upstream interrupts it, or the caller disconnects. Sends the
+    // response head with the first event; until then, a later attempt can still send its own response head.
     Result relay(UpstreamAttempt&);
     // Discards the unfinished event of the last attempt, before the next one resumes the stream.
     void discardPartialEvent() { m_framer.discardPartialEvent(); }
--- a/Source/RouteServing/Gateway/SuspectCheck.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -14,7 +14,8 @@
 namespace Brassladder::RouteServing::Gateway {
 
 // Checks one request against the suspects, from its admission to its end: decides whether it may be sent, and records
-// how its attempts ended. Used only by the fiber of the request. Costs next to nothing while there are no suspects.
+// how its attempts ended. Used only by the fiber of the request. While there are no suspects, `await` only checks that
+// the ledger is empty.
 class SuspectCheck {
 public:
     // Components that all requests share.
@@ -36,7 +37,7 @@
     // Must be called before each attempt. Waits while another run of a suspect is in progress, until the deadline at
     // most. Returns a refusal if the request must not be sent.
     std::optional<Routing::Refusal> await(const std::string& requestId, Common::TimePoint deadline);
-    // Whether the request has the only run of the fleet. It is then placed at an upstream with few other requests.
+    // Whether this run of the request is exclusive. It is then placed at an upstream with few other requests.
     bool runsExclusively() const { return m_runsExclusively; }
 
     // Records a failed attempt. `sent`: when the attempt was placed.
--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -9,7 +9,8 @@
 using Common::TimePoint;
 using Routing::SuspectRecord;
 
-// Exceeds the retention of any record. Bounds the effect of an invalid age, from a peer or the store, on a time point.
+// Upper bound of encoded and decoded ages, above the retention of any record. Keeps invalid ages, from a peer or the
+// store, from producing time points out of range.
 static constexpr Milliseconds maxSuspectAge = std::chrono::hours(24 * 30);
 
 static uint64_t ageOf(TimePoint time, TimePoint now)
--- a/Source/RouteServing/Gateway/SuspectCodec.h
+++ b/Source/RouteServing/Gateway/SuspectCodec.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 // Encodes and decodes suspects for messages between routers (Inner/Inner.proto) and for the platform's store. Times are
-// encoded as ages, because clocks of instances are not compared. A stored suspect also has the time of day of its
-// write.
+// encoded as ages, because the steady clocks of instances are unrelated. A stored suspect also has the time of day of
+// its write.
 namespace Brassladder::RouteServing::Gateway {
 
 void encodeSuspects(std::span<const Routing::SuspectRecord>, Inner::Wire::SuspectTable&, Common::TimePoint now);
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -34,8 +34,8 @@
 // Added to the deadline of a claim: covers the detection of a crash and clock differences of up to 2 s between
 // instances.
 static constexpr Milliseconds claimMargin = 3s;
-// Tries to release a claim when other routers write at the same time. Until the claim expires, no other router runs the
-// request.
+// Maximum number of attempts to release a claim when other routers write at the same time. If all fail, no other router
+// runs the request until the claim expires.
 static constexpr unsigned maxReleaseTries = 5;
 
 // Exclusive runs
@@ -68,7 +68,7 @@
             if (outcome == Claim::Granted)
                 return Permission::Exclusive;
             endLocalRun(request);
-            // A trial requires the store: without it, two routers could run one at the same time.
+            // A trial requires the store: without it, two routers could begin a trial at the same time.
             if (outcome == Claim::Unavailable)
                 return Permission::Held;
             pause = storePollInterval;
@@ -154,7 +154,8 @@
     return Claim::Granted;
 }
 
-// Whether the stored record is equivalent to the one of this router.
+// Returns whether the stored record is equivalent to the record of this router. A record without runs is equivalent to
+// a missing one.
 static bool isUpToDate(const StoredSuspect* stored, const Routing::SuspectRecord& known)
 {
     if (!stored)
@@ -164,8 +165,8 @@
         && !Routing::merge(ours, stored->record);
 }
 
-// With `OwnClaims::Keep`, a store reader can write news of a request that it is running exclusively: its claim must
-// stay, or another router would run the request at the same time.
+// `OwnClaims::Keep` is for a store reader that updates the record of a request while it runs the request exclusively.
+// Without the claim, another router could run the request at the same time.
 Common::Status SuspectGuard::store(std::vector<Routing::SuspectRecord> records, OwnClaims ownClaims)
 {
     auto contents = read();
@@ -202,7 +203,7 @@
         if (!Routing::SuspectLedger::isExpired(stored.record, Common::now()))
             continue;
         auto dropped = log.drop(stored.record.request, end);
-        // Another store reader drops the rest, or the next start of one.
+        // The remaining suspects are dropped by another store reader, or when a router next becomes one.
         if (isError(dropped) || !valueOf(dropped))
             return;
         ++end;
@@ -221,7 +222,8 @@
     storedRevision = changes.upTo;
     if (changes.records.empty())
         return true;
-    // Store readers receive news of a crash at the same time; a random delay keeps them from all writing it.
+    // All store readers receive a suspect at about the same time. A random delay makes it unlikely that all of them
+    // write it.
     Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeSyncInterval * Common::randomShare()));
     auto status = store(std::move(changes.records), OwnClaims::Keep);
     if (isError(status))
--- a/Source/RouteServing/Gateway/SuspectGuard.h
+++ b/Source/RouteServing/Gateway/SuspectGuard.h
@@ -32,7 +32,7 @@
         Unrestricted, // The request may run like any other.
         Exclusive, // The request may run; call `release` afterwards.
         Held, // The request must not be sent.
-        TimedOut, // Another run of the request lasted until the end of the wait.
+        TimedOut, // Another run of the request did not end in time, or the wait was abandoned.
     };
     struct Wait {
         Common::TimePoint until;
@@ -40,8 +40,8 @@
     };
     // Suspends the calling fiber while another run of the request is in progress.
     Permission acquire(const Routing::RequestIdentity&, const Wait&);
-    // Ends a run that was permitted as `Exclusive`. `crashCheckPending`: whether the upstream crashed is not known yet,
-    // and the next run waits for that.
+    // Ends a run that was permitted as `Exclusive`. `crashCheckPending`: it is not yet known whether the upstream
+    // crashed; the next run is then delayed until the check has ended.
     void release(const Routing::RequestIdentity&, bool crashCheckPending);
 
     // Loads the stored suspects and keeps the store up to date while `isStoreReader` returns true. Runs until the
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -88,7 +88,7 @@
 // A response without the header is recorded as well: it ends a limit that was stated before.
 void UpstreamAttempt::recordLimit(std::string_view requestId)
 {
-    // A response to another request may be arbitrarily old.
+    // Ignores a response to another request, which may be arbitrarily old.
     if (m_response.header(m_headers.caller.requestIdHeader) != requestId)
         return;
     auto statement = limitStatementOf(m_headers.upstream, m_response);
@@ -99,7 +99,7 @@
     reportLimit(upstream, *statement, news, requestId);
 }
 
-// Rejects a surplus response to an earlier request, and one from a faulty upstream: neither may reach the caller.
+// Rejects a response to another request, and a response without the required headers. Neither may reach the caller.
 AttemptOutcome UpstreamAttempt::checkResponseHead(std::string_view requestId)
 {
     if (auto load = m_headers.upstream.load(m_response))
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -27,8 +27,9 @@
     UpstreamAttempt(const UpstreamAttempt&) = delete;
     UpstreamAttempt& operator=(const UpstreamAttempt&) = delete;
 
-    // Sends the request, unless a statement of the upstream forbids that by now, and reads the response head. After
-    // `Answered` and `ServerError`, `response` is the head of the response to this request, and its body can be read.
+    // Connects, sends the request and reads the response head. Does not send if the upstream meanwhile is in cooldown,
+    // is leaving, or has no quota left for this router. After `Answered` and `ServerError`, `response` is the head of
+    // the response to this request, and its body can be read.
     Routing::AttemptOutcome start(const Common::HttpClientRequest&, const Options&);
     Routing::AttemptOutcome outcome() const { return m_outcome; }
     bool hasEvents() const { return m_isPrefillDone; }
--- a/Source/RouteServing/Gateway/UsageExchange.h
+++ b/Source/RouteServing/Gateway/UsageExchange.h
@@ -15,8 +15,8 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Counts the requests that begin to run, and exchanges usage counts with the messages of PeerExchange. Counts flow from
-// a router to its hub, from a hub to its store reader, and from there to the holder of the duties. Thread-safe.
+// Counts the requests that begin to run, and exchanges usage counts in the messages of PeerExchange. Counts flow from a
+// router to its hub, from a hub to its store reader, and from there to the holder of the duties. Thread-safe.
 class UsageExchange {
 public:
     using SystemClock = std::function<Common::Milliseconds()>; // Wall-clock time since the Unix epoch.
@@ -40,7 +40,7 @@
     // Called when the connection to the peer has ended. Unacknowledged changes are sent again.
     void forgetSent(const std::string& peer);
 
-    // The fleet clock (Duties/FleetClock.h), in milliseconds since the Unix epoch.
+    // Access to the fleet clock (Duties/FleetClock.h). Times are in milliseconds since the Unix epoch.
     uint64_t ownTime() const;
     uint64_t agreedTime() const;
     void recordSubscriberTime(const std::string& peer, uint64_t own);
--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -11,7 +11,7 @@
 #include <gtest/gtest.h>
 #include <thread>
 
-// Which peers a hub sends the configuration to, and how often.
+// Tests to which peers a hub sends the configuration, and how often.
 namespace Brassladder::RouteServing::Gateway {
 
 using boost::asio::ip::tcp;
@@ -31,7 +31,8 @@
     return false;
 }
 
-// Starts with the version, which parse() reads. The rest makes the text unique in a byte stream.
+// Returns a text that begins with the version, which parse() reads. The rest makes the text recognizable in a byte
+// stream.
 std::string configurationText(uint64_t version)
 {
     return std::to_string(version) + " is the version of this configuration";
@@ -49,7 +50,8 @@
     return { { id, "shop", { "127.0.0.1", 9 }, "north", 4, false } };
 }
 
-// A router that answers peers and reads no store; the test sets its state. Never destroyed, like its connections.
+// A router that responds to peers and reads no store; the test sets its state. Never destroyed, because its connections
+// stay open until the process ends.
 struct Hub {
     explicit Hub(uint64_t version)
         : exchange(testRuntime(), { {}, watcher, lease, registry }, "hub", "key")
@@ -75,7 +77,8 @@
     Common::Endpoint endpoint;
 };
 
-// One process of a subscriber; it records the snapshots that it receives. Never destroyed, like its connections.
+// One process of a subscriber; it records the snapshots that it receives. Never destroyed, because its connections stay
+// open until the process ends.
 class Subscriber {
 public:
     explicit Subscriber(const Hub& hub, uint64_t incarnation = 1)
@@ -221,7 +224,7 @@
     EXPECT_EQ(peer.copies(1), 0U) << "a notification must not carry a known configuration";
 }
 
-// Later requests still name the old version while the first copy is in flight.
+// Guards against a copy in each response: requests carry the old version while the first copy is in flight.
 TEST(PeerExchangeSnapshotTest, ANewVersionIsSentOnce)
 {
     auto& hub = *new Hub(1);
@@ -259,7 +262,7 @@
     EXPECT_TRUE(raw.receives(peer, configurationText(1)));
 }
 
-// During an update, routers of two releases run side by side.
+// During an update, some routers still run a release that cannot decompress the configuration.
 TEST(PeerExchangeSnapshotTest, TheConfigurationIsPackedOnlyForPeersThatSupportIt)
 {
     auto& hub = *new Hub(1);
--- a/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PlatformWatcherVersionTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A watcher whose fibers do not run. Counts the decoded texts; a text consists of its version.
+// A watcher whose watch functions do not run. Counts the decoded texts; each text consists of a version number.
 struct WatcherFixture {
     static ConfigurationPtr decode(std::string_view text)
     {
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -13,14 +13,14 @@
 using Common::TimePoint;
 
 static constexpr auto stepInterval = 100ms;
-// Interval at which a router without demand checks whether it has some.
+// Poll interval of a router whose demand is zero.
 static constexpr auto idlePollInterval = 20ms;
 // Response time of the upstream.
 static constexpr auto serviceTime = 20ms;
-// Routers exclude a router that stays frozen for longer than this.
+// Routers exclude a frozen router while more than this remains of its freeze.
 static constexpr auto failureDetectionTime = 600ms;
-// The operators' rule counts arrivals in any countingWindow. It ignores those within faultGracePeriod after a fault of
-// the router, and those less than limitGracePeriod after the router received the limit.
+// The operators' rule counts arrivals in any period of countingWindow. It ignores those during a fault of the router or
+// within faultGracePeriod after it, and those before the router has had the limit for limitGracePeriod.
 static constexpr auto faultGracePeriod = 3000ms;
 static constexpr auto limitGracePeriod = 500ms;
 static constexpr auto countingWindow = 4000ms;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
@@ -14,7 +14,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-// Simulates, on virtual time, a fleet of routers that send to one upstream with a limit. Uses the product's SendQuotas
+// Simulates, in virtual time, a fleet of routers that send to one upstream with a limit. Uses the product's SendQuotas
 // and QuotaExchange. Messages have latency, and routers may freeze, restart or be partitioned.
 class QuotaFleet {
 public:
@@ -23,7 +23,7 @@
         double requestsPerSecond { 4 }; // Demand of each router.
         unsigned seed { 1 };
         std::vector<double> demands; // By router, instead of `requestsPerSecond`.
-        // Decides instead of SendQuotas whether the router may send now. Used for comparisons.
+        // If set, decides instead of SendQuotas whether a router with a limit may send now. Used for comparisons.
         std::function<bool(size_t router, Common::TimePoint now)> admissionOverride;
     };
 
@@ -50,7 +50,7 @@
         Common::TimePoint at;
         size_t router { 0 };
         bool limitWasKnown { false }; // The router received the limit at least 500 ms earlier.
-        bool hadRecentFault { false }; // The router was restarted, frozen or partitioned less than 3 s earlier.
+        bool hadRecentFault { false }; // Within 3 s after a restart, freeze or partition, or during one.
     };
     const std::vector<Arrival>& arrivals() const { return m_arrivals; }
     // Which arrivals are counted. ByRule: only those with `limitWasKnown` and without `hadRecentFault`.
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -7,7 +7,8 @@
 #include <numeric>
 #include <rapidcheck.h>
 
-// A fleet keeps the limit that an upstream states for all routers together, whatever faults its routers have.
+// Tests that a fleet complies with the limit that an upstream states for all routers together, including during faults
+// of routers.
 namespace Brassladder::RouteServing::Gateway {
 
 using namespace std::chrono_literals;
@@ -16,7 +17,7 @@
 
 // The operators' rule: in any 4 s, at most 1.5 times the limit plus five requests.
 size_t allowedInWindow(double requestsPerSecond) { return static_cast<size_t>(1.5 * 4 * requestsPerSecond) + 5; }
-// Time after which connected routers must keep a new limit.
+// Time after which connected routers must comply with a new limit.
 constexpr auto settlingTime = 3s;
 
 struct FleetSize {
@@ -57,7 +58,7 @@
     }
 }
 
-// Guards against quotas that are lost or withheld: the upstream has capacity and callers wait.
+// Guards against quotas that are lost or withheld, so that callers wait although the upstream has capacity.
 TEST(QuotaFleetTest, TheFleetUsesMostOfALimit)
 {
     for (const auto& size : fleetSizes) {
@@ -128,7 +129,7 @@
     EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(30));
 }
 
-// Each part has a hub that assigns the limit, and must use only its share.
+// Each part of the fleet has a hub that assigns the limit. The hub must assign only the share of its part.
 TEST(QuotaFleetTest, APartitionedFleetKeepsTheLimit)
 {
     for (size_t isolatedRouters : { 1, 3, 4 }) {
@@ -144,7 +145,7 @@
     }
 }
 
-// Random freezes, restarts, partitions and changes of the limit.
+// Injects random freezes, restarts and partitions, and changes the limit.
 TEST(QuotaFleetTest, NoWindowExceedsALimitUnderRandomFaults)
 {
     bool holds = rc::check("limits hold", [] {
--- a/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SseFramerTest.cpp
@@ -20,7 +20,7 @@
     EXPECT_EQ(framer.takeRemainder(), "\nrest");
 }
 
-// Guards against the unfinished event of a crashed engine in front of the events of the upstream that resumes the
+// Guards against relaying the unfinished event of a crashed engine before the events of the upstream that resumes the
 // stream.
 TEST(SseFramerTest, AnUnfinishedEventIsDiscardedBeforeAnotherUpstreamResumes)
 {
--- a/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
@@ -61,7 +61,7 @@
 {
     StoredSuspect stored { heldRequest(), "g1", 2'000'000ms };
     auto bytes = encodeStoredSuspect(stored, { s_now, 1'000'000ms });
-    // A minute later in another process, whose steady clock started with it.
+    // Decodes it a minute later in another process, whose steady clock started with that process.
     auto read = decodeStoredSuspect(bytes, { Common::TimePoint(3s), 1'060'000ms });
     ASSERT_TRUE(read);
     EXPECT_EQ(read->claimedBy, "g1");
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -26,7 +26,7 @@
     std::map<RequestIdentity, StoredSuspect> suspects;
     uint64_t end { 0 };
     size_t reads { 0 };
-    size_t conflicts { 0 }; // Number of writes that find that another router wrote first.
+    size_t conflicts { 0 }; // Number of writes that fail because another router wrote first.
     bool isUnavailable { false };
 
     SuspectLogSource source()
@@ -43,7 +43,7 @@
         std::lock_guard lock(mutex);
         ++reads;
         if (isUnavailable)
-            return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
+            return Common::makeError(Common::ErrorKind::PlatformUnavailable, "the store is unavailable");
         SuspectLogSource::Contents contents { {}, end };
         for (const auto& [request, suspect] : suspects)
             contents.suspects.push_back(suspect);
@@ -53,7 +53,7 @@
     {
         std::lock_guard lock(mutex);
         if (isUnavailable)
-            return Common::makeError(Common::ErrorKind::PlatformUnavailable, "away");
+            return Common::makeError(Common::ErrorKind::PlatformUnavailable, "the store is unavailable");
         if (conflicts) {
             --conflicts;
             ++end;
@@ -213,8 +213,8 @@
     EXPECT_TRUE(eventually([&] { return log.size() == 1; }));
 }
 
-// Guards against a second concurrent run: a store reader that writes news of a suspect must not drop its own claim on
-// it.
+// Guards against a second concurrent run: a store reader that updates the record of a suspect must not drop its own
+// claim on the suspect.
 TEST(SuspectGuardTest, AStoreReaderKeepsItsClaimDuringItsRun)
 {
     auto& log = *new FakeLog;
@@ -224,7 +224,7 @@
     crash(other.ledger, 2);
     ASSERT_EQ(reader.acquire(), Permission::Exclusive);
     testRuntime().spawn([&] { reader.guard.runStoreSync([] { return true; }); });
-    // A further crash under the same request, which the reader stores.
+    // Another upstream crashes with the same request in flight; the reader stores the crash.
     std::vector<InterruptedAttempt> attempts { { "r", s_request, "w", "/x", Common::now() - 9900ms,
         Common::now() - 9800ms } };
     reader.ledger.recordCrash({ "another", 1 }, attempts, Common::now());
