--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -32,17 +32,17 @@
 void PeerLink::send(Wire::Item item)
 {
     bool startsDrain = false;
-    bool isStalled = false;
+    bool exceedsBacklog = false;
     {
         std::lock_guard lock(m_mutex);
         auto bytes = item.ByteSizeLong();
         if (!m_outbox.empty())
             m_backlogBytes += bytes;
         m_outbox.push_back({ std::move(item), bytes });
-        isStalled = m_backlogBytes > maxBacklogBytes && !std::exchange(m_stalled, true);
+        exceedsBacklog = m_backlogBytes > maxBacklogBytes && !std::exchange(m_backlogExceeded, true);
         startsDrain = !std::exchange(m_draining, true);
     }
-    if (isStalled)
+    if (exceedsBacklog)
         m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->closeStalledConnection(); });
     if (startsDrain)
         m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->drain(); });
@@ -96,7 +96,7 @@
         // The backlog excludes the new first item.
         m_backlogBytes -= m_outbox.empty() ? m_backlogBytes : m_outbox.front().bytes;
     }
-    m_stalled = m_backlogBytes > maxBacklogBytes;
+    m_backlogExceeded = m_backlogBytes > maxBacklogBytes;
     return batch;
 }
 
@@ -105,7 +105,7 @@
     std::lock_guard lock(m_mutex);
     m_outbox.clear();
     m_backlogBytes = 0;
-    m_stalled = false;
+    m_backlogExceeded = false;
 }
 
 void PeerLink::write(const Session& session, std::vector<Wire::Item> items)
@@ -191,7 +191,7 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        if (!m_stalled)
+        if (!m_backlogExceeded)
             return;
     }
     // If there is no session yet, the connection attempt has its own timeout.
--- a/Source/Inner/PeerLink.h
+++ b/Source/Inner/PeerLink.h
@@ -91,7 +91,7 @@
     std::mutex m_mutex; // Guards the members below.
     std::deque<QueuedItem> m_outbox;
     size_t m_backlogBytes { 0 }; // Size of all queued items except the first.
-    bool m_stalled { false }; // The backlog exceeds its limit.
+    bool m_backlogExceeded { false }; // The backlog exceeds its limit.
     bool m_draining { false }; // A fiber is emptying the outbox.
 };
 
--- a/Source/RouteServing/Duties/CapacityOrders.cpp
+++ b/Source/RouteServing/Duties/CapacityOrders.cpp
@@ -64,7 +64,7 @@
     case Outcome::NoCapacity:
         state.notBefore = now + noCapacityRetryDelay;
         return;
-    case Outcome::Rejected:
+    case Outcome::NotPerformed:
         state.notBefore = now + failureRetryDelay;
         return;
     case Outcome::NoResponse:
--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -39,7 +39,7 @@
     enum class Outcome : uint8_t {
         Accepted,
         NoCapacity, // The platform has no such engines in the domain now.
-        Rejected,
+        NotPerformed,
         NoResponse,
     };
     void record(const CapacityOrder&, uint64_t token, Outcome, Common::TimePoint now);
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -45,10 +45,10 @@
 
 // Spreads the engines evenly, so that the remaining domains carry the load if one domain loses its spot engines. A
 // single domain has no others.
-unsigned CapacityPlan::spotTarget(size_t domains, unsigned needed) const
+unsigned CapacityPlan::spotTargetPerDomain(size_t domains, unsigned needed) const
 {
-    auto carriers = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
-    return (needed + carriers - 1) / carriers;
+    auto remainingDomains = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
+    return (needed + remainingDomains - 1) / remainingDomains;
 }
 
 std::vector<CapacityPlan::Target> CapacityPlan::targets(
@@ -61,8 +61,8 @@
     for (const auto& domain : domains) {
         targets.push_back({ floor, 0 });
         if (spotIsCheaper)
-            targets.back().spot
-                = std::min(spotTarget(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
+            targets.back().spot = std::min(
+                spotTargetPerDomain(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
         carried += floor + std::min(domain.spot, targets.back().spot);
     }
     // On-demand engines cover the sustained need that spot engines do not, in the cheapest domains first, and never
--- a/Source/RouteServing/Duties/CapacityPlan.h
+++ b/Source/RouteServing/Duties/CapacityPlan.h
@@ -76,7 +76,7 @@
         const std::string& service, std::span<const DomainCapacity> domains, std::span<const Target> targets) const;
 
 private:
-    unsigned spotTarget(size_t domains, unsigned needed) const;
+    unsigned spotTargetPerDomain(size_t domains, unsigned needed) const;
     std::vector<size_t> domainsByPrice(std::span<const DomainCapacity> domains) const;
 
     ScalingTerms m_terms;
--- a/Source/RouteServing/Duties/FleetClock.cpp
+++ b/Source/RouteServing/Duties/FleetClock.cpp
@@ -37,24 +37,24 @@
     m_hasJumped = false;
 }
 
-void FleetClock::recordSubscriber(const std::string& id, Milliseconds own, TimePoint now)
+void FleetClock::recordSubscriberTime(const std::string& id, Milliseconds time, TimePoint now)
 {
     std::erase_if(m_subscribers, [&](const auto& entry) { return now - entry.second.at >= maxOffsetAge; });
-    m_subscribers[id] = { own - this->own(now), now };
+    m_subscribers[id] = { time - ownTime(now), now };
 }
 
-void FleetClock::recordHub(Milliseconds agreed, TimePoint sent, TimePoint now)
+void FleetClock::recordHubTime(Milliseconds time, TimePoint sent, TimePoint now)
 {
-    m_hub = { agreed - own(sent + (now - sent) / 2), now };
+    m_hub = { time - ownTime(sent + (now - sent) / 2), now };
     m_hasHub = true;
 }
 
-Milliseconds FleetClock::own(TimePoint now) const { return sinceEpoch(now) + m_ownOffset; }
+Milliseconds FleetClock::ownTime(TimePoint now) const { return sinceEpoch(now) + m_ownOffset; }
 
-Milliseconds FleetClock::agreed(TimePoint now) const
+Milliseconds FleetClock::agreedTime(TimePoint now) const
 {
     if (m_hasHub && now - m_hub.at < maxOffsetAge)
-        return own(now) + m_hub.fromOwn;
+        return ownTime(now) + m_hub.fromOwn;
     std::vector<Milliseconds> differences { 0ms };
     for (const auto& [id, difference] : m_subscribers) {
         if (now - difference.at < maxOffsetAge)
@@ -62,7 +62,7 @@
     }
     auto middle = differences.begin() + static_cast<ptrdiff_t>(differences.size() / 2);
     std::nth_element(differences.begin(), middle, differences.end());
-    return own(now) + *middle;
+    return ownTime(now) + *middle;
 }
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/FleetClock.h
+++ b/Source/RouteServing/Duties/FleetClock.h
@@ -22,12 +22,12 @@
     // Must be called regularly.
     void observeSystem(Common::Milliseconds system, Common::TimePoint now);
     // Records the own time of a subscriber.
-    void recordSubscriber(const std::string& id, Common::Milliseconds own, Common::TimePoint now);
+    void recordSubscriberTime(const std::string& id, Common::Milliseconds time, Common::TimePoint now);
     // Records the agreed time from the hub. `sent`, `now`: times of the request and of the response.
-    void recordHub(Common::Milliseconds agreed, Common::TimePoint sent, Common::TimePoint now);
+    void recordHubTime(Common::Milliseconds time, Common::TimePoint sent, Common::TimePoint now);
 
-    Common::Milliseconds own(Common::TimePoint now) const;
-    Common::Milliseconds agreed(Common::TimePoint now) const;
+    Common::Milliseconds ownTime(Common::TimePoint now) const;
+    Common::Milliseconds agreedTime(Common::TimePoint now) const;
 
 private:
     struct ClockOffset {
--- a/Source/RouteServing/Duties/Lease.cpp
+++ b/Source/RouteServing/Duties/Lease.cpp
@@ -74,7 +74,7 @@
             return Step::Read;
         if (!mayHold)
             return Step::Release;
-        if (m_state.wantsNewToken || m_state.mustReclaim)
+        if (m_state.isNewTokenRequired || m_state.mustReclaim)
             return Step::Claim;
         return now >= m_state.validFrom + m_times.renewalInterval() ? Step::Renew : Step::Wait;
     }
@@ -176,7 +176,7 @@
     auto unresolvedAppendAt = *m_state.unresolvedAppendAt;
     if (const auto* lease = std::get_if<LeaseRecord>(&record)) {
         bool isSameClaim = m_state.newest && lease->token == m_state.newest->token;
-        m_state.wantsNewToken &= isSameClaim;
+        m_state.isNewTokenRequired &= isSameClaim;
         m_state.mustReclaim &= isSameClaim;
         m_state.newest = *lease;
     }
--- a/Source/RouteServing/Duties/Lease.h
+++ b/Source/RouteServing/Duties/Lease.h
@@ -91,7 +91,7 @@
     // call.
     std::optional<uint64_t> token(Common::TimePoint now) const;
     // Requires a new token for the next order, because an earlier one may still be carried out with the current token.
-    void requireNewToken() { m_state.wantsNewToken = true; }
+    void requireNewToken() { m_state.isNewTokenRequired = true; }
     // Usage windows before `window` need no report. Written with the next record.
     void setFirstUnreported(uint64_t window) { m_state.firstUnreported = window; }
 
@@ -102,7 +102,7 @@
         std::optional<Common::TimePoint> eraFirstReadAt;
         bool mustReclaim { false }; // The router held the lease when the era changed.
         bool mustRead { true };
-        bool wantsNewToken { false };
+        bool isNewTokenRequired { false };
         uint64_t firstUnreported { 0 };
         std::optional<LeaseRecord> newest;
         std::optional<uint64_t> newestOffset; // Offset of the newest valid record that was applied.
--- a/Source/RouteServing/Duties/UsageLedger.cpp
+++ b/Source/RouteServing/Duties/UsageLedger.cpp
@@ -11,7 +11,7 @@
 
 UsageLedger::UsageLedger(RouterProcess self, uint64_t openWindow)
     : m_self(std::move(self))
-    , m_open(openWindow)
+    , m_openWindow(openWindow)
 {
     auto& own = m_processes[m_self];
     own.firstCompleteWindow = openWindow + 1;
@@ -47,23 +47,23 @@
     advance(openWindow);
     auto index = indexOf(workspace);
     auto& own = m_processes[m_self];
-    const auto& rows = own.windows[m_open];
+    const auto& rows = own.windows[m_openWindow];
     auto row = std::find_if(rows.begin(), rows.end(), [&](const Row& known) { return known.workspace == index; });
-    raiseCount(own, m_open, index, row == rows.end() ? 1 : row->count + 1);
+    raiseCount(own, m_openWindow, index, row == rows.end() ? 1 : row->count + 1);
 }
 
 void UsageLedger::advance(uint64_t openWindow)
 {
-    if (openWindow <= m_open)
+    if (openWindow <= m_openWindow)
         return;
-    m_open = openWindow;
+    m_openWindow = openWindow;
     auto& own = m_processes[m_self];
     if (own.openWindow != allWindowsFinal)
         own.openWindow = openWindow;
     own.revision = ++m_revision;
     for (auto process = m_processes.begin(); process != m_processes.end();) {
         auto& windows = process->second.windows;
-        windows.erase(windows.begin(), windows.upper_bound(m_open - std::min(m_open, retainedWindows)));
+        windows.erase(windows.begin(), windows.upper_bound(m_openWindow - std::min(m_openWindow, retainedWindows)));
         bool isOver
             = process->second.openWindow == allWindowsFinal ? windows.empty() : !isRetained(process->second.openWindow);
         bool isGone = process->first != m_self && isOver;
@@ -91,7 +91,7 @@
         }
         for (const auto& row : usage.rows) {
             // Rows of windows that are no longer retained or too far in the future are ignored.
-            if (!isRetained(row.window) || row.window > m_open + retainedWindows)
+            if (!isRetained(row.window) || row.window > m_openWindow + retainedWindows)
                 continue;
             auto count = std::min<uint64_t>(row.count, std::numeric_limits<uint32_t>::max());
             raiseCount(process, row.window, indexOf(row.workspace), static_cast<uint32_t>(count));
@@ -100,7 +100,7 @@
 }
 
 // Returns the highest revision with at most `maxRows` changes after `revision`.
-uint64_t UsageLedger::revisionAfter(uint64_t revision, size_t maxRows) const
+uint64_t UsageLedger::highestRevisionWithin(uint64_t revision, size_t maxRows) const
 {
     std::vector<uint64_t> revisions;
     auto add = [&](uint64_t changed) {
@@ -123,7 +123,7 @@
 
 UsageLedger::Changes UsageLedger::changesAfter(uint64_t revision, size_t maxRows) const
 {
-    Changes changes { {}, revisionAfter(revision, maxRows) };
+    Changes changes { {}, highestRevisionWithin(revision, maxRows) };
     auto isIncluded = [&](uint64_t changed) { return changed > revision && changed <= changes.upTo; };
     for (const auto& [router, process] : m_processes) {
         RouterUsage change { router, process.firstCompleteWindow, process.openWindow, {} };
--- a/Source/RouteServing/Duties/UsageLedger.h
+++ b/Source/RouteServing/Duties/UsageLedger.h
@@ -90,12 +90,12 @@
 
     uint32_t indexOf(std::string_view workspace);
     void raiseCount(Process&, uint64_t window, uint32_t workspace, uint32_t count);
-    bool isRetained(uint64_t window) const { return window >= m_open || m_open - window < retainedWindows; }
-    uint64_t revisionAfter(uint64_t revision, size_t maxRows) const;
+    bool isRetained(uint64_t window) const { return window >= m_openWindow || m_openWindow - window < retainedWindows; }
+    uint64_t highestRevisionWithin(uint64_t revision, size_t maxRows) const;
     bool hasUnfinishedWindow(const Process&, uint64_t window) const;
 
     RouterProcess m_self;
-    uint64_t m_open;
+    uint64_t m_openWindow;
     uint64_t m_revision { 0 };
     std::vector<std::string> m_workspaces;
     std::map<std::string, uint32_t, std::less<>> m_workspaceIndex;
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -43,9 +43,9 @@
     return isFullyCounted ? Step::Write : Step::GiveUp;
 }
 
-uint64_t UsageReports::firstReportableWindow(uint64_t open)
+uint64_t UsageReports::firstReportableWindow(uint64_t openWindow)
 {
-    return open - std::min(open, UsageLedger::retainedWindows - 1);
+    return openWindow - std::min(openWindow, UsageLedger::retainedWindows - 1);
 }
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -51,7 +51,7 @@
     // `window`: the first window that was neither accepted nor given up. `wall`: time in Unix milliseconds.
     Step next(uint64_t window, const UsageLedger&, Common::Milliseconds wall) const;
     // Returns the first window that can still be reported.
-    static uint64_t firstReportableWindow(uint64_t open);
+    static uint64_t firstReportableWindow(uint64_t openWindow);
 
 private:
     UsageTimes m_times;
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -314,7 +314,7 @@
     case DutyCallOutcome::NoResponse:
         return CapacityOrders::Outcome::NoResponse;
     default:
-        return CapacityOrders::Outcome::Rejected;
+        return CapacityOrders::Outcome::NotPerformed;
     }
 }
 
--- a/Source/RouteServing/Gateway/UsageExchange.cpp
+++ b/Source/RouteServing/Gateway/UsageExchange.cpp
@@ -12,7 +12,7 @@
     , m_times(times)
     , m_systemClock(std::move(systemClock))
     , m_clock(m_systemClock(), Common::now())
-    , m_ledger(m_self, times.windowAt(m_clock.own(Common::now())))
+    , m_ledger(m_self, times.windowAt(m_clock.ownTime(Common::now())))
 {
 }
 
@@ -20,9 +20,9 @@
 {
     auto now = Common::now();
     m_clock.observeSystem(m_systemClock(), now);
-    auto agreed = m_clock.agreed(now);
-    m_ledger.advance(m_times.windowAt(agreed));
-    return agreed;
+    auto time = m_clock.agreedTime(now);
+    m_ledger.advance(m_times.windowAt(time));
+    return time;
 }
 
 void UsageExchange::count(std::string_view workspace)
@@ -89,27 +89,27 @@
 uint64_t UsageExchange::ownTime() const
 {
     std::lock_guard lock(m_mutex);
-    return static_cast<uint64_t>(m_clock.own(Common::now()).count());
+    return static_cast<uint64_t>(m_clock.ownTime(Common::now()).count());
 }
 
 uint64_t UsageExchange::agreedTime() const
 {
     std::lock_guard lock(m_mutex);
-    return static_cast<uint64_t>(m_clock.agreed(Common::now()).count());
+    return static_cast<uint64_t>(m_clock.agreedTime(Common::now()).count());
 }
 
-void UsageExchange::recordSubscriberTime(const std::string& peer, uint64_t own)
+void UsageExchange::recordSubscriberTime(const std::string& peer, uint64_t time)
 {
     std::lock_guard lock(m_mutex);
-    m_clock.recordSubscriber(peer, Milliseconds(own), Common::now());
+    m_clock.recordSubscriberTime(peer, Milliseconds(time), Common::now());
 }
 
-void UsageExchange::recordHubTime(uint64_t agreed, Common::TimePoint requestedAt)
+void UsageExchange::recordHubTime(uint64_t time, Common::TimePoint requestedAt)
 {
-    if (!agreed)
+    if (!time)
         return;
     std::lock_guard lock(m_mutex);
-    m_clock.recordHub(Milliseconds(agreed), requestedAt, Common::now());
+    m_clock.recordHubTime(Milliseconds(time), requestedAt, Common::now());
 }
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/UsageExchange.h
+++ b/Source/RouteServing/Gateway/UsageExchange.h
@@ -43,8 +43,8 @@
     // The fleet clock (Duties/FleetClock.h), in milliseconds since the Unix epoch.
     uint64_t ownTime() const;
     uint64_t agreedTime() const;
-    void recordSubscriberTime(const std::string& peer, uint64_t own);
-    void recordHubTime(uint64_t agreed, Common::TimePoint requestedAt);
+    void recordSubscriberTime(const std::string& peer, uint64_t time);
+    void recordHubTime(uint64_t time, Common::TimePoint requestedAt);
 
     // Calls the function with the ledger and the agreed time while holding the lock.
     template <typename Function> auto inspect(const Function& function)
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -253,14 +253,14 @@
         sender.setPeers({ receiver.asPeer("b") });
         sender.mesh().send("b", numberedItem(1));
         ASSERT_TRUE(receiver.awaitEvent("item 1"));
-        std::promise<void> mayGoOn;
-        runtime.spawnOn(busyThread, [goOn = mayGoOn.get_future().share()] { goOn.wait(); });
+        std::promise<void> resumeRequested;
+        runtime.spawnOn(busyThread, [resumed = resumeRequested.get_future().share()] { resumed.wait(); });
         sender.setPeers({});
         sender.setPeers({ receiver.asPeer("b") });
         sender.mesh().send("b", numberedItem(2));
         // If the links were on two threads, the link on the free thread would run first.
         std::this_thread::sleep_for(100ms);
-        mayGoOn.set_value();
+        resumeRequested.set_value();
         ASSERT_TRUE(receiver.awaitEvent("item 2"));
         ASSERT_TRUE(sender.awaitEvent("disconnected b"));
         EXPECT_EQ(sender.events(), (std::vector<std::string> { "connected b", "disconnected b", "connected b" }));
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -70,7 +70,7 @@
             m_peers.push_back(std::make_unique<RestartingPeer>(id, plans[index % plans.size()]));
             ports[id] = m_peers.back()->port.port();
         }
-        m_sender.connectTo(ports);
+        m_sender.setPeers(ports);
     }
 
     void distributeMessages()
@@ -94,7 +94,7 @@
             sendToAll();
         }
         for (auto& peer : m_peers) {
-            peer->beforeRestart.awaitEnd();
+            peer->beforeRestart.killAndWait();
             EXPECT_TRUE(m_sender.awaitDisconnected(peer->id)) << peer->id;
             peer->connectionsBefore = m_sender.connections(peer->id);
         }
@@ -174,12 +174,12 @@
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
     TerminatingPeer old(port.port(), { Stage::DuringMessage, Termination::Silence, largeBytes / 4 });
-    sender.connectTo(port.port(), "b");
+    sender.setPeer(port.port(), "b");
     ASSERT_TRUE(sendUntilAtStage(sender, "b", old, 0));
     sender.send("b", 1);
     int connectionsBefore = sender.connections("b");
     auto& moved = *new MeshNode("b", "key");
-    sender.connectTo(moved, "b");
+    sender.setPeer(moved, "b");
     EXPECT_TRUE(sender.sendUntilReconnected("b", connectionsBefore, probeSequence));
     sender.send("b", 2);
     sender.send("b", 3);
@@ -196,19 +196,19 @@
     auto& sender = *new MeshNode("a", "key");
     ReservedPort port;
     TerminatingPeer old(port.port(), { Stage::DuringMessage, Termination::Shutdown, largeBytes / 4 });
-    sender.connectTo(port.port(), "b");
+    sender.setPeer(port.port(), "b");
     ASSERT_TRUE(sendUntilAtStage(sender, "b", old, 0));
     int disconnectionsBefore = sender.disconnections("b");
     int connectionsBefore = sender.connections("b");
     sender.send("b", 1);
-    sender.connectTo(std::map<std::string, uint16_t> {});
+    sender.setPeers(std::map<std::string, uint16_t> {});
     sender.send("b", 2);
     EXPECT_TRUE(MeshNode::await([&] { return sender.disconnections("b") > disconnectionsBefore; }))
         << "the connection to the removed peer is closed";
     old.end();
-    old.awaitEnd();
+    old.killAndWait();
     auto& added = *new MeshNode("b", "key", port.port());
-    sender.connectTo(added, "b");
+    sender.setPeer(added, "b");
     EXPECT_TRUE(sender.sendUntilReconnected("b", connectionsBefore, probeSequence));
     sender.send("b", 3);
     EXPECT_TRUE(MeshNode::await([&] { return !added.received().empty() && added.received().back() == 3; }));
--- a/Source/UnitTests/Inner/MeshNode.h
+++ b/Source/UnitTests/Inner/MeshNode.h
@@ -33,10 +33,10 @@
 
     uint16_t port() const { return m_port; }
 
-    void connectTo(const MeshNode& other, const std::string& id) { connectTo(other.m_port, id); }
-    void connectTo(uint16_t otherPort, const std::string& id) { connectTo({ { id, otherPort } }); }
+    void setPeer(const MeshNode& other, const std::string& id) { setPeer(other.m_port, id); }
+    void setPeer(uint16_t otherPort, const std::string& id) { setPeers({ { id, otherPort } }); }
     // Replaces all peers.
-    void connectTo(const std::map<std::string, uint16_t>& portOfPeer)
+    void setPeers(const std::map<std::string, uint16_t>& portOfPeer)
     {
         std::vector<Peer> peers;
         peers.reserve(portOfPeer.size());
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -15,7 +15,7 @@
 {
     auto& sender = *new MeshNode("a", "key");
     auto& receiver = *new MeshNode("b", "key");
-    sender.connectTo(receiver, "b");
+    sender.setPeer(receiver, "b");
     static constexpr uint64_t count = 5000;
     for (uint64_t sequence = 0; sequence < count; ++sequence)
         sender.send("b", sequence);
@@ -29,11 +29,11 @@
 {
     auto& unauthorizedNode = *new MeshNode("x", "another key");
     auto& receiver = *new MeshNode("b", "key");
-    unauthorizedNode.connectTo(receiver, "b");
+    unauthorizedNode.setPeer(receiver, "b");
     unauthorizedNode.send("b", 1);
     EXPECT_TRUE(unauthorizedNode.awaitDisconnected("b"));
     auto& authorizedNode = *new MeshNode("a", "key");
-    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.setPeer(receiver, "b");
     authorizedNode.send("b", 2);
     ASSERT_TRUE(receiver.awaitCount(1));
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
@@ -71,7 +71,7 @@
         while (!error)
             socket.read_some(boost::asio::buffer(received), error);
     });
-    sender.connectTo(port.get_future().get(), "b");
+    sender.setPeer(port.get_future().get(), "b");
     sender.sendLarge("b", 15 * 1024 * 1024);
     isWriting.get_future().wait();
     sender.send("b", 1);
@@ -79,7 +79,7 @@
     EXPECT_TRUE(sender.awaitDisconnected("b"));
     peer.join();
     auto& receiver = *new MeshNode("b", "key");
-    sender.connectTo(receiver, "b");
+    sender.setPeer(receiver, "b");
     sender.send("b", 2);
     EXPECT_TRUE(receiver.awaitCount(1)) << "the sender still delivers items";
 }
@@ -129,7 +129,7 @@
         EXPECT_NE(closed, boost::beast::error::timeout);
     }
     auto& authorizedNode = *new MeshNode("a", "key");
-    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.setPeer(receiver, "b");
     authorizedNode.send("b", 3);
     EXPECT_TRUE(receiver.awaitCount(1));
 }
--- a/Source/UnitTests/Inner/TerminatingPeer.h
+++ b/Source/UnitTests/Inner/TerminatingPeer.h
@@ -49,7 +49,7 @@
     enum class Termination {
         Reset, // Like a process that is killed with unread bytes.
         Shutdown, // Like a process that is killed without unread bytes; the other side may still write.
-        Silence, // Like a stopped process that reads nothing more; `awaitEnd` kills it.
+        Silence, // Like a stopped process that reads nothing more; `killAndWait` kills it.
     };
     struct Plan {
         Stage stage { Stage::DuringMessage };
@@ -73,7 +73,7 @@
     ~TerminatingPeer()
     {
         end();
-        awaitEnd();
+        killAndWait();
     }
     TerminatingPeer(const TerminatingPeer&) = delete;
     TerminatingPeer& operator=(const TerminatingPeer&) = delete;
@@ -83,13 +83,13 @@
     void end()
     {
         if (!std::exchange(m_isEnding, true))
-            m_mayEnd.set_value();
+            m_endRequested.set_value();
     }
     // Also kills a peer with `Silence`. Blocks until the connection is closed.
-    void awaitEnd()
+    void killAndWait()
     {
         if (!std::exchange(m_isKilled, true))
-            m_mayDie.set_value();
+            m_killRequested.set_value();
         // If the stage was not reached, the thread may still wait for a connection.
         if (!isAtStage())
             ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
@@ -133,7 +133,7 @@
             m_isAtStage = acceptUntilAtStage();
             m_acceptor.close();
         }
-        m_mayEnd.get_future().wait();
+        m_endRequested.get_future().wait();
         finish();
     }
 
@@ -193,7 +193,7 @@
     {
         boost::system::error_code ignored;
         if (m_plan.ending == Termination::Silence)
-            m_mayDie.get_future().wait();
+            m_killRequested.get_future().wait();
         if (m_plan.ending == Termination::Reset)
             m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
         if (m_plan.ending == Termination::Shutdown)
@@ -220,8 +220,8 @@
     size_t m_bytes { 0 };
     size_t m_items { 0 };
     std::atomic<bool> m_isAtStage { false };
-    std::promise<void> m_mayEnd;
-    std::promise<void> m_mayDie;
+    std::promise<void> m_endRequested;
+    std::promise<void> m_killRequested;
     bool m_isEnding { false };
     bool m_isKilled { false };
     std::thread m_thread;
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -39,7 +39,7 @@
 struct Platform {
     std::vector<DomainCapacity> domains;
 
-    void carryOut(const CapacityOrder& order)
+    void perform(const CapacityOrder& order)
     {
         for (auto& domain : domains) {
             if (domain.domain != order.domain)
@@ -164,7 +164,7 @@
             for (const auto& order : plan.orders("s", platform.domains, targets)) {
                 if (!*rc::gen::arbitrary<bool>())
                     continue;
-                platform.carryOut(order);
+                platform.perform(order);
                 for (const auto& domain : platform.domains) {
                     if (!domain.orderedOnDemand || !domain.orderedSpot)
                         continue;
@@ -187,7 +187,7 @@
     for (int round = 0; round < 8; ++round) {
         auto orders = plan.orders("s", platform.domains, plan.targets(platform.domains, { 60, 60 }));
         for (const auto& order : orders)
-            platform.carryOut(order);
+            platform.perform(order);
         EXPECT_GE(platform.serving(), 60U) << round;
         platform.boot();
         ordersInLastRound = orders.size();
@@ -206,7 +206,7 @@
     for (unsigned round = 0; round < 1200; ++round) {
         CapacityNeed need { 50 + round % 3, 57 + round * 7 % 6 };
         for (const auto& order : plan.orders("s", platform.domains, plan.targets(platform.domains, need))) {
-            platform.carryOut(order);
+            platform.perform(order);
             orders += round >= 10;
         }
         platform.boot();
@@ -223,7 +223,7 @@
     auto before = platform.domains;
     for (int round = 0; round < 60; ++round) {
         for (const auto& order : plan.orders("s", platform.domains, plan.targets(platform.domains, { 3000, 3000 })))
-            platform.carryOut(order);
+            platform.perform(order);
         platform.boot();
         for (size_t index = 0; index < before.size(); ++index) {
             EXPECT_LE(platform.domains[index].spot, before[index].spot + 60);
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -70,19 +70,19 @@
         for (size_t router = 0; router < m_routers.size(); ++router) {
             if (!m_routers[router].isStopping && m_stops == 0)
                 add([&](Model& state) { return state.stop(router); });
-            for (auto fate : { Fate::Answered, Fate::AnswerLost, Fate::Late }) {
-                if (fate != Fate::Answered && m_lost >= limits.lostOrLate)
+            for (auto delivery : { Delivery::Answered, Delivery::ResponseLost, Delivery::Late }) {
+                if (delivery != Delivery::Answered && m_lostOrLate >= limits.lostOrLate)
                     continue;
-                add([&](Model& state) { return state.stepRouter(router, fate); });
-                add([&](Model& state) { return state.act(router, fate); });
+                add([&](Model& state) { return state.stepRouter(router, delivery); });
+                add([&](Model& state) { return state.reportWindow(router, delivery); });
             }
         }
         for (size_t copyEnd = 0; m_era < limits.eras && copyEnd < m_log.size(); ++copyEnd)
             add([&](Model& state) { return state.restoreFromCopy(copyEnd); });
         for (size_t index = 0; index < m_lateAppends.size(); ++index)
-            add([&](Model& state) { return state.carryOutAppend(index); });
+            add([&](Model& state) { return state.performLateAppend(index); });
         for (size_t index = 0; index < m_lateCalls.size(); ++index)
-            add([&](Model& state) { return state.carryOutCall(index); });
+            add([&](Model& state) { return state.performLateCall(index); });
         return states;
     }
 
@@ -92,7 +92,7 @@
     std::string key() const
     {
         std::ostringstream out;
-        out << m_era << ' ' << m_ticks << ' ' << m_stops << ' ' << m_lost << ' ' << m_highestToken << '|';
+        out << m_era << ' ' << m_ticks << ' ' << m_stops << ' ' << m_lostOrLate << ' ' << m_highestToken << '|';
         for (const auto& logged : m_log)
             out << describe(*logged.record) << ';';
         for (const auto& router : m_routers) {
@@ -106,19 +106,19 @@
                 << (state.newest ? describe(*state.newest) : "") << (router.written ? *router.written : 0);
         }
         for (const auto& late : m_lateAppends)
-            out << '|' << late.router << late.at << describe(late.record);
+            out << '|' << late.router << late.expectedEnd << describe(late.record);
         for (const auto& late : m_lateCalls)
             out << '|' << late.router << ' ' << late.token << ' ' << late.count;
         out << '|' << (m_accepted ? *m_accepted : 0);
-        for (const auto& act : m_acts)
-            out << '|' << act.router << ticksOf(act.at);
+        for (const auto& call : m_acceptedCalls)
+            out << '|' << call.router << ticksOf(call.at);
         for (const auto& [token, router] : m_tokens)
             out << '|' << token << ' ' << router;
         return out.str();
     }
 
 private:
-    enum class Fate { Answered, AnswerLost, Late };
+    enum class Delivery { Answered, ResponseLost, Late };
     struct Router {
         Lease lease;
         bool isStopping { false };
@@ -127,14 +127,14 @@
     struct LateAppend {
         size_t router { 0 };
         DutyRecord record;
-        uint64_t at { 0 };
+        uint64_t expectedEnd { 0 };
     };
     struct Call {
         size_t router { 0 };
         uint64_t token { 0 };
         uint64_t count { 0 };
     };
-    struct Act {
+    struct AcceptedCall {
         size_t router { 0 };
         Common::TimePoint at;
     };
@@ -150,15 +150,15 @@
         return m_routers[router].isStopping = true;
     }
 
-    bool stepRouter(size_t index, Fate fate)
+    bool stepRouter(size_t index, Delivery delivery)
     {
         auto& router = m_routers[index];
         auto step = router.lease.nextStep(situation(router), now());
         if (step == Step::Wait)
             return false;
         if (step == Step::Read)
-            return fate == Fate::Answered && read(router);
-        return append(index, router.lease.recordFor(step), fate);
+            return delivery == Delivery::Answered && read(router);
+        return append(index, router.lease.recordFor(step), delivery);
     }
 
     bool read(Router& router)
@@ -170,32 +170,32 @@
         auto records = std::span(m_log).subspan(from);
         router.lease.recordRead(records, { era, m_log.size() }, now(), now());
         for (const auto& logged : records)
-            noteWritten(router, *logged.record);
+            recordWritten(router, *logged.record);
         return key() != before;
     }
 
-    static void noteWritten(Router& router, const DutyRecord& record)
+    static void recordWritten(Router& router, const DutyRecord& record)
     {
         const auto* window = std::get_if<WindowRecord>(&record);
         if (window && !router.written)
             router.written = window->counts.at("blue");
     }
 
-    bool append(size_t index, const DutyRecord& record, Fate fate)
+    bool append(size_t index, const DutyRecord& record, Delivery delivery)
     {
         auto& router = m_routers[index];
         router.lease.recordSent(now());
-        auto at = router.lease.end();
-        bool isLost = fate != Fate::Answered;
-        m_lost += isLost;
-        if (fate == Fate::Late)
-            m_lateAppends.push_back({ index, record, at });
-        bool isDone = fate != Fate::Late && store(record, at);
+        auto expectedEnd = router.lease.end();
+        bool isLost = delivery != Delivery::Answered;
+        m_lostOrLate += isLost;
+        if (delivery == Delivery::Late)
+            m_lateAppends.push_back({ index, record, expectedEnd });
+        bool isDone = delivery != Delivery::Late && store(record, expectedEnd);
         // The response names the era.
         isLost |= m_guards.tracksEras && m_era != router.lease.state().end.era;
         if ((isDone && !isLost) || (isLost && !m_guards.readsAfterUncertainAppend)) {
             router.lease.recordAppended(record);
-            noteWritten(router, record);
+            recordWritten(router, record);
         } else {
             router.lease.recordAppendUncertain();
         }
@@ -213,24 +213,24 @@
         return true;
     }
 
-    bool store(const DutyRecord& record, uint64_t at)
+    bool store(const DutyRecord& record, uint64_t expectedEnd)
     {
-        if (m_guards.appendsConditionally && at != m_log.size())
+        if (m_guards.appendsConditionally && expectedEnd != m_log.size())
             return false;
         m_log.push_back({ m_log.size(), record });
         return true;
     }
 
-    bool carryOutAppend(size_t index)
+    bool performLateAppend(size_t index)
     {
         auto late = m_lateAppends[index];
         m_lateAppends.erase(m_lateAppends.begin() + static_cast<ptrdiff_t>(index));
-        store(late.record, late.at);
+        store(late.record, late.expectedEnd);
         return true;
     }
 
     // The holder writes or sends the window's count.
-    bool act(size_t index, Fate fate)
+    bool reportWindow(size_t index, Delivery delivery)
     {
         auto& router = m_routers[index];
         auto token = router.lease.token(now());
@@ -243,19 +243,19 @@
                 m_violation = "two holders at once";
         }
         // Each router has received different counts.
-        auto own = 10 + index;
+        auto ownCount = 10 + index;
         if (m_guards.writesBeforeSending && !router.written)
-            return append(index, WindowRecord { *token, s_window, { { "blue", own } } }, fate);
-        Call call { index, *token, m_guards.writesBeforeSending ? *router.written : own };
-        m_lost += fate != Fate::Answered;
-        if (fate == Fate::Late)
+            return append(index, WindowRecord { *token, s_window, { { "blue", ownCount } } }, delivery);
+        Call call { index, *token, m_guards.writesBeforeSending ? *router.written : ownCount };
+        m_lostOrLate += delivery != Delivery::Answered;
+        if (delivery == Delivery::Late)
             m_lateCalls.push_back(call);
         else
             receive(call);
         return true;
     }
 
-    bool carryOutCall(size_t index)
+    bool performLateCall(size_t index)
     {
         auto late = m_lateCalls[index];
         m_lateCalls.erase(m_lateCalls.begin() + static_cast<ptrdiff_t>(index));
@@ -277,11 +277,12 @@
         if (m_accepted && *m_accepted != call.count)
             m_violation = "two reports of one window that differ";
         m_accepted = call.count;
-        m_acts.push_back({ call.router, now() });
-        if (m_acts.size() > 3)
-            m_acts.pop_front();
-        bool isBackAndForth = m_acts.size() == 3 && m_acts[0].router == m_acts[2].router
-            && m_acts[0].router != m_acts[1].router && m_acts[2].at - m_acts[0].at < 3000ms;
+        m_acceptedCalls.push_back({ call.router, now() });
+        if (m_acceptedCalls.size() > 3)
+            m_acceptedCalls.pop_front();
+        bool isBackAndForth = m_acceptedCalls.size() == 3 && m_acceptedCalls[0].router == m_acceptedCalls[2].router
+            && m_acceptedCalls[0].router != m_acceptedCalls[1].router
+            && m_acceptedCalls[2].at - m_acceptedCalls[0].at < 3000ms;
         if (isBackAndForth)
             m_violation = "holders A, B, A within a lease";
     }
@@ -292,13 +293,13 @@
     uint64_t m_era { 0 };
     std::vector<LateAppend> m_lateAppends;
     std::vector<Call> m_lateCalls;
-    std::deque<Act> m_acts; // The last three accepted calls.
+    std::deque<AcceptedCall> m_acceptedCalls; // The last three accepted calls.
     std::map<uint64_t, size_t> m_tokens; // Sender of each token.
     uint64_t m_highestToken { 0 };
     std::optional<uint64_t> m_accepted;
     int m_ticks { 0 };
     size_t m_stops { 0 };
-    size_t m_lost { 0 };
+    size_t m_lostOrLate { 0 };
     Violation m_violation;
 };
 
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -198,25 +198,25 @@
 {
     FleetClock clock(1'000'000ms, s_start);
     clock.observeSystem(1'012'000ms, s_start + 10s);
-    EXPECT_EQ(clock.agreed(s_start + 10s), 1'010'000ms);
+    EXPECT_EQ(clock.agreedTime(s_start + 10s), 1'010'000ms);
     clock.observeSystem(1'020'000ms, s_start + 20s);
     clock.observeSystem(1'032'000ms, s_start + 30s);
-    EXPECT_EQ(clock.agreed(s_start + 30s), 1'030'000ms);
+    EXPECT_EQ(clock.agreedTime(s_start + 30s), 1'030'000ms);
     clock.observeSystem(1'092'000ms, s_start + 90s);
-    EXPECT_EQ(clock.agreed(s_start + 90s), 1'092'000ms) << "the jump has persisted for a minute";
+    EXPECT_EQ(clock.agreedTime(s_start + 90s), 1'092'000ms) << "the jump has persisted for a minute";
 }
 
 TEST(FleetClockTest, HubUsesTheMedianTimeAndSubscribersFollowIt)
 {
     FleetClock hub(5'002'000ms, s_start);
     for (const char* id : { "a", "b", "c" })
-        hub.recordSubscriber(id, 5'000'000ms, s_start);
-    EXPECT_EQ(hub.agreed(s_start), 5'000'000ms) << "the hub's clock was ahead at its start";
+        hub.recordSubscriberTime(id, 5'000'000ms, s_start);
+    EXPECT_EQ(hub.agreedTime(s_start), 5'000'000ms) << "the hub's clock was ahead at its start";
     FleetClock subscriber(4'998'000ms, s_start);
-    subscriber.recordHub(hub.agreed(s_start + 10ms), s_start, s_start + 20ms);
-    EXPECT_EQ(subscriber.agreed(s_start + 20ms), 5'000'020ms);
-    EXPECT_EQ(subscriber.own(s_start + 20ms), 4'998'020ms) << "a subscriber reports its own time";
-    EXPECT_EQ(subscriber.agreed(s_start + 10s), 5'008'000ms) << "the time of the hub has expired";
+    subscriber.recordHubTime(hub.agreedTime(s_start + 10ms), s_start, s_start + 20ms);
+    EXPECT_EQ(subscriber.agreedTime(s_start + 20ms), 5'000'020ms);
+    EXPECT_EQ(subscriber.ownTime(s_start + 20ms), 4'998'020ms) << "a subscriber reports its own time";
+    EXPECT_EQ(subscriber.agreedTime(s_start + 10s), 5'008'000ms) << "the time of the hub has expired";
 }
 
 } // namespace Brassladder::RouteServing::Duties
