--- a/Source/RouteServing/Gateway/CrashDetector.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -62,7 +62,7 @@
         return GatewayMetrics::upstreamDisconnected(name(DisconnectCause::PlannedEnd));
     }
     std::lock_guard lock(m_mutex);
-    if (m_broken.add(upstream.incarnation(), std::move(attempt)))
+    if (m_interrupted.add(upstream.incarnation(), std::move(attempt)))
         Common::FiberRuntime::spawnHere([this, upstream] { determineCause(upstream); });
 }
 
@@ -74,7 +74,7 @@
     std::vector<Routing::InterruptedAttempt> attempts;
     {
         std::lock_guard lock(m_mutex);
-        attempts = m_broken.take(upstream.incarnation());
+        attempts = m_interrupted.take(upstream.incarnation());
     }
     if (cause != DisconnectCause::Crash)
         return Common::log(Common::LogLevel::Info, "gateway", "upstream.broke",
--- a/Source/RouteServing/Gateway/CrashDetector.h
+++ b/Source/RouteServing/Gateway/CrashDetector.h
@@ -47,7 +47,7 @@
     const Routing::UpstreamRegistry& m_registry;
     OnCrash m_onCrash { [](const auto&, auto) {} };
     std::mutex m_mutex;
-    Routing::InterruptedAttempts m_broken; // Guarded by the mutex.
+    Routing::InterruptedAttempts m_interrupted; // Guarded by the mutex.
 };
 
 } // namespace Brassladder::RouteServing::Gateway
--- a/Source/RouteServing/Gateway/DutyMetrics.cpp
+++ b/Source/RouteServing/Gateway/DutyMetrics.cpp
@@ -61,18 +61,18 @@
         .Increment();
 }
 
-void usageWindowClosed(std::string_view how)
+void usageWindowClosed(std::string_view outcome)
 {
     counter("brassladder_usage_windows_total", "Usage windows that this router reported or gave up",
-        { { "how", std::string(how) } })
+        { { "how", std::string(outcome) } })
         .Increment();
 }
 
 void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>& need)
 {
-    auto set = [&](const char* what, unsigned engines) {
+    auto set = [&](const char* quantity, unsigned engines) {
         Common::Metrics::gauge("brassladder_capacity_engines", "Engines of a service whose capacity this router orders",
-            { { "service", service }, { "what", what } })
+            { { "service", service }, { "what", quantity } })
             .Set(engines);
     };
     set("standing", servingEngines);
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -19,7 +19,7 @@
 // Increments `brassladder_duties_calls_total{call,outcome}`. `call` is usage or capacity.
 void callEnded(std::string_view call, DutyCallOutcome);
 // Increments `brassladder_usage_windows_total{how}`. `how` is accepted, rejected or unknown.
-void usageWindowClosed(std::string_view how);
+void usageWindowClosed(std::string_view outcome);
 
 // Sets `brassladder_capacity_engines{service,what}`. `what` is standing (listed engines), lasting (needed for the
 // sustained load) or ahead (needed with headroom).
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -201,12 +201,12 @@
     return false;
 }
 
-void DutyRunner::closeWindow(uint64_t window, std::string_view how)
+void DutyRunner::closeWindow(uint64_t window, std::string_view outcome)
 {
     m_firstUnreported = window + 1;
-    DutyMetrics::usageWindowClosed(how);
-    if (how != "accepted")
-        Common::log(LogLevel::Warning, "gateway", "usage.not_reported", { { "window", window }, { "why", how } });
+    DutyMetrics::usageWindowClosed(outcome);
+    if (outcome != "accepted")
+        Common::log(LogLevel::Warning, "gateway", "usage.not_reported", { { "window", window }, { "why", outcome } });
 }
 
 bool DutyRunner::writeWindow(uint64_t window)
--- a/Source/RouteServing/Gateway/DutyRunner.h
+++ b/Source/RouteServing/Gateway/DutyRunner.h
@@ -76,7 +76,7 @@
     bool reportUsage();
     bool writeWindow(uint64_t window);
     bool sendWindow(const Duties::WindowRecord&);
-    void closeWindow(uint64_t window, std::string_view how);
+    void closeWindow(uint64_t window, std::string_view outcome);
 
     bool orderCapacity();
     bool orderCapacity(const ServiceCapacity&, Common::TimePoint now);
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -143,7 +143,7 @@
     m_runtime.spawn([this] { m_watcher.watchConfiguration(); });
     m_runtime.spawn([this] { m_watcher.watchUpstreams(); });
     m_runtime.spawn([this] { m_peers.watchRoster(); });
-    m_runtime.spawn([this] { m_peers.exchange(); });
+    m_runtime.spawn([this] { m_peers.run(); });
     m_runtime.spawn([this] { updateRetryAllowance(); });
     m_runtime.spawn(
         [this] { m_suspectGuard.runStoreSync([this] { return m_peers.fleetSize() && m_peers.readsStore(); }); });
@@ -205,7 +205,7 @@
     if (m_draining)
         exchange.closeAfterAnswer();
     RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries,
-        { m_hasher, m_crashDetector, m_suspectGuard }, m_usage.get(), m_refusing };
+        { m_hasher, m_crashDetector, m_suspectGuard }, m_usage.get(), m_refusesNewRequests };
     RequestHandler(services, exchange).run();
     // A planned stop may have begun while the request was served.
     if (m_draining)
@@ -222,7 +222,7 @@
     Common::log(LogLevel::Info, "gateway", "drain.start", { { "in_flight", m_inFlight.load() } });
     while (Common::now() < schedule.refuseFrom)
         std::this_thread::sleep_for(drainPollInterval);
-    m_refusing = true;
+    m_refusesNewRequests = true;
     m_callers->closeIdle();
     while (Common::now() < schedule.end && m_inFlight.load())
         std::this_thread::sleep_for(drainPollInterval);
--- a/Source/RouteServing/Gateway/Gateway.h
+++ b/Source/RouteServing/Gateway/Gateway.h
@@ -74,7 +74,7 @@
     Common::HttpServer* m_readiness { nullptr };
     Common::HttpServer* m_metrics { nullptr };
     std::atomic<bool> m_draining { false }; // Set when a planned stop begins.
-    std::atomic<bool> m_refusing { false }; // Set later in a planned stop: new requests are refused.
+    std::atomic<bool> m_refusesNewRequests { false }; // Set later in a planned stop: new requests are refused.
     std::atomic<size_t> m_inFlight { 0 };
 };
 
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -35,9 +35,9 @@
         .Increment();
 }
 
-static const char* label(StatementKind what)
+static const char* label(StatementKind kind)
 {
-    switch (what) {
+    switch (kind) {
     case StatementKind::Cooldown:
         return "rest";
     case StatementKind::Leaving:
@@ -48,11 +48,11 @@
     return "";
 }
 
-void statementReceived(StatementKind what)
+void statementReceived(StatementKind kind)
 {
     counter("brassladder_gateway_upstream_statements_total",
         "Times that an upstream asked for rest, named a limit, or said that it leaves, by its responses to this router",
-        { { "what", label(what) } })
+        { { "what", label(kind) } })
         .Increment();
 }
 
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -121,13 +121,13 @@
 bool PeerExchange::isPartitioned() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.isPartitioned(Common::now());
+    return m_connectivity.isPartitioned(Common::now());
 }
 
 double PeerExchange::unreachableLoadFactor() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.unreachableLoadFactor(Common::now());
+    return m_connectivity.unreachableLoadFactor(Common::now());
 }
 
 std::optional<size_t> PeerExchange::fleetSize() const
@@ -156,7 +156,7 @@
 
 // Exchange
 
-void PeerExchange::exchange()
+void PeerExchange::run()
 {
     while (true) {
         step();
@@ -172,8 +172,8 @@
     {
         std::lock_guard lock(m_mutex);
         target = updateTarget();
-        m_contact.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
-        reachableShare = m_contact.reachableShare(now);
+        m_connectivity.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
+        reachableShare = m_connectivity.reachableShare(now);
         m_parts.registry.setPeerLoads(m_loads.sumOfOthers(now));
     }
     if (target->seed)
@@ -350,10 +350,10 @@
     // under the id of the sender.
     auto& outstanding = m_member.outstanding();
     if (const auto& seed = m_member.seed()) {
-        outstanding.take(seed->id, snapshot.nonce());
+        outstanding.complete(seed->id, snapshot.nonce());
         return std::nullopt;
     }
-    auto requestedAt = outstanding.take(from, snapshot.nonce());
+    auto requestedAt = outstanding.complete(from, snapshot.nonce());
     if (!requestedAt)
         return std::nullopt;
     m_member.recordPeerStoreAvailability(from, !snapshot.store_unavailable(), now);
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -43,7 +43,7 @@
     Common::Result<uint16_t> listen(const Common::Endpoint&);
     // Both run until the process ends. Each must be started in its own fiber.
     void watchRoster() { m_roster.watch({ m_id, m_endpoint }); }
-    void exchange();
+    void run();
 
     bool isHub() const;
     // Whether this router reads the platform's store on behalf of others.
@@ -58,7 +58,7 @@
     // See Routing/FleetConnectivity.h.
     double unreachableLoadFactor() const;
     // Sets the function that returns the id of the router that holds the duties, or an empty string if it is unknown.
-    // Must be called before exchange().
+    // Must be called before run().
     void setDutyHolder(std::function<std::string()> holder) { m_dutyHolder = std::move(holder); }
 
 private:
@@ -107,10 +107,10 @@
     Common::Endpoint m_endpoint;
     Inner::Mesh m_mesh;
     RosterWatcher m_roster;
-    mutable std::mutex m_mutex; // Guards m_member, m_loads and m_contact.
+    mutable std::mutex m_mutex; // Guards m_member, m_loads and m_connectivity.
     Routing::FleetMember m_member;
     Routing::PeerLoads m_loads;
-    Routing::FleetConnectivity m_contact;
+    Routing::FleetConnectivity m_connectivity;
     std::optional<SuspectExchange> m_suspects;
     QuotaExchange m_quotas;
     std::function<std::string()> m_dutyHolder { [] { return std::string(); } };
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -88,12 +88,12 @@
             continue;
         // The lease covers the table that requests use, so it is confirmed only after the new version is active.
         if (valueOf(read))
-            adopt(valueOf(read), "store");
+            activate(valueOf(read), "store");
         m_lease.confirm(started);
     }
 }
 
-void PlatformWatcher::adopt(const ConfigurationPtr& next, std::string_view from)
+void PlatformWatcher::activate(const ConfigurationPtr& next, std::string_view from)
 {
     ConfigurationPtr current;
     {
@@ -123,7 +123,7 @@
         auto next = m_sources.configuration.parse(text);
         if (!next)
             return Common::log(LogLevel::Warning, "gateway", "configuration.unreadable", { { "version", version } });
-        adopt(next, "peer");
+        activate(next, "peer");
     }
     // Version 0 confirms that no configuration exists yet.
     if (activeVersion() >= version)
--- a/Source/RouteServing/Gateway/PlatformWatcher.h
+++ b/Source/RouteServing/Gateway/PlatformWatcher.h
@@ -61,7 +61,7 @@
     };
 
     // Activates the version unless the active one is the same or newer. `from` is "store" or "peer", for the log.
-    void adopt(const ConfigurationPtr&, std::string_view from);
+    void activate(const ConfigurationPtr&, std::string_view from);
     // Activates the list unless the active one was confirmed at the same time or later. A null list confirms the active
     // one.
     void setUpstreams(const UpstreamListPtr&, Common::TimePoint confirmedAt);
--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -87,8 +87,8 @@
     auto inPool = state.pool.size(now);
     auto before = state.hubAssigner.granted(m_self, m_incarnation);
     state.hubAssigner.record(m_self, { m_incarnation, wanted - std::min(wanted, inPool), before }, now);
-    state.source.refill(limit.requestsPerSecond, reachableShare, now);
-    state.source.spend(state.hubAssigner.assign(state.source.available(), now));
+    state.bucket.refill(limit.requestsPerSecond, reachableShare, now);
+    state.bucket.spend(state.hubAssigner.assign(state.bucket.available(), now));
     state.pool.add(static_cast<unsigned>(state.hubAssigner.granted(m_self, m_incarnation) - before), now);
 }
 
@@ -135,8 +135,8 @@
     table.add_upstreams(known.key);
     table.add_limits(
         static_cast<uint32_t>(std::llround(known.limit.requestsPerSecond * limitUnitsPerRequestPerSecond)));
-    table.add_named_ages_ms(encodeTime(known.limit.namedAt, now));
-    table.add_unnamed_ages_ms(encodeTime(known.limit.unnamedSince, now));
+    table.add_named_ages_ms(encodeTime(known.limit.statedAt, now));
+    table.add_unnamed_ages_ms(encodeTime(known.limit.unstatedSince, now));
 }
 
 bool QuotaExchange::mergeLimits(const QuotaTable& table, Common::TimePoint sent)
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -55,7 +55,7 @@
     struct HubLimitState {
         Routing::QuotaOwnership ownership;
         std::string owner; // The hub that assigns the limit, according to this hub.
-        Routing::QuotaBucket source;
+        Routing::QuotaBucket bucket;
         Routing::QuotaAssigner hubAssigner; // Used by the owner: grants quotas to hubs.
         Routing::QuotaPool pool; // Granted to this hub and not passed on yet.
         Routing::QuotaAssigner routerAssigner; // Grants quotas to this hub and its subscribers.
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -27,7 +27,7 @@
 RequestHandler::RequestHandler(const RequestServices& services, Common::HttpExchange& exchange)
     : m_services(services)
     , m_exchange(exchange)
-    , m_keysWereConfirmed(areKeysConfirmed())
+    , m_wasKeyLeaseValid(isKeyLeaseValid())
     , m_configuration(services.watcher.configuration())
     , m_table(m_configuration ? &m_configuration->table : nullptr)
     , m_suspectCheck(services.suspects, exchange)
@@ -53,8 +53,8 @@
 
 bool RequestHandler::admit()
 {
-    Routing::RouterState state { m_services.isStopping, m_table, m_services.watcher.hasUpstreamList(),
-        m_keysWereConfirmed };
+    Routing::RouterState state { m_services.refusesNewRequests, m_table, m_services.watcher.hasUpstreamList(),
+        m_wasKeyLeaseValid };
     Routing::RequestTarget target { m_exchange.header("Host"), m_exchange.path(), key() };
     auto admission = Routing::admit(state, target);
     m_route = admission.route;
@@ -105,7 +105,7 @@
             m_currentAttempt->cancel();
     });
     while (true) {
-        if (auto refusal = m_suspectCheck.await(m_report.requestId, m_deadline))
+        if (auto refusal = m_suspectCheck.awaitPermission(m_report.requestId, m_deadline))
             return refuse(*refusal);
         if (auto refusal = refusalBeforeAttempt())
             return refuse(*refusal);
@@ -149,9 +149,9 @@
         return Refusal { m_history.mayHaveRun ? ErrorKind::UpstreamTimeout : ErrorKind::WaitExpired,
             "the deadline of the request has passed" };
     // Reads the lease before the table, which is then at least as recent as the one that the lease confirms.
-    bool isKeyLeaseValid = areKeysConfirmed();
+    bool isLeaseValid = isKeyLeaseValid();
     auto inForce = m_services.watcher.configuration();
-    return Routing::revalidateKey(inForce->table, m_workspace, key(), isKeyLeaseValid);
+    return Routing::revalidateKey(inForce->table, m_workspace, key(), isLeaseValid);
 }
 
 Routing::UpstreamRegistry::PlacementRequest RequestHandler::placementRequest() const
@@ -201,7 +201,7 @@
     auto outcome = attempt.start(requestFor(placement),
         { m_report.requestId, Routing::connectTimeout(*m_route), Routing::maxIdleTime(*m_route) });
     auto next = Next::Done;
-    m_report.namedLimit = attempt.response().header(m_services.headers.upstream.limitHeader);
+    m_report.statedLimit = attempt.response().header(m_services.headers.upstream.limitHeader);
     countUsageIfStarted(attempt);
     if (isAbandoned()) {
         onCallerGone(attempt);
@@ -272,7 +272,7 @@
     case StreamRelay::Result::CallerGone:
         onCallerGone(attempt);
         return Next::Done;
-    case StreamRelay::Result::BrokenOff:
+    case StreamRelay::Result::Interrupted:
         return onFailure(attempt);
     }
     return Next::Done;
--- a/Source/RouteServing/Gateway/RequestHandler.h
+++ b/Source/RouteServing/Gateway/RequestHandler.h
@@ -31,7 +31,7 @@
     RetryWindows& retries;
     SuspectCheck::Parts suspects;
     UsageExchange* usage { nullptr }; // Null if usage is not reported.
-    bool isStopping { false }; // Set late in a planned stop: new requests are refused.
+    bool refusesNewRequests { false }; // Set late in a planned stop: new requests are refused.
 };
 
 // Serves one request of a caller from its arrival to its final response: admission, attempts at upstreams, relay and
@@ -51,7 +51,7 @@
     void readPrompt();
     std::optional<Common::Milliseconds> callerTimeout() const;
     std::string_view key() const { return m_services.headers.caller.key(m_exchange.request()); }
-    bool areKeysConfirmed() const { return m_services.lease.isFresh(Common::now()); }
+    bool isKeyLeaseValid() const { return m_services.lease.isFresh(Common::now()); }
     bool isPastDeadline() const { return Common::now() >= m_deadline; }
     // Whether the caller has disconnected and the request may be cancelled.
     bool isAbandoned() const;
@@ -88,7 +88,7 @@
     const RequestServices m_services;
     Common::HttpExchange& m_exchange;
     // On arrival. Read before the configuration, which is then at least as recent as the one that the lease confirms.
-    const bool m_keysWereConfirmed;
+    const bool m_wasKeyLeaseValid;
     ConfigurationPtr m_configuration; // Keeps the table alive that the pointers below refer to.
     const Routing::RouteTable* m_table { nullptr };
     const Routing::Route* m_route { nullptr };
--- a/Source/RouteServing/Gateway/RequestReport.cpp
+++ b/Source/RouteServing/Gateway/RequestReport.cpp
@@ -42,8 +42,8 @@
         fields["first_event_ms"] = report.streamTimes.firstEvent().count();
         fields["longest_pause_ms"] = report.streamTimes.longestPause().count();
     }
-    if (!report.namedLimit.empty())
-        fields["named_limit"] = report.namedLimit;
+    if (!report.statedLimit.empty())
+        fields["named_limit"] = report.statedLimit;
     Common::log(Common::LogLevel::Info, "gateway", "request.end", std::move(fields));
 }
 
--- a/Source/RouteServing/Gateway/RequestReport.h
+++ b/Source/RouteServing/Gateway/RequestReport.h
@@ -34,7 +34,7 @@
     Common::Milliseconds expectedFirstEvent { 0 }; // Since that choice.
     bool isExpectedLate { false };
     StreamTimes streamTimes;
-    std::string namedLimit; // Limit header of the last response, verbatim; empty if it had none.
+    std::string statedLimit; // Limit header of the last response, verbatim; empty if it had none.
     Common::TimePoint lastPlaced {}; // When the last upstream was chosen.
 
     // Records the upstream that was chosen for the next attempt.
--- a/Source/RouteServing/Gateway/ResponseStatement.cpp
+++ b/Source/RouteServing/Gateway/ResponseStatement.cpp
@@ -20,14 +20,15 @@
 static std::optional<Common::Milliseconds> retryAfterOf(const Common::HttpClientResponse& response)
 {
     auto value = response.header("Retry-After");
-    bool mayAskForRest = response.status == Common::serviceUnavailable || response.status == Common::tooManyRequests;
-    if (value.empty() || !mayAskForRest)
+    bool mayRequestCooldown
+        = response.status == Common::serviceUnavailable || response.status == Common::tooManyRequests;
+    if (value.empty() || !mayRequestCooldown)
         return std::nullopt;
-    auto rest = Common::parseRetryAfter(value, response.header("Date"), std::chrono::system_clock::now());
-    if (!rest)
+    auto cooldown = Common::parseRetryAfter(value, response.header("Date"), std::chrono::system_clock::now());
+    if (!cooldown)
         Common::log(LogLevel::Warning, "gateway", "upstream.bad_retry_after", { { "value", std::string(value) } });
     // A delay of zero, or a date in the past, requests no cooldown.
-    return rest && rest->count() > 0 ? rest : std::nullopt;
+    return cooldown && cooldown->count() > 0 ? cooldown : std::nullopt;
 }
 
 Routing::UpstreamStatement statementOf(const UpstreamHeaders& headers, const Common::HttpClientResponse& response)
@@ -72,14 +73,14 @@
 }
 
 void reportLimit(const Routing::UpstreamRecord& upstream, const Routing::LimitStatement& statement,
-    Routing::SendQuotas::LimitChange news, std::string_view requestId)
+    Routing::SendQuotas::LimitChange change, std::string_view requestId)
 {
     using LimitChange = Routing::SendQuotas::LimitChange;
-    if (news == LimitChange::None)
+    if (change == LimitChange::None)
         return;
     Common::Json fields { { "upstream", upstream.id }, { "born", upstream.born }, { "service", upstream.service },
         { "request", std::string(requestId) } };
-    if (news == LimitChange::Ended)
+    if (change == LimitChange::Ended)
         return Common::log(LogLevel::Info, "gateway", "upstream.limit_ended", std::move(fields));
     GatewayMetrics::statementReceived(GatewayMetrics::StatementKind::Limit);
     fields["per_second"] = statement.requestsPerSecond.value_or(0);
--- a/Source/RouteServing/Gateway/RosterWatcher.cpp
+++ b/Source/RouteServing/Gateway/RosterWatcher.cpp
@@ -52,7 +52,7 @@
 }
 
 // Logs the first of several consecutive failures, and sleeps for the backoff after each.
-void RosterWatcher::recordOutcome(std::string_view what, const Common::Status& status)
+void RosterWatcher::recordOutcome(std::string_view operation, const Common::Status& status)
 {
     if (!isError(status)) {
         m_failures = 0;
@@ -60,7 +60,7 @@
     }
     if (!m_failures++)
         Common::log(Common::LogLevel::Warning, "gateway", "roster.unavailable",
-            { { "what", what }, { "error", errorOf(status).message } });
+            { { "what", operation }, { "error", errorOf(status).message } });
     auto backoff = Routing::exponentialBackoff(initialBackoff, maxBackoff, m_failures);
     Common::sleepFor(Routing::jittered(backoff, Common::randomShare()));
 }
--- a/Source/RouteServing/Gateway/RosterWatcher.h
+++ b/Source/RouteServing/Gateway/RosterWatcher.h
@@ -30,7 +30,7 @@
     Routing::RosterStep nextStep() const;
     Common::Status announce(const Inner::Peer& self);
     Common::Status read();
-    void recordOutcome(std::string_view what, const Common::Status&);
+    void recordOutcome(std::string_view operation, const Common::Status&);
 
     RosterSource m_source;
     Hooks m_hooks;
--- a/Source/RouteServing/Gateway/StreamRelay.cpp
+++ b/Source/RouteServing/Gateway/StreamRelay.cpp
@@ -20,7 +20,7 @@
         if (m_exchange.callerGone())
             return Result::CallerGone;
         if (isError(piece))
-            return Result::BrokenOff;
+            return Result::Interrupted;
         bool isAtEnd = valueOf(piece).empty();
         m_framer.feed(valueOf(piece));
         auto events = m_framer.takeEvents();
--- a/Source/RouteServing/Gateway/StreamRelay.h
+++ b/Source/RouteServing/Gateway/StreamRelay.h
@@ -15,7 +15,7 @@
 // Relays the event stream of one request to its caller over all its attempts. Used only by the fiber of the request.
 class StreamRelay {
 public:
-    enum class Result : uint8_t { Completed, BrokenOff, CallerGone };
+    enum class Result : uint8_t { Completed, Interrupted, CallerGone };
 
     StreamRelay(Common::HttpExchange&, Common::TimePoint requestArrived);
 
--- a/Source/RouteServing/Gateway/SuspectCheck.cpp
+++ b/Source/RouteServing/Gateway/SuspectCheck.cpp
@@ -45,7 +45,7 @@
 
 // A request that crashes upstreams is repeated by its caller with a new request id, at any router. Its history is
 // therefore checked before each attempt; otherwise it would crash one engine after another.
-std::optional<Refusal> SuspectCheck::await(const std::string& requestId, Common::TimePoint deadline)
+std::optional<Refusal> SuspectCheck::awaitPermission(const std::string& requestId, Common::TimePoint deadline)
 {
     if (m_runsExclusively || !mayBeSuspect())
         return std::nullopt;
--- a/Source/RouteServing/Gateway/SuspectCheck.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -35,7 +35,7 @@
 
     // Must be called before each attempt. Waits while another run of a suspect is in progress, until the deadline at
     // most. Returns a refusal if the request must not be sent.
-    std::optional<Routing::Refusal> await(const std::string& requestId, Common::TimePoint deadline);
+    std::optional<Routing::Refusal> awaitPermission(const std::string& requestId, Common::TimePoint deadline);
     // Whether the request has the only run of the fleet. It is then placed at an upstream with few other requests.
     bool runsExclusively() const { return m_runsExclusively; }
 
--- a/Source/RouteServing/Gateway/SuspectExchange.cpp
+++ b/Source/RouteServing/Gateway/SuspectExchange.cpp
@@ -34,12 +34,12 @@
 }
 
 // An acknowledgement of changes from an earlier process of this router does not apply to this process.
-void SuspectExchange::acknowledge(const std::string& peer, uint64_t ofProcess, uint64_t revision)
+void SuspectExchange::acknowledge(const std::string& peer, uint64_t incarnation, uint64_t revision)
 {
     std::lock_guard lock(m_mutex);
     auto cursor = m_sent.find(peer);
     if (cursor != m_sent.end())
-        cursor->second.acknowledge(ofProcess == m_incarnation ? revision : 0);
+        cursor->second.acknowledge(incarnation == m_incarnation ? revision : 0);
 }
 
 void SuspectExchange::forgetSent(const std::string& peer)
--- a/Source/RouteServing/Gateway/SuspectExchange.h
+++ b/Source/RouteServing/Gateway/SuspectExchange.h
@@ -49,7 +49,7 @@
 private:
     bool addChanges(const std::string& peer, Routing::SuspectLedger::Scope, Inner::Wire::SuspectTable&);
     void merge(const Inner::Mesh::Sender&, const Inner::Wire::SuspectTable&);
-    void acknowledge(const std::string& peer, uint64_t ofProcess, uint64_t revision);
+    void acknowledge(const std::string& peer, uint64_t incarnation, uint64_t revision);
     Routing::RosterPosition received(const std::string& peer) const;
 
     Routing::SuspectLedger& m_ledger;
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -48,7 +48,7 @@
         return withhold();
     auto response = send(request, *permit);
     if (isError(response))
-        return breakOff(errorOf(response).message);
+        return interrupt(errorOf(response).message);
     m_response = std::move(valueOf(response));
     recordStatement(options.requestId);
     m_outcome = checkResponseHead(options.requestId);
@@ -95,8 +95,8 @@
     if (!statement)
         return;
     const auto& upstream = m_placement.upstream;
-    auto news = m_registry.quotas().recordStatement(upstream, *statement, m_sent, Common::now());
-    reportLimit(upstream, *statement, news, requestId);
+    auto change = m_registry.quotas().recordStatement(upstream, *statement, m_sent, Common::now());
+    reportLimit(upstream, *statement, change, requestId);
 }
 
 // Rejects a surplus response to an earlier request, and one from a faulty upstream: neither may reach the caller.
@@ -106,20 +106,20 @@
         m_registry.recordReport(m_placement.upstream.id, *load, Common::now());
     auto respondedId = m_response.header(m_headers.caller.requestIdHeader);
     if (!respondedId.empty() && respondedId != requestId)
-        return breakOff("the response belongs to another request");
+        return interrupt("the response belongs to another request");
     if (m_headers.upstream.isNotExecuted(m_response)) {
         m_problem = "refused with status " + std::to_string(m_response.status);
         return AttemptOutcome::NotExecuted;
     }
     if (respondedId.empty())
-        return breakOff("response has no request id (" + m_headers.caller.requestIdHeader + ")");
+        return interrupt("response has no request id (" + m_headers.caller.requestIdHeader + ")");
     bool isSuccess = m_response.status < Common::firstClientError;
     if (isSuccess && m_response.header(m_headers.upstream.executionProofHeader).empty())
-        return breakOff("response has no proof-of-execution header (" + m_headers.upstream.executionProofHeader + ")");
+        return interrupt("response has no proof-of-execution header (" + m_headers.upstream.executionProofHeader + ")");
     return m_response.status >= Common::firstServerError ? AttemptOutcome::ServerError : AttemptOutcome::Answered;
 }
 
-AttemptOutcome UpstreamAttempt::breakOff(std::string problem)
+AttemptOutcome UpstreamAttempt::interrupt(std::string problem)
 {
     m_problem = std::move(problem);
     m_connectionEnd
@@ -133,7 +133,7 @@
 {
     auto piece = m_connection->readPiece();
     if (isError(piece))
-        breakOff(errorOf(piece).message);
+        interrupt(errorOf(piece).message);
     return piece;
 }
 
@@ -141,7 +141,7 @@
 {
     auto body = m_connection->readRest(limit);
     if (isError(body))
-        breakOff(errorOf(body).message);
+        interrupt(errorOf(body).message);
     return body;
 }
 
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -60,7 +60,7 @@
     void recordLimit(std::string_view requestId);
     Routing::AttemptOutcome withhold();
     Routing::AttemptOutcome checkResponseHead(std::string_view requestId);
-    Routing::AttemptOutcome breakOff(std::string problem);
+    Routing::AttemptOutcome interrupt(std::string problem);
 
     const HeaderScheme& m_headers;
     Routing::UpstreamRegistry& m_registry;
--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -14,7 +14,7 @@
 Admission admit(const RouterState& state, const RequestTarget& target)
 {
     Admission admission;
-    if (state.isStopping) {
+    if (state.refusesNewRequests) {
         admission.refusal = Refusal { ErrorKind::Draining, "this instance is stopping" };
         return admission;
     }
--- a/Source/RouteServing/Routing/Admission.h
+++ b/Source/RouteServing/Routing/Admission.h
@@ -21,7 +21,7 @@
 
 // The router's state when a request arrives.
 struct RouterState {
-    bool isStopping { false }; // Late phase of a planned stop: no new request is accepted.
+    bool refusesNewRequests { false }; // Late phase of a planned stop: no new request is accepted.
     const RouteTable* table { nullptr }; // Null until the first configuration is loaded.
     bool hasUpstreamList { false };
     bool isKeyLeaseValid { false }; // See FreshnessLease.
--- a/Source/RouteServing/Routing/DepartedUpstreams.cpp
+++ b/Source/RouteServing/Routing/DepartedUpstreams.cpp
@@ -8,22 +8,22 @@
 
 void DepartedUpstreams::record(const UpstreamRecord& upstream)
 {
-    auto [start, isNew] = m_starts.insert_or_assign(upstream.id, Start { upstream.born, upstream.leaving });
+    auto [entry, isNew] = m_incarnations.insert_or_assign(upstream.id, Incarnation { upstream.born, upstream.leaving });
     if (isNew)
-        m_order.push_back(start->first);
+        m_order.push_back(entry->first);
     if (m_order.size() <= maxDepartedUpstreams)
         return;
-    m_starts.erase(m_order.front());
+    m_incarnations.erase(m_order.front());
     m_order.pop_front();
 }
 
 bool DepartedUpstreams::isObsolete(const UpstreamRecord& upstream) const
 {
-    auto found = m_starts.find(upstream.id);
-    if (found == m_starts.end())
+    auto found = m_incarnations.find(upstream.id);
+    if (found == m_incarnations.end())
         return false;
-    const auto& start = found->second;
-    return upstream.born < start.born || (upstream.born == start.born && start.wasLeaving);
+    const auto& incarnation = found->second;
+    return upstream.born < incarnation.born || (upstream.born == incarnation.born && incarnation.wasLeaving);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/DepartedUpstreams.h
+++ b/Source/RouteServing/Routing/DepartedUpstreams.h
@@ -20,12 +20,12 @@
     bool isObsolete(const UpstreamRecord&) const;
 
 private:
-    struct Start {
+    struct Incarnation {
         uint64_t born { 0 };
         bool wasLeaving { false };
     };
 
-    std::map<std::string, Start, std::less<>> m_starts; // By id.
+    std::map<std::string, Incarnation, std::less<>> m_incarnations; // By id.
     std::deque<std::string> m_order; // Ids in the order of their first departure.
 };
 
--- a/Source/RouteServing/Routing/OutstandingRequests.cpp
+++ b/Source/RouteServing/Routing/OutstandingRequests.cpp
@@ -25,7 +25,7 @@
     return m_last;
 }
 
-std::optional<Common::TimePoint> OutstandingRequests::take(std::string_view from, uint64_t number)
+std::optional<Common::TimePoint> OutstandingRequests::complete(std::string_view from, uint64_t number)
 {
     auto found = m_sent.find(number);
     if (m_target != from || found == m_sent.end())
--- a/Source/RouteServing/Routing/OutstandingRequests.h
+++ b/Source/RouteServing/Routing/OutstandingRequests.h
@@ -27,7 +27,7 @@
     std::optional<uint64_t> add(std::string_view target, bool asHub, Common::TimePoint now);
     // Returns when the request was sent that a response belongs to, or nullopt if no such request is outstanding. Older
     // requests count as answered too.
-    std::optional<Common::TimePoint> take(std::string_view from, uint64_t number);
+    std::optional<Common::TimePoint> complete(std::string_view from, uint64_t number);
 
     // Whether a response is overdue. The target is then dead or cut off.
     bool isOverdue(Common::TimePoint now) const;
--- a/Source/RouteServing/Routing/QuotaAssigner.cpp
+++ b/Source/RouteServing/Routing/QuotaAssigner.cpp
@@ -77,13 +77,13 @@
 {
     for (unsigned given = 0; given < requests; ++given) {
         auto next = std::max_element(m_requesters.begin(), m_requesters.end(), [&](const auto& a, const auto& b) {
-            return std::pair(unmetDemand(a.second, now), b.second.lastTurn)
-                < std::pair(unmetDemand(b.second, now), a.second.lastTurn);
+            return std::pair(unmetDemand(a.second, now), b.second.lastGrantNumber)
+                < std::pair(unmetDemand(b.second, now), a.second.lastGrantNumber);
         });
         if (next == m_requesters.end() || !unmetDemand(next->second, now))
             return given;
         ++next->second.granted;
-        next->second.lastTurn = ++m_turn;
+        next->second.lastGrantNumber = ++m_lastGrantNumber;
     }
     return requests;
 }
--- a/Source/RouteServing/Routing/QuotaAssigner.h
+++ b/Source/RouteServing/Routing/QuotaAssigner.h
@@ -68,12 +68,12 @@
         Demand demand;
         uint64_t granted { 0 };
         Common::TimePoint lastDemandAt {};
-        uint64_t lastTurn { 0 };
+        uint64_t lastGrantNumber { 0 };
     };
     static unsigned unmetDemand(const Requester&, Common::TimePoint now);
 
     std::map<std::string, Requester, std::less<>> m_requesters;
-    uint64_t m_turn { 0 };
+    uint64_t m_lastGrantNumber { 0 };
 };
 
 // Whether this router currently assigns the limit of one upstream. A new owner waits until the grants of the previous
--- a/Source/RouteServing/Routing/RetryPolicy.cpp
+++ b/Source/RouteServing/Routing/RetryPolicy.cpp
@@ -14,7 +14,7 @@
 
 // Retry-after for a request that one upstream refused while others have room. Short enough to meet an objective of 300
 // ms, and the mean time until the next exchange of loads between routers (every 100 ms).
-static constexpr Common::Milliseconds retryAfterWithFreeUpstream { 50 };
+static constexpr Common::Milliseconds retryAfterWithHealthyUpstream { 50 };
 
 void AttemptHistory::record(AttemptOutcome outcome)
 {
@@ -40,8 +40,8 @@
     if (history.mayHaveRun && !route.mayRepeat()) {
         // A failover is not a second run: the same run continues from its replica. Before the first event there may be
         // no replica yet, and an engine without one might run the request again.
-        bool isRunBrokenOff = ranAfter(last) != Ran::No && hasRelayedEvents;
-        return isRunBrokenOff ? RetryDecision::FailOver : RetryDecision::GiveUp;
+        bool isRunInterrupted = ranAfter(last) != Ran::No && hasRelayedEvents;
+        return isRunInterrupted ? RetryDecision::FailOver : RetryDecision::GiveUp;
     }
     // Each upstream is tried at most once, so this ends.
     if (last == AttemptOutcome::Withheld)
@@ -66,7 +66,7 @@
 
 Common::Milliseconds retryAfterRefusal(bool hasHealthyUpstream)
 {
-    return hasHealthyUpstream ? retryAfterWithFreeUpstream : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
+    return hasHealthyUpstream ? retryAfterWithHealthyUpstream : Common::traits(ErrorKind::UpstreamRefused).retryAfter;
 }
 
 ErrorKind reportableKind(ErrorKind kind, bool mayHaveRun)
--- a/Source/RouteServing/Routing/SendQuotas.cpp
+++ b/Source/RouteServing/Routing/SendQuotas.cpp
@@ -46,7 +46,7 @@
     auto found = m_entries.find(key);
     if (found == m_entries.end()) {
         // Most responses name no limit, which is relevant only for an upstream that named one before.
-        if (learned.namedAt == Common::TimePoint::min())
+        if (learned.statedAt == Common::TimePoint::min())
             return LimitChange::None;
         found = m_entries.try_emplace(key).first;
     }
@@ -60,7 +60,7 @@
     if (!isInForce || isLower)
         entry.quota.clear();
     if (isInForce != before.isInForce())
-        return isInForce ? LimitChange::Named : LimitChange::Ended;
+        return isInForce ? LimitChange::Stated : LimitChange::Ended;
     bool hasChanged = isInForce && entry.limit.requestsPerSecond != before.requestsPerSecond;
     return hasChanged ? LimitChange::Changed : LimitChange::None;
 }
@@ -73,9 +73,9 @@
     UpstreamLimit learned;
     if (statement.requestsPerSecond) {
         learned.requestsPerSecond = roundedLimit(*statement.requestsPerSecond);
-        learned.namedAt = now;
+        learned.statedAt = now;
     } else {
-        learned.unnamedSince = requestSent;
+        learned.unstatedSince = requestSent;
     }
     std::lock_guard lock(m_mutex);
     return update(limitKey(upstream), learned);
--- a/Source/RouteServing/Routing/SendQuotas.h
+++ b/Source/RouteServing/Routing/SendQuotas.h
@@ -24,7 +24,7 @@
 // new, no other router is connected yet, or the connections are lost. Thread-safe.
 class SendQuotas {
 public:
-    enum class LimitChange : uint8_t { None, Named, Changed, Ended };
+    enum class LimitChange : uint8_t { None, Stated, Changed, Ended };
 
     // Records what a response stated. `requestSent`: when its request was sent.
     LimitChange recordStatement(
--- a/Source/RouteServing/Routing/UpstreamLimit.cpp
+++ b/Source/RouteServing/Routing/UpstreamLimit.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Exceeds the error of `namedAt` after three messages between routers (Gateway/QuotaExchange).
+// Exceeds the error of `statedAt` after three messages between routers (Gateway/QuotaExchange).
 static constexpr Common::Milliseconds reorderTolerance = 1000ms;
 
 double roundedLimit(double requestsPerSecond)
@@ -19,19 +19,19 @@
 
 bool UpstreamLimit::isInForce() const
 {
-    if (namedAt == Common::TimePoint::min())
+    if (statedAt == Common::TimePoint::min())
         return false;
-    return unnamedSince < namedAt + reorderTolerance;
+    return unstatedSince < statedAt + reorderTolerance;
 }
 
 void UpstreamLimit::merge(const UpstreamLimit& other)
 {
-    bool isNewer = other.namedAt > namedAt;
-    bool isLowerAtOnce = other.namedAt == namedAt && other.requestsPerSecond < requestsPerSecond;
+    bool isNewer = other.statedAt > statedAt;
+    bool isLowerAtOnce = other.statedAt == statedAt && other.requestsPerSecond < requestsPerSecond;
     if (isNewer || isLowerAtOnce)
         requestsPerSecond = other.requestsPerSecond;
-    namedAt = std::max(namedAt, other.namedAt);
-    unnamedSince = std::max(unnamedSince, other.unnamedSince);
+    statedAt = std::max(statedAt, other.statedAt);
+    unstatedSince = std::max(unstatedSince, other.unstatedSince);
 }
 
 uint32_t limitKey(const UpstreamRecord& upstream)
--- a/Source/RouteServing/Routing/UpstreamLimit.h
+++ b/Source/RouteServing/Routing/UpstreamLimit.h
@@ -29,16 +29,16 @@
 struct UpstreamLimit {
     double requestsPerSecond { 0 }; // Rounded.
     // Arrival of the newest response that named the limit.
-    Common::TimePoint namedAt { Common::TimePoint::min() };
+    Common::TimePoint statedAt { Common::TimePoint::min() };
     // Sending time of the newest request whose response named no limit.
-    Common::TimePoint unnamedSince { Common::TimePoint::min() };
+    Common::TimePoint unstatedSince { Common::TimePoint::min() };
 
     // Returns whether requests need a quota of the limit. Responses may arrive out of order, and times from other
     // routers are estimates, so only a response to a request that was sent well after the last naming ends a limit.
     bool isInForce() const;
     void merge(const UpstreamLimit&);
     // Time of the newest information.
-    Common::TimePoint learned() const { return std::max(namedAt, unnamedSince); }
+    Common::TimePoint learned() const { return std::max(statedAt, unstatedSince); }
 };
 
 // Identifies one upstream incarnation in messages between routers. Two incarnations with the same key share one limit.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -107,7 +107,7 @@
     return std::binary_search(keys.begin(), keys.end(), key);
 }
 
-bool UpstreamRegistry::mayTake(
+bool UpstreamRegistry::mayReceive(
     const Entry& entry, const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
     if (!isEligible(entry, request) || !m_statements.allowRequest(entry.record, now))
@@ -123,7 +123,7 @@
     auto limited = m_quotas.inForce();
     return std::any_of(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         const auto& entry = each.second;
-        return mayTake(entry, request, limited, now) && !entry.health.isEjected(now)
+        return mayReceive(entry, request, limited, now) && !entry.health.isEjected(now)
             && !entry.refusals.isBackedOff(now);
     });
 }
@@ -138,7 +138,7 @@
     Candidates backedOff;
     Candidates ejected;
     for (const auto& [id, entry] : m_entries) {
-        if (!mayTake(entry, request, limited, now))
+        if (!mayReceive(entry, request, limited, now))
             continue;
         if (entry.health.isEjected(now))
             ejected.push_back(&entry);
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -147,7 +147,8 @@
     static bool isEligible(const Entry&, const PlacementRequest&);
     // Returns whether the upstream is eligible and no statement of it forbids sending the request now. `limited`:
     // m_quotas.inForce().
-    bool mayTake(const Entry&, const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
+    bool mayReceive(
+        const Entry&, const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
     Candidates candidates(const PlacementRequest&, std::span<const uint32_t> limited, Common::TimePoint now) const;
     // Records demand for the quotas of all limited upstreams that are eligible, and whether any upstream was found.
     void recordDemand(const PlacementRequest&, std::span<const uint32_t> limited, bool hasFound, Common::TimePoint now);
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -11,8 +11,8 @@
 
 const UpstreamStatements::StatementEntry* UpstreamStatements::find(const UpstreamRecord& upstream) const
 {
-    auto found = m_known.find(upstream.id);
-    return found != m_known.end() && found->second.born == upstream.born ? &found->second : nullptr;
+    auto found = m_entries.find(upstream.id);
+    return found != m_entries.end() && found->second.born == upstream.born ? &found->second : nullptr;
 }
 
 bool UpstreamStatements::record(
@@ -20,63 +20,64 @@
 {
     if (statement.isEmpty())
         return false;
-    auto [entry, isNew] = m_known.try_emplace(upstream.id, StatementEntry { upstream.born });
-    auto& known = entry->second;
+    auto [position, isNew] = m_entries.try_emplace(upstream.id, StatementEntry { upstream.born });
+    auto& entry = position->second;
     // A delayed response of an earlier incarnation.
-    if (upstream.born < known.born)
+    if (upstream.born < entry.born)
         return false;
-    if (upstream.born > known.born)
-        known = { upstream.born };
-    bool isNews = (statement.isLeaving && !known.isLeaving) || (statement.cooldown && known.cooldownEnd <= now);
-    known.isLeaving |= statement.isLeaving;
+    if (upstream.born > entry.born)
+        entry = { upstream.born };
+    bool isNewInformation
+        = (statement.isLeaving && !entry.isLeaving) || (statement.cooldown && entry.cooldownEnd <= now);
+    entry.isLeaving |= statement.isLeaving;
     if (statement.cooldown)
-        known.cooldownEnd = std::max(known.cooldownEnd, now + *statement.cooldown);
-    known.recorded = now;
-    if (isNew && m_known.size() > maxStatementEntries)
+        entry.cooldownEnd = std::max(entry.cooldownEnd, now + *statement.cooldown);
+    entry.recorded = now;
+    if (isNew && m_entries.size() > maxStatementEntries)
         evictOldest(now);
-    return isNews;
+    return isNewInformation;
 }
 
 void UpstreamStatements::evictOldest(Common::TimePoint now)
 {
     auto isIdle = [&](const auto& each) { return each.second.cooldownEnd <= now; };
-    std::erase_if(m_known, [&](const auto& each) { return isIdle(each) && !each.second.isLeaving; });
-    while (m_known.size() > maxStatementEntries) {
-        auto oldest = std::min_element(m_known.begin(), m_known.end(), [&](const auto& left, const auto& right) {
+    std::erase_if(m_entries, [&](const auto& each) { return isIdle(each) && !each.second.isLeaving; });
+    while (m_entries.size() > maxStatementEntries) {
+        auto oldest = std::min_element(m_entries.begin(), m_entries.end(), [&](const auto& left, const auto& right) {
             return std::pair(!isIdle(left), left.second.recorded) < std::pair(!isIdle(right), right.second.recorded);
         });
         // An active cooldown is never evicted.
         if (!isIdle(*oldest))
             return;
-        m_known.erase(oldest);
+        m_entries.erase(oldest);
     }
 }
 
 bool UpstreamStatements::allowRequest(const UpstreamRecord& upstream, Common::TimePoint now) const
 {
-    const auto* known = m_known.empty() ? nullptr : find(upstream);
-    return !known || (!known->isLeaving && known->cooldownEnd <= now);
+    const auto* entry = m_entries.empty() ? nullptr : find(upstream);
+    return !entry || (!entry->isLeaving && entry->cooldownEnd <= now);
 }
 
 bool UpstreamStatements::isLeaving(const UpstreamRecord& upstream) const
 {
-    const auto* known = find(upstream);
-    return known && known->isLeaving;
+    const auto* entry = find(upstream);
+    return entry && entry->isLeaving;
 }
 
 std::optional<Common::TimePoint> UpstreamStatements::cooldownEnd(
     const UpstreamRecord& upstream, Common::TimePoint now) const
 {
-    const auto* known = find(upstream);
-    if (!known || known->cooldownEnd <= now)
+    const auto* entry = find(upstream);
+    if (!entry || entry->cooldownEnd <= now)
         return std::nullopt;
-    return known->cooldownEnd;
+    return entry->cooldownEnd;
 }
 
 size_t UpstreamStatements::cooldownCount(Common::TimePoint now) const
 {
-    return static_cast<size_t>(
-        std::count_if(m_known.begin(), m_known.end(), [&](const auto& each) { return each.second.cooldownEnd > now; }));
+    return static_cast<size_t>(std::count_if(
+        m_entries.begin(), m_entries.end(), [&](const auto& each) { return each.second.cooldownEnd > now; }));
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -48,7 +48,8 @@
     const StatementEntry* find(const UpstreamRecord&) const;
     void evictOldest(Common::TimePoint now);
 
-    std::map<std::string, StatementEntry, std::less<>> m_known; // By id; the newest incarnation that made a statement.
+    // By id; the newest incarnation that made a statement.
+    std::map<std::string, StatementEntry, std::less<>> m_entries;
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -218,11 +218,11 @@
     });
 }
 
-size_t QuotaFleet::maxArrivalsInWindow(TimePoint from, Counted which) const
+size_t QuotaFleet::maxArrivalsInWindow(TimePoint from, ArrivalFilter filter) const
 {
     std::vector<TimePoint> counted;
     for (const auto& arrival : m_arrivals) {
-        bool isCounted = which == Counted::All || (arrival.limitWasKnown && !arrival.hadRecentFault);
+        bool isCounted = filter == ArrivalFilter::All || (arrival.limitWasKnown && !arrival.hadRecentFault);
         if (arrival.at >= from && isCounted)
             counted.push_back(arrival.at);
     }
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.h
@@ -53,10 +53,10 @@
         bool hadRecentFault { false }; // The router was restarted, frozen or partitioned less than 3 s earlier.
     };
     const std::vector<Arrival>& arrivals() const { return m_arrivals; }
-    // Which arrivals are counted. ByRule: only those with `limitWasKnown` and without `hadRecentFault`.
-    enum class Counted : uint8_t { ByRule, All };
+    // Which arrivals are counted. Undisturbed: only those with `limitWasKnown` and without `hadRecentFault`.
+    enum class ArrivalFilter : uint8_t { Undisturbed, All };
     // Returns the largest number of arrivals within any 4 s since `from`.
-    size_t maxArrivalsInWindow(Common::TimePoint from, Counted counted = Counted::ByRule) const;
+    size_t maxArrivalsInWindow(Common::TimePoint from, ArrivalFilter filter = ArrivalFilter::Undisturbed) const;
     size_t limitedRouters() const;
     // Returns the distinct values of the limit that routers have.
     std::set<double> knownLimits() const;
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -49,9 +49,9 @@
             QuotaFleet fleet({ size.routers, size.requestsPerSecond, 1 });
             fleet.runFor(3s);
             fleet.setLimit(limit);
-            auto named = fleet.now();
+            auto limitStatedAt = fleet.now();
             fleet.runFor(12s);
-            EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(limit))
+            EXPECT_LE(fleet.maxArrivalsInWindow(limitStatedAt), allowedInWindow(limit))
                 << size.routers << " routers, " << limit;
         }
     }
@@ -113,7 +113,7 @@
     QuotaFleet fleet({ 88, 4, 1 });
     fleet.runFor(3s);
     fleet.setLimit(30);
-    auto named = fleet.now();
+    auto limitStatedAt = fleet.now();
     fleet.runFor(5s);
     fleet.setDemand(0);
     fleet.runFor(2s);
@@ -125,7 +125,7 @@
     }
     fleet.setDemand(50);
     fleet.runFor(5s);
-    EXPECT_LE(fleet.maxArrivalsInWindow(named), allowedInWindow(30));
+    EXPECT_LE(fleet.maxArrivalsInWindow(limitStatedAt), allowedInWindow(30));
 }
 
 // Each part has a hub that assigns the limit, and must use only its share.
@@ -136,10 +136,10 @@
         fleet.runFor(3s);
         fleet.setLimit(30);
         fleet.runFor(4s);
-        auto named = fleet.now();
+        auto limitStatedAt = fleet.now();
         fleet.partition(routerRange(0, isolatedRouters), 6s);
         fleet.runFor(10s);
-        EXPECT_LE(fleet.maxArrivalsInWindow(named, QuotaFleet::Counted::All), allowedInWindow(30))
+        EXPECT_LE(fleet.maxArrivalsInWindow(limitStatedAt, QuotaFleet::ArrivalFilter::All), allowedInWindow(30))
             << "including arrivals from isolated routers";
     }
 }
@@ -156,7 +156,7 @@
         fleet.runFor(2s);
         auto limit = *rc::gen::element(0.0, 0.25, 1.0, 4.0, 30.0);
         fleet.setLimit(limit);
-        auto named = fleet.now();
+        auto limitStatedAt = fleet.now();
         auto randomRouter = [&] { return *rc::gen::inRange<size_t>(0, options.routers); };
         for (int turn = 0; turn < 25; ++turn) {
             switch (*rc::gen::inRange(0, 6)) {
@@ -173,10 +173,10 @@
             }
             case 3:
                 if (*rc::gen::inRange(0, 6) == 0) {
-                    RC_ASSERT(fleet.maxArrivalsInWindow(named + settlingTime) <= allowedInWindow(limit));
+                    RC_ASSERT(fleet.maxArrivalsInWindow(limitStatedAt + settlingTime) <= allowedInWindow(limit));
                     limit = *rc::gen::element(0.0, 0.25, 1.0, 4.0, 30.0);
                     fleet.setLimit(limit);
-                    named = fleet.now();
+                    limitStatedAt = fleet.now();
                 }
                 break;
             default:
@@ -184,7 +184,7 @@
             }
             fleet.runFor(Common::Milliseconds(*rc::gen::inRange(50, 1500)));
         }
-        RC_ASSERT(fleet.maxArrivalsInWindow(named + settlingTime) <= allowedInWindow(limit));
+        RC_ASSERT(fleet.maxArrivalsInWindow(limitStatedAt + settlingTime) <= allowedInWindow(limit));
     });
     EXPECT_TRUE(holds);
 }
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -161,7 +161,7 @@
         entriesSent += entries.size();
         member.addRoster(entries);
         member.recordRosterPart(peer->id, peer->incarnation, { after, newest, peer->member.hasCompleteRoster(now) });
-        member.outstanding().take(id, *nonce);
+        member.outstanding().complete(id, *nonce);
     }
 
     void stepStore(Router& router, Common::TimePoint now)
--- a/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
@@ -18,10 +18,10 @@
 
 TEST(NoUpstreamPolicyTest, TheRefusalGivesItsCauseAndTheEarliestRetryTime)
 {
-    auto resting = noUpstreamRefusal({ s_now + 2500ms, std::nullopt }, false, s_now);
-    EXPECT_EQ(resting.kind, ErrorKind::UpstreamsResting);
-    EXPECT_GE(resting.retryAfter, 2500ms);
-    EXPECT_LE(resting.retryAfter, 2502ms);
+    auto refusal = noUpstreamRefusal({ s_now + 2500ms, std::nullopt }, false, s_now);
+    EXPECT_EQ(refusal.kind, ErrorKind::UpstreamsResting);
+    EXPECT_GE(refusal.retryAfter, 2500ms);
+    EXPECT_LE(refusal.retryAfter, 2502ms);
     EXPECT_EQ(noUpstreamRefusal({}, false, s_now).kind, ErrorKind::NoUpstream);
     EXPECT_EQ(noUpstreamRefusal({ s_now + 1s, 1s }, true, s_now).kind, ErrorKind::UpstreamBroken)
         << "an earlier attempt may have run";
--- a/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -20,12 +20,12 @@
     auto second = requests.add("h1", false, s_now + 100ms);
     auto third = requests.add("h1", false, s_now + 200ms);
     ASSERT_TRUE(first && second && third);
-    EXPECT_EQ(requests.take("h1", *second), s_now + 100ms);
-    EXPECT_FALSE(requests.take("h1", *second)) << "the response was already taken";
-    EXPECT_FALSE(requests.take("h1", *first)) << "the later response covers the earlier request";
-    EXPECT_FALSE(requests.take("h2", *third)) << "nothing was requested from it";
-    EXPECT_EQ(requests.take("h1", *third), s_now + 200ms);
-    EXPECT_FALSE(requests.take("h1", 0)) << "a notification answers no request";
+    EXPECT_EQ(requests.complete("h1", *second), s_now + 100ms);
+    EXPECT_FALSE(requests.complete("h1", *second)) << "the response was already taken";
+    EXPECT_FALSE(requests.complete("h1", *first)) << "the later response covers the earlier request";
+    EXPECT_FALSE(requests.complete("h2", *third)) << "nothing was requested from it";
+    EXPECT_EQ(requests.complete("h1", *third), s_now + 200ms);
+    EXPECT_FALSE(requests.complete("h1", 0)) << "a notification answers no request";
 }
 
 TEST(OutstandingRequestsTest, ATargetIsOverdueWhenItsFirstResponseIsLate)
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -49,8 +49,8 @@
 
 class BurstSimulation {
 public:
-    BurstSimulation(std::vector<RouteLoad> classes, LevelRule levelRule)
-        : m_loads(std::move(classes))
+    BurstSimulation(std::vector<RouteLoad> loads, LevelRule levelRule)
+        : m_loads(std::move(loads))
         , m_levelRule(std::move(levelRule))
         , m_outcomes(m_loads.size())
     {
@@ -61,8 +61,8 @@
         }
         m_registry.setUpstreams(records);
         m_urgency.addWorkspace(1);
-        for (const auto& each : m_loads)
-            m_urgency.addRoute(each.priority);
+        for (const auto& load : m_loads)
+            m_urgency.addRoute(load.priority);
     }
 
     // Requests during the warm-up, while the engines' speed is still unknown, are not counted.
@@ -96,27 +96,27 @@
     Prompt promptOf(size_t routeIndex)
     {
         static constexpr double spread = 0.8;
-        const auto& each = m_loads[routeIndex];
-        std::lognormal_distribution<double> own(std::log(each.ownTokens) - spread * spread / 2, spread);
+        const auto& load = m_loads[routeIndex];
+        std::lognormal_distribution<double> own(std::log(load.ownTokens) - spread * spread / 2, spread);
         auto ownTokens = static_cast<uint32_t>(own(m_random)) + 1;
-        uint64_t prefix = 1000 * (routeIndex + 1) + m_random() % each.prefixes;
-        return { each.sharedTokens + ownTokens, 2 * each.outputTokens,
-            { { prefix, each.sharedTokens }, { 1'000'000 + m_sent, ownTokens } } };
+        uint64_t prefix = 1000 * (routeIndex + 1) + m_random() % load.prefixes;
+        return { load.sharedTokens + ownTokens, 2 * load.outputTokens,
+            { { prefix, load.sharedTokens }, { 1'000'000 + m_sent, ownTokens } } };
     }
 
     void send(size_t routeIndex)
     {
-        const auto& each = m_loads[routeIndex];
+        const auto& load = m_loads[routeIndex];
         auto prompt = promptOf(routeIndex);
         UpstreamRegistry::PlacementRequest request;
         request.service = "model";
         request.prompt = &prompt;
         request.engine = { 64, false };
-        request.due = m_now + each.objective;
+        request.due = m_now + load.objective;
         Call call { routeIndex, m_now, *m_registry.choose(request, m_now), false, m_isCounted };
         m_registry.recordStart(call.placement);
-        auto level = m_levelRule(m_urgency, each.priority, call.placement.punctuality);
-        m_engines.at(call.placement.upstream.id).submit({ m_sent, prompt, each.outputTokens, level }, m_now);
+        auto level = m_levelRule(m_urgency, load.priority, call.placement.punctuality);
+        m_engines.at(call.placement.upstream.id).submit({ m_sent, prompt, load.outputTokens, level }, m_now);
         m_outcomes[routeIndex].sent += call.isCounted;
         m_calls.emplace(m_sent++, std::move(call));
     }
@@ -138,8 +138,8 @@
             call.hasEvent = true;
             m_registry.recordPrefillDone(call.placement, event.at);
             bool isInTime = event.at <= call.sent + m_loads[call.routeIndex].objective;
-            auto& service = m_outcomes[call.routeIndex];
-            (isInTime ? service.inTime : service.late) += call.isCounted;
+            auto& outcome = m_outcomes[call.routeIndex];
+            (isInTime ? outcome.inTime : outcome.late) += call.isCounted;
         }
         if (event.isLast) {
             m_registry.recordEnd(call.placement, true, AttemptOutcome::Answered, event.at);
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -13,35 +13,35 @@
 
 TEST(QuotaBucketTest, ItRefillsAtTheLimitAndCapsTheBurst)
 {
-    QuotaBucket source;
+    QuotaBucket bucket;
     unsigned given = 0;
     for (int step = 0; step <= 100; ++step) {
-        source.refill(4, 1, s_now + step * 100ms);
-        given += source.available();
-        source.spend(source.available());
+        bucket.refill(4, 1, s_now + step * 100ms);
+        given += bucket.available();
+        bucket.spend(bucket.available());
     }
     EXPECT_NEAR(given, 40, 1);
     for (int step = 101; step <= 200; ++step)
-        source.refill(4, 1, s_now + step * 100ms);
-    EXPECT_EQ(source.available(), 1U);
+        bucket.refill(4, 1, s_now + step * 100ms);
+    EXPECT_EQ(bucket.available(), 1U);
 }
 
 TEST(QuotaBucketTest, APauseAccumulatesNoTokens)
 {
-    QuotaBucket source;
-    source.refill(100, 1, s_now);
-    source.refill(100, 1, s_now + 10s);
-    EXPECT_LE(source.available(), 21U);
+    QuotaBucket bucket;
+    bucket.refill(100, 1, s_now);
+    bucket.refill(100, 1, s_now + 10s);
+    EXPECT_LE(bucket.available(), 21U);
 }
 
 TEST(QuotaBucketTest, ALimitOfZeroStillAllowsProbes)
 {
-    QuotaBucket source;
+    QuotaBucket bucket;
     unsigned given = 0;
     for (int step = 0; step <= 200; ++step) {
-        source.refill(0, 1, s_now + step * 100ms);
-        given += source.available();
-        source.spend(source.available());
+        bucket.refill(0, 1, s_now + step * 100ms);
+        given += bucket.available();
+        bucket.spend(bucket.available());
     }
     EXPECT_GE(given, 3U);
     EXPECT_LE(given, 4U);
--- a/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RefusalBackoffTest.cpp
@@ -115,18 +115,19 @@
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(upstreams(2));
-    auto rested = upstreams(2).front();
-    registry.recordStatement(rested, { false, 2s }, s_now);
+    auto afterCooldown = upstreams(2).front();
+    registry.recordStatement(afterCooldown, { false, 2s }, s_now);
     auto now = s_now + 2s;
     size_t sent = 0;
     for (int index = 0; index < 20; ++index) {
         auto placement = *registry.choose(request(), now);
         registry.recordStart(placement);
-        sent += placement.upstream.id == rested.id;
+        sent += placement.upstream.id == afterCooldown.id;
     }
     EXPECT_EQ(sent, 1U);
-    registry.recordResponse(rested);
-    EXPECT_EQ(registry.choose(request(), now)->upstream.id, rested.id) << "it has the fewest outstanding requests";
+    registry.recordResponse(afterCooldown);
+    EXPECT_EQ(registry.choose(request(), now)->upstream.id, afterCooldown.id)
+        << "it has the fewest outstanding requests";
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -31,7 +31,7 @@
 {
     SendQuotas quotas;
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Stated);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_FALSE(quotas.take(s_key, 0, s_now));
     quotas.add(s_key, 2, s_now + 700ms);
@@ -61,7 +61,7 @@
     EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now + 2s, s_now + 5s), LimitChange::Ended);
     EXPECT_FALSE(quotas.isLimited(s_key));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 5s));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Stated);
 }
 
 TEST(SendQuotasTest, ANewLimitAppliesAtOnceAndALowerOneVoidsTheQuota)
--- a/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamStatementsTest.cpp
@@ -70,11 +70,11 @@
 TEST(UpstreamStatementsTest, OldEntriesAreEvictedButActiveCooldownsAreKept)
 {
     UpstreamStatements statements;
-    auto resting = upstream("resting");
-    statements.record(resting, cooldown(600s), s_now);
+    auto coolingDown = upstream("resting");
+    statements.record(coolingDown, cooldown(600s), s_now);
     for (int index = 0; index < 20'000; ++index)
         statements.record(upstream("u" + std::to_string(index)), leaving, s_now + Common::Milliseconds(index));
-    EXPECT_FALSE(statements.allowRequest(resting, s_now + 599s));
+    EXPECT_FALSE(statements.allowRequest(coolingDown, s_now + 599s));
     EXPECT_FALSE(statements.allowRequest(upstream("u19999"), s_now + 30s)) << "the newest entry is kept";
     EXPECT_TRUE(statements.allowRequest(upstream("u0"), s_now + 30s)) << "the oldest of 20,000 entries is evicted";
 }
