--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -152,9 +152,9 @@
 
 void PeerLink::awaitReconnectDelay() const
 {
-    auto rest = m_lastConnectionEnd + reconnectDelay - Common::now();
-    if (rest.count() > 0)
-        Common::sleepFor(rest);
+    auto remainingDelay = m_lastConnectionEnd + reconnectDelay - Common::now();
+    if (remainingDelay.count() > 0)
+        Common::sleepFor(remainingDelay);
 }
 
 PeerLink::Session PeerLink::connect()
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -313,8 +313,8 @@
         { "fate", Routing::fateLabel(attempt.outcome()) }, { "ended", Common::name(attempt.connectionEnd()) },
         { "ms", Common::toMilliseconds(Common::now() - m_report.lastPlaced).count() },
         { "events", attempt.hasEvents() }, { "problem", attempt.problem() }, { "again", retries } };
-    if (auto rest = attempt.response().header("Retry-After"); !rest.empty())
-        fields["retry_after"] = std::string(rest);
+    if (auto retryAfter = attempt.response().header("Retry-After"); !retryAfter.empty())
+        fields["retry_after"] = std::string(retryAfter);
     if (const auto& identity = m_suspectCheck.knownIdentity())
         fields["identity"] = identity->text();
     Common::log(LogLevel::Info, "gateway", "try.failed", std::move(fields));
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -36,7 +36,7 @@
 static constexpr Milliseconds claimMargin = 3s;
 // Tries to release a claim when other routers write at the same time. Until the claim expires, no other router runs the
 // request.
-static constexpr unsigned maxReleaseTries = 5;
+static constexpr unsigned maxReleaseAttempts = 5;
 
 // Exclusive runs
 
@@ -93,7 +93,7 @@
     auto known = m_ledger.find(request);
     if (!known || !m_log)
         return;
-    for (unsigned tries = 0; tries < maxReleaseTries; ++tries) {
+    for (unsigned attempts = 0; attempts < maxReleaseAttempts; ++attempts) {
         auto status = store({ *known }, OwnClaims::Release);
         if (!isError(status) || errorOf(status).kind != Common::ErrorKind::PublishConflict)
             return;
--- a/Source/RouteServing/Routing/FleetMember.cpp
+++ b/Source/RouteServing/Routing/FleetMember.cpp
@@ -43,9 +43,9 @@
     received.advance(incarnation, range.after, range.revision);
     m_seedRoster.advance(incarnation, range.after, range.revision);
     bool hasAll = received.revisionOf(incarnation) >= range.revision;
-    bool isNews = !m_isRosterKnown && range.isComplete && hasAll;
-    m_isRosterKnown |= isNews;
-    return isNews;
+    bool completesRoster = !m_isRosterKnown && range.isComplete && hasAll;
+    m_isRosterKnown |= completesRoster;
+    return completesRoster;
 }
 
 RosterSituation FleetMember::rosterSituation(Common::TimePoint now) const
@@ -83,8 +83,8 @@
         return;
     }
     ++m_storeFailures;
-    bool isNews = m_storeFailures >= storeFailuresBeforeBackoff || m_storeBackoff.timeouts();
-    if (isNews && canReadStore(now))
+    bool hasFailedRepeatedly = m_storeFailures >= storeFailuresBeforeBackoff || m_storeBackoff.timeouts();
+    if (hasFailedRepeatedly && canReadStore(now))
         m_storeBackoff.recordTimeout(now);
 }
 
--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -50,9 +50,9 @@
 static std::vector<std::string> storeReaders(std::span<const HubRanking::Router> hubs, size_t count)
 {
     std::vector<std::string> readers;
-    for (bool mustBeAble : { true, false }) {
+    for (bool requiresStoreAccess : { true, false }) {
         for (const auto& hub : hubs) {
-            if (readers.size() < count && (hub.canReadStore || !mustBeAble))
+            if (readers.size() < count && (hub.canReadStore || !requiresStoreAccess))
                 readers.emplace_back(hub.id);
         }
         if (!readers.empty())
--- a/Source/RouteServing/Routing/RetryWindow.cpp
+++ b/Source/RouteServing/Routing/RetryWindow.cpp
@@ -53,12 +53,12 @@
     auto oldest = sliceNumber(now) - static_cast<int64_t>(sliceCount - 1);
     uint32_t requests = 0;
     uint32_t retries = 0;
-    for (const auto& one : m_slices) {
-        if (one.number < oldest)
+    for (const auto& each : m_slices) {
+        if (each.number < oldest)
             continue;
-        retries += one.retries;
-        if (one.number > oldest)
-            requests += one.requests;
+        retries += each.retries;
+        if (each.number > oldest)
+            requests += each.requests;
     }
     if (retries + 1 > m_bounds.ratio * ratioSafetyFactor * requests + m_bounds.allowance)
         return false;
--- a/Source/RouteServing/Routing/Suspect.cpp
+++ b/Source/RouteServing/Routing/Suspect.cpp
@@ -150,15 +150,15 @@
 
 bool merge(SuspectRecord& suspect, const SuspectRecord& other)
 {
-    bool isNews = clear(suspect, other.cleared);
+    bool hasChanged = clear(suspect, other.cleared);
     for (const auto& run : other.runs)
-        isNews |= addRun(suspect, run);
+        hasChanged |= addRun(suspect, run);
     if (trialsSinceCleared(other) > trialsSinceCleared(suspect) && other.lastTrial > suspect.cleared) {
         suspect.trials = other.trials;
         suspect.lastTrial = other.lastTrial;
-        isNews = true;
+        hasChanged = true;
     }
-    return isNews;
+    return hasChanged;
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -90,21 +90,21 @@
         recordChange(entry, now);
 }
 
-SuspectLedger::Entry& SuspectLedger::findOrCreate(const SuspectRecord& named, TimePoint now)
+SuspectLedger::Entry& SuspectLedger::findOrCreate(const SuspectRecord& suspect, TimePoint now)
 {
     evictExpired(now);
-    auto found = m_entries.find(named.request);
+    auto found = m_entries.find(suspect.request);
     if (found != m_entries.end())
         return found->second;
-    if (m_countByWorkspace[named.workspace] >= maxEntriesOfWorkspace)
-        evictLeastSuspicious([&](const auto& record) { return record.workspace == named.workspace; }, now);
+    if (m_countByWorkspace[suspect.workspace] >= maxEntriesOfWorkspace)
+        evictLeastSuspicious([&](const auto& record) { return record.workspace == suspect.workspace; }, now);
     if (m_entries.size() >= maxEntries)
         evictLeastSuspicious([](const auto&) { return true; }, now);
-    ++m_countByWorkspace[named.workspace];
-    auto& entry = m_entries[named.request];
-    entry.record.request = named.request;
-    entry.record.workspace = named.workspace;
-    entry.record.target = named.target;
+    ++m_countByWorkspace[suspect.workspace];
+    auto& entry = m_entries[suspect.request];
+    entry.record.request = suspect.request;
+    entry.record.workspace = suspect.workspace;
+    entry.record.target = suspect.target;
     m_size = m_entries.size();
     return entry;
 }
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -65,7 +65,7 @@
     using Entries = std::map<RequestIdentity, Entry>;
 
     // The functions below require the lock.
-    Entry& findOrCreate(const SuspectRecord& named, Common::TimePoint now);
+    Entry& findOrCreate(const SuspectRecord& suspect, Common::TimePoint now);
     void recordChange(Entry&, Common::TimePoint now);
     void evictExpired(Common::TimePoint now);
     // Evicts a fraction of the candidates, the least suspicious first, and among equals those with the oldest last
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -237,9 +237,9 @@
     auto& sender = *new RecordingNode("a");
     sender.setPeers({ { "b", { "127.0.0.1", acceptor.local_endpoint().port() } } });
     // Exceeds the default HTTP/2 window (65,535 bytes) and fits into the kernel's buffers.
-    static constexpr size_t moreThanTheWindow = 100 * 1024;
+    static constexpr size_t itemBytes = 100 * 1024;
     Wire::Item item;
-    item.mutable_config_state()->add_files()->set_content(std::string(moreThanTheWindow, 'x'));
+    item.mutable_config_state()->add_files()->set_content(std::string(itemBytes, 'x'));
     sender.mesh().send("b", item);
     EXPECT_TRUE(sender.awaitEvent("disconnected b"));
 }
@@ -275,9 +275,9 @@
     tcp::acceptor acceptor(io, tcp::v4());
     acceptor.bind({ boost::asio::ip::address_v4::loopback(), 0 }); // Not listening yet, so connections are refused.
     auto& sender = *new RecordingNode("a", runtime);
-    auto isOver = std::make_shared<std::atomic<bool>>(false);
-    sender.onDisconnected = [&sender, isOver] {
-        if (!*isOver)
+    auto hasConnected = std::make_shared<std::atomic<bool>>(false);
+    sender.onDisconnected = [&sender, hasConnected] {
+        if (!*hasConnected)
             sender.mesh().send("b", numberedItem(9));
     };
     sender.setPeers({ { "b", { "127.0.0.1", acceptor.local_endpoint().port() } } });
@@ -288,7 +288,7 @@
     }
     acceptor.listen();
     ASSERT_TRUE(sender.awaitEvent("connected b"));
-    *isOver = true;
+    *hasConnected = true;
     auto events = sender.events();
     EXPECT_EQ(std::ranges::count(events, "connected b"), 1);
     EXPECT_EQ(events.back(), "connected b");
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -20,9 +20,9 @@
     for (uint64_t sequence = 0; sequence < count; ++sequence)
         sender.send("b", sequence);
     ASSERT_TRUE(receiver.awaitCount(count));
-    auto got = receiver.received();
+    auto sequences = receiver.received();
     for (uint64_t sequence = 0; sequence < count; ++sequence)
-        EXPECT_EQ(got[sequence], sequence);
+        EXPECT_EQ(sequences[sequence], sequence);
 }
 
 TEST(MeshTest, PeerWithoutTheFleetKeyIsRefusedAndItsItemsAreDropped)
@@ -46,8 +46,8 @@
     auto& sender = *new MeshNode("a", "key");
     std::promise<uint16_t> port;
     std::promise<void> isWriting;
-    std::promise<void> mayEnd;
-    auto mayEndFuture = mayEnd.get_future();
+    std::promise<void> endRequested;
+    auto endRequestedFuture = endRequested.get_future();
     std::thread peer([&] {
         boost::asio::io_context io;
         tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
@@ -64,7 +64,7 @@
         std::string received(256 * 1024, '\0');
         boost::asio::read(socket, boost::asio::buffer(received));
         isWriting.set_value();
-        mayEndFuture.wait();
+        endRequestedFuture.wait();
         socket.shutdown(tcp::socket::shutdown_send);
         // Stays open until the sender closes the connection.
         boost::system::error_code error;
@@ -75,7 +75,7 @@
     sender.sendLarge("b", 15 * 1024 * 1024);
     isWriting.get_future().wait();
     sender.send("b", 1);
-    mayEnd.set_value();
+    endRequested.set_value();
     EXPECT_TRUE(sender.awaitDisconnected("b"));
     peer.join();
     auto& receiver = *new MeshNode("b", "key");
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -138,9 +138,9 @@
     log.append(a, Step::Release, stop);
     EXPECT_FALSE(a.token(stop));
     EXPECT_EQ(a.nextStep({ true, true }, stop + 1min), Step::Wait) << "a stopping router does not reclaim";
-    Lease again(s_times, "a", 3, stop + 1s);
-    log.read(again, stop + 1s);
-    EXPECT_EQ(again.nextStep(s_candidate, stop + 1s), Step::Read);
+    Lease restarted(s_times, "a", 3, stop + 1s);
+    log.read(restarted, stop + 1s);
+    EXPECT_EQ(restarted.nextStep(s_candidate, stop + 1s), Step::Read);
     log.read(b, stop);
     EXPECT_EQ(b.nextStep(s_candidate, stop), Step::Claim);
 }
@@ -169,12 +169,12 @@
     Lease a(s_times, "a", 1, s_start);
     log.read(a, s_start);
     log.append(a, Step::Claim, s_start);
-    Lease again(s_times, "a", 9, s_start + 1s);
-    log.read(again, s_start + 1s);
-    EXPECT_FALSE(again.isHolder());
-    EXPECT_EQ(again.nextStep(s_candidate, s_start + 1s), Step::Claim);
-    log.append(again, Step::Claim, s_start + 1s);
-    EXPECT_EQ(again.token(s_start + 1s), 2U);
+    Lease restarted(s_times, "a", 9, s_start + 1s);
+    log.read(restarted, s_start + 1s);
+    EXPECT_FALSE(restarted.isHolder());
+    EXPECT_EQ(restarted.nextStep(s_candidate, s_start + 1s), Step::Claim);
+    log.append(restarted, Step::Claim, s_start + 1s);
+    EXPECT_EQ(restarted.token(s_start + 1s), 2U);
 }
 
 TEST(LeaseTest, ANewTokenIsHigherAndKeepsTheLease)
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -126,10 +126,10 @@
 
 double QuotaFleet::reachableShare(size_t index) const
 {
-    double heard = 0;
+    double reachable = 0;
     for (size_t other = 0; other < m_routers.size(); ++other)
-        heard += isAlive(other, index);
-    return heard / static_cast<double>(m_routers.size());
+        reachable += isAlive(other, index);
+    return reachable / static_cast<double>(m_routers.size());
 }
 
 size_t QuotaFleet::indexOf(const std::string& id) const { return std::stoul(id.substr(1)); }
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -158,7 +158,7 @@
         fleet.setLimit(limit);
         auto limitStatedAt = fleet.now();
         auto randomRouter = [&] { return *rc::gen::inRange<size_t>(0, options.routers); };
-        for (int turn = 0; turn < 25; ++turn) {
+        for (int step = 0; step < 25; ++step) {
             switch (*rc::gen::inRange(0, 6)) {
             case 0:
                 fleet.freeze(randomRouter(), Common::Milliseconds(*rc::gen::inRange(50, 6000)));
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -178,15 +178,15 @@
     EnginePlacement placement;
     auto engines = nineEngines();
     auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
-    auto takesPrefillHeavy = [&](Common::TimePoint now) {
+    auto receivesPrefillHeavy = [&](Common::TimePoint now) {
         for (uint64_t prefix = 0; prefix < 300; ++prefix) {
             if (placement.place(prefillHeavy(prefix), engines, s_limits, s_due, now)->index == pick->index)
                 return true;
         }
         return false;
     };
-    EXPECT_FALSE(takesPrefillHeavy(s_now + 2s));
-    EXPECT_TRUE(takesPrefillHeavy(s_now + 4s));
+    EXPECT_FALSE(receivesPrefillHeavy(s_now + 2s));
+    EXPECT_TRUE(receivesPrefillHeavy(s_now + 4s));
 }
 
 TEST(EnginePlacementTest, WithoutAnEngineThereIsNoPlacement)
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -40,19 +40,19 @@
     for (size_t count : { 1, 2, 3, 4, 6, 7, 80, 350 }) {
         auto ids = routers(count);
         std::set<std::string> hubs;
-        std::map<std::string, size_t> asked;
+        std::map<std::string, size_t> subscribersByHub;
         size_t readers = 0;
         for (const auto& id : ids) {
             auto ranking = rankingOf(id, ids);
             if (ranking.isHub())
                 hubs.insert(id);
             else
-                ++asked[*ranking.source()];
+                ++subscribersByHub[*ranking.source()];
             readers += ranking.readsStore();
         }
         EXPECT_EQ(readers, HubRanking::storeReaderCount(count)) << count;
         EXPECT_EQ(hubs.size(), HubRanking::hubCount(count)) << count;
-        for (const auto& [hub, subscribers] : asked) {
+        for (const auto& [hub, subscribers] : subscribersByHub) {
             EXPECT_TRUE(hubs.contains(hub)) << count;
             EXPECT_LE(subscribers, 3 * hubs.size() + 3)
                 << "no hub has many more subscribers than the others, fleet of " << count;
@@ -81,16 +81,16 @@
 {
     auto ids = routers(350);
     std::set<std::string> readers;
-    std::set<std::string> asked;
+    std::set<std::string> sources;
     for (const auto& id : ids) {
         auto ranking = rankingOf(id, ids);
         if (ranking.readsStore())
             readers.insert(id);
         else if (ranking.isHub())
-            asked.insert(*ranking.source());
+            sources.insert(*ranking.source());
     }
     EXPECT_EQ(readers.size(), 3U);
-    EXPECT_EQ(asked, readers);
+    EXPECT_EQ(sources, readers);
 }
 
 // The store may reject some routers and serve the others.
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -153,9 +153,9 @@
     for (int request = 0; request < 90; ++request) {
         quotas.recordUnplaced(s_key, 0, s_now);
         quotas.recordUnplaced(s_key, 3, s_now);
-        bool mayGo = quotas.allowsRequest(s_key, 3, s_now);
-        lessUrgent += mayGo;
-        EXPECT_TRUE(quotas.take(s_key, mayGo ? 3 : 0, s_now));
+        bool isAllowed = quotas.allowsRequest(s_key, 3, s_now);
+        lessUrgent += isAllowed;
+        EXPECT_TRUE(quotas.take(s_key, isAllowed ? 3 : 0, s_now));
     }
     EXPECT_EQ(lessUrgent, 15U);
 }
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -86,11 +86,11 @@
 {
     auto suspect = suspectWith({ runAt("a", 0ms, 200ms), runAt("b", 300ms, 500ms), runAt("c", 600ms, 800ms) });
     auto last = s_start + 800ms;
-    for (auto hold : { Common::Milliseconds(10min), Common::Milliseconds(1h), Common::Milliseconds(6h) }) {
-        EXPECT_EQ(nextTrial(suspect), last + hold);
-        EXPECT_EQ(suspicionOf(suspect, last + hold - 1ms), Suspicion::Held);
-        EXPECT_EQ(suspicionOf(suspect, last + hold), Suspicion::OnTrial);
-        last += hold;
+    for (auto trialDelay : { Common::Milliseconds(10min), Common::Milliseconds(1h), Common::Milliseconds(6h) }) {
+        EXPECT_EQ(nextTrial(suspect), last + trialDelay);
+        EXPECT_EQ(suspicionOf(suspect, last + trialDelay - 1ms), Suspicion::Held);
+        EXPECT_EQ(suspicionOf(suspect, last + trialDelay), Suspicion::OnTrial);
+        last += trialDelay;
         countTrial(suspect, last);
         EXPECT_EQ(suspicionOf(suspect, last), Suspicion::Held) << "a single trial run is allowed";
     }
@@ -105,27 +105,27 @@
 TEST(SuspectTest, MergingIsTheSameInAnyOrderAndHoweverOften)
 {
     EXPECT_TRUE(rc::check([] {
-        std::vector<SuspectRecord> notes;
-        for (int note = 0; note < 6; ++note) {
-            SuspectRecord one;
+        std::vector<SuspectRecord> records;
+        for (int index = 0; index < 6; ++index) {
+            SuspectRecord record;
             auto sent = Common::Milliseconds(*rc::gen::inRange(0, 9000));
             auto upstream = std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 12)));
             // One incarnation crashes once.
             auto ended = Common::Milliseconds(1000 * (upstream[0] - 'a') + 500);
-            addRun(one, runAt(upstream, std::min(sent, ended), ended));
+            addRun(record, runAt(upstream, std::min(sent, ended), ended));
             if (*rc::gen::inRange(0, 4) == 0)
-                clear(one, s_start + Common::Milliseconds(*rc::gen::inRange(0, 12) * 1000));
-            notes.push_back(one);
+                clear(record, s_start + Common::Milliseconds(*rc::gen::inRange(0, 12) * 1000));
+            records.push_back(record);
         }
         auto mergeAll = [](const std::vector<SuspectRecord>& all) {
             SuspectRecord sum;
-            for (const auto& note : all)
-                merge(sum, note);
+            for (const auto& record : all)
+                merge(sum, record);
             return sum;
         };
-        auto inOrder = mergeAll(notes);
-        std::reverse(notes.begin(), notes.end());
-        auto reversed = mergeAll(notes);
+        auto inOrder = mergeAll(records);
+        std::reverse(records.begin(), records.end());
+        auto reversed = mergeAll(records);
         RC_ASSERT(countCrashes(inOrder).all == countCrashes(reversed).all);
         RC_ASSERT(inOrder.cleared == reversed.cleared);
         auto twice = inOrder;
@@ -151,12 +151,12 @@
 // engines also crash for other reasons.
 struct History {
     static constexpr size_t engines = 12;
-    static constexpr size_t innocents = 6;
+    static constexpr size_t harmlessRequests = 6;
 
     SuspectLedger ledger;
     TimePoint now { s_start };
     uint64_t born { 0 };
-    size_t guiltyRuns { 0 };
+    size_t crashingRuns { 0 };
     // Since when an innocent request is held without a due trial.
     std::map<uint64_t, TimePoint> heldSince;
 
@@ -172,14 +172,15 @@
         return suspicion != Suspicion::Held;
     }
 
-    // Runs these requests on one engine. It crashes if the guilty one is among them or if `crashesByItself` is set.
-    void play(const std::vector<uint64_t>& numbers, bool crashesByItself, Common::Milliseconds time)
+    // Runs these requests on one engine. It crashes if the guilty one is among them or if `crashesIndependently` is
+    // set.
+    void run(const std::vector<uint64_t>& numbers, bool crashesIndependently, Common::Milliseconds time)
     {
         auto sent = now;
         now += time;
-        bool hasGuilty = std::find(numbers.begin(), numbers.end(), 0) != numbers.end();
-        guiltyRuns += hasGuilty;
-        if (!hasGuilty && !crashesByItself) {
+        bool hasCrashingRequest = std::find(numbers.begin(), numbers.end(), 0) != numbers.end();
+        crashingRuns += hasCrashingRequest;
+        if (!hasCrashingRequest && !crashesIndependently) {
             for (auto number : numbers)
                 ledger.recordCompleted(identityOf(number), now);
             return;
@@ -202,25 +203,25 @@
         History history;
         for (int step = 0; step < 300; ++step) {
             std::vector<uint64_t> batch;
-            for (uint64_t number = 0; number <= History::innocents; ++number) {
+            for (uint64_t number = 0; number <= History::harmlessRequests; ++number) {
                 if (*rc::gen::inRange(0, 3) == 0 && history.mayRun(number))
                     batch.push_back(number);
             }
-            bool crashesByItself = *rc::gen::inRange(0, 8) == 0;
+            bool crashesIndependently = *rc::gen::inRange(0, 8) == 0;
             if (!batch.empty())
-                history.play(batch, crashesByItself, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
+                history.run(batch, crashesIndependently, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
             history.now += Common::Milliseconds(*rc::gen::inRange(50, 3000));
             // Without other crashes, a held innocent request gets a trial and is cleared.
             if (step % 100 == 99) {
                 history.now += 10min;
-                for (uint64_t number = 1; number <= History::innocents; ++number) {
+                for (uint64_t number = 1; number <= History::harmlessRequests; ++number) {
                     RC_ASSERT(history.mayRun(number));
-                    history.play({ number }, false, 200ms);
+                    history.run({ number }, false, 200ms);
                     RC_ASSERT(history.ledger.suspicionOf(identityOf(number), history.now) == Suspicion::None);
                 }
             }
         }
-        RC_ASSERT(history.guiltyRuns <= 3U + 3U);
+        RC_ASSERT(history.crashingRuns <= 3U + 3U);
     }));
 }
 
@@ -230,15 +231,15 @@
         History history;
         while (history.now < s_start + 9min) {
             std::vector<uint64_t> batch;
-            for (uint64_t number = 0; number <= History::innocents; ++number) {
+            for (uint64_t number = 0; number <= History::harmlessRequests; ++number) {
                 if (*rc::gen::inRange(0, 2) == 0 && history.mayRun(number))
                     batch.push_back(number);
             }
             if (!batch.empty())
-                history.play(batch, *rc::gen::inRange(0, 20) == 0, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
+                history.run(batch, *rc::gen::inRange(0, 20) == 0, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
             history.now += Common::Milliseconds(*rc::gen::inRange(50, 3000));
         }
-        RC_ASSERT(history.guiltyRuns == 3U);
+        RC_ASSERT(history.crashingRuns == 3U);
     }));
 }
 
@@ -330,14 +331,14 @@
             attempts.push_back(attemptOf(2, sent, sent + 500ms));
         ledger.recordCrash({ "a", static_cast<uint64_t>(crash) }, attempts, sent + 500ms);
     }
-    auto touch = [&](uint64_t number, TimePoint now) {
+    auto crash = [&](uint64_t number, TimePoint now) {
         std::vector<InterruptedAttempt> attempts { attemptOf(number, now, now) };
         ledger.recordCrash({ "b", number }, attempts, now);
     };
-    touch(3, s_start + 11min);
+    crash(3, s_start + 11min);
     EXPECT_FALSE(ledger.find(identityOf(2)));
     EXPECT_TRUE(ledger.find(identityOf(1))) << "held requests are kept longer";
-    touch(4, s_start + 25h);
+    crash(4, s_start + 25h);
     EXPECT_FALSE(ledger.find(identityOf(1)));
 }
 
