--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -41,7 +41,7 @@
     enum class Outcome : uint8_t {
         Accepted,
         NoCapacity, // The platform currently has no free engines of this kind in the domain.
-        Rejected,
+        NotPerformed,
         NoResponse,
     };
     void record(const CapacityOrder&, uint64_t token, Outcome, Common::TimePoint now);
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -45,10 +45,10 @@
 
 // Returns the number of spot engines per domain with which the other domains carry the load if one domain loses its
 // spot engines. With a single domain, there is no such reserve.
-unsigned CapacityPlan::spotTarget(size_t domains, unsigned needed) const
+unsigned CapacityPlan::spotTargetPerDomain(size_t domains, unsigned needed) const
 {
-    auto carriers = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
-    return (needed + carriers - 1) / carriers;
+    auto remainingDomains = static_cast<unsigned>(std::max<size_t>(1, domains - 1));
+    return (needed + remainingDomains - 1) / remainingDomains;
 }
 
 std::vector<CapacityPlan::Target> CapacityPlan::targets(
@@ -61,8 +61,8 @@
     for (const auto& domain : domains) {
         targets.push_back({ floor, 0 });
         if (spotIsCheaper)
-            targets.back().spot
-                = std::min(spotTarget(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
+            targets.back().spot = std::min(
+                spotTargetPerDomain(domains.size(), need.withHeadroom), m_terms.max - std::min(m_terms.max, floor));
         carried += floor + std::min(domain.spot, targets.back().spot);
     }
     // On-demand engines cover the part of the sustained need that the engines counted so far do not cover, in the
--- a/Source/RouteServing/Duties/Lease.h
+++ b/Source/RouteServing/Duties/Lease.h
@@ -93,7 +93,7 @@
     // call to the platform.
     std::optional<uint64_t> token(Common::TimePoint now) const;
     // Requests a claim with a new token, because an earlier order may still be executed with the current one.
-    void requireNewToken() { m_state.wantsNewToken = true; }
+    void requireNewToken() { m_state.isNewTokenRequired = true; }
     // Sets the first window whose report is outstanding. Written to the log with the next record.
     void setFirstUnreported(uint64_t window) { m_state.firstUnreported = window; }
 
@@ -104,7 +104,7 @@
         std::optional<Common::TimePoint> eraFirstReadAt;
         bool mustReclaim { false }; // The router held the lease when the era changed.
         bool mustRead { true };
-        bool wantsNewToken { false };
+        bool isNewTokenRequired { false };
         uint64_t firstUnreported { 0 };
         std::optional<LeaseRecord> newest;
         std::optional<uint64_t> newestOffset; // Offset of the newest valid record that was applied.
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -21,7 +21,7 @@
 void callEnded(std::string_view call, DutyCallOutcome);
 // Increments `brassladder_usage_windows_total{how}`. `how` is accepted or rejected, or unknown if the counts are
 // incomplete.
-void usageWindowClosed(std::string_view how);
+void usageWindowClosed(std::string_view outcome);
 
 // Sets `brassladder_capacity_engines{service,what}`. `what` is standing (listed engines that are not leaving), lasting
 // (needed for the sustained load) or ahead (needed with headroom).
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -124,13 +124,13 @@
 bool PeerExchange::isPartitioned() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.isPartitioned(Common::now());
+    return m_connectivity.isPartitioned(Common::now());
 }
 
 double PeerExchange::unreachableLoadFactor() const
 {
     std::lock_guard lock(m_mutex);
-    return m_contact.unreachableLoadFactor(Common::now());
+    return m_connectivity.unreachableLoadFactor(Common::now());
 }
 
 std::optional<size_t> PeerExchange::fleetSize() const
@@ -159,7 +159,7 @@
 
 // Exchange
 
-void PeerExchange::exchange()
+void PeerExchange::run()
 {
     while (true) {
         step();
@@ -175,8 +175,8 @@
     {
         std::lock_guard lock(m_mutex);
         target = updateTarget();
-        m_contact.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
-        reachableShare = m_contact.reachableShare(now);
+        m_connectivity.record(m_loads.subscriberRouters(now) + m_loads.hubRouters(now), now);
+        reachableShare = m_connectivity.reachableShare(now);
         m_parts.registry.setPeerLoads(m_loads.sumOfOthers(now));
     }
     if (target->seed)
@@ -354,10 +354,10 @@
     // because the seed's own id was not known when it was sent.
     auto& outstanding = m_member.outstanding();
     if (const auto& seed = m_member.seed()) {
-        outstanding.take(seed->id, snapshot.nonce());
+        outstanding.complete(seed->id, snapshot.nonce());
         return std::nullopt;
     }
-    auto requestedAt = outstanding.take(from, snapshot.nonce());
+    auto requestedAt = outstanding.complete(from, snapshot.nonce());
     if (!requestedAt)
         return std::nullopt;
     m_member.recordPeerStoreAvailability(from, !snapshot.store_unavailable(), now);
--- a/Source/RouteServing/Gateway/SuspectCheck.h
+++ b/Source/RouteServing/Gateway/SuspectCheck.h
@@ -36,7 +36,7 @@
 
     // Must be called before each attempt. Waits while another run of a suspect is in progress, until the deadline at
     // most. Returns a refusal if the request must not be sent.
-    std::optional<Routing::Refusal> await(const std::string& requestId, Common::TimePoint deadline);
+    std::optional<Routing::Refusal> awaitPermission(const std::string& requestId, Common::TimePoint deadline);
     // Whether this run of the request is exclusive. It is then placed at an upstream with few other requests.
     bool runsExclusively() const { return m_runsExclusively; }
 
--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -17,7 +17,7 @@
 Admission admit(const RouterState& state, const RequestTarget& target)
 {
     Admission admission;
-    if (state.isStopping) {
+    if (state.refusesNewRequests) {
         admission.refusal = Refusal { ErrorKind::Draining, "this instance is stopping" };
         return admission;
     }
--- a/Source/RouteServing/Routing/OutstandingRequests.h
+++ b/Source/RouteServing/Routing/OutstandingRequests.h
@@ -27,7 +27,7 @@
     std::optional<uint64_t> add(std::string_view target, bool asHub, Common::TimePoint now);
     // Removes the request that a response belongs to, and all older ones. Returns when the request was sent, or nullopt
     // if it is not outstanding.
-    std::optional<Common::TimePoint> take(std::string_view from, uint64_t number);
+    std::optional<Common::TimePoint> complete(std::string_view from, uint64_t number);
 
     // Whether a response is overdue, so that the target counts as unresponsive.
     bool isOverdue(Common::TimePoint now) const;
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -15,25 +15,25 @@
 {
     auto& sender = *new MeshNode("a", "key");
     auto& receiver = *new MeshNode("b", "key");
-    sender.connectTo(receiver, "b");
+    sender.setPeer(receiver, "b");
     static constexpr uint64_t count = 5000;
     for (uint64_t sequence = 0; sequence < count; ++sequence)
         sender.send("b", sequence);
     ASSERT_TRUE(receiver.awaitCount(count));
-    auto got = receiver.received();
+    auto sequences = receiver.received();
     for (uint64_t sequence = 0; sequence < count; ++sequence)
-        EXPECT_EQ(got[sequence], sequence);
+        EXPECT_EQ(sequences[sequence], sequence);
 }
 
 TEST(MeshTest, PeerWithoutTheFleetKeyIsRefusedAndItsItemsAreDropped)
 {
     auto& unauthorizedNode = *new MeshNode("x", "another key");
     auto& receiver = *new MeshNode("b", "key");
-    unauthorizedNode.connectTo(receiver, "b");
+    unauthorizedNode.setPeer(receiver, "b");
     unauthorizedNode.send("b", 1);
     EXPECT_TRUE(unauthorizedNode.awaitDisconnected("b"));
     auto& authorizedNode = *new MeshNode("a", "key");
-    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.setPeer(receiver, "b");
     authorizedNode.send("b", 2);
     ASSERT_TRUE(receiver.awaitCount(1));
     EXPECT_EQ(receiver.received(), std::vector<uint64_t> { 2 });
@@ -46,8 +46,8 @@
     auto& sender = *new MeshNode("a", "key");
     std::promise<uint16_t> port;
     std::promise<void> isWriting;
-    std::promise<void> mayEnd;
-    auto mayEndFuture = mayEnd.get_future();
+    std::promise<void> endRequested;
+    auto endRequestedFuture = endRequested.get_future();
     std::thread peer([&] {
         boost::asio::io_context io;
         tcp::acceptor acceptor(io, { boost::asio::ip::address_v4::loopback(), 0 });
@@ -64,22 +64,22 @@
         std::string received(256 * 1024, '\0');
         boost::asio::read(socket, boost::asio::buffer(received));
         isWriting.set_value();
-        mayEndFuture.wait();
+        endRequestedFuture.wait();
         socket.shutdown(tcp::socket::shutdown_send);
         // Stays open until the sender closes the connection.
         boost::system::error_code error;
         while (!error)
             socket.read_some(boost::asio::buffer(received), error);
     });
-    sender.connectTo(port.get_future().get(), "b");
+    sender.setPeer(port.get_future().get(), "b");
     sender.sendLarge("b", 15 * 1024 * 1024);
     isWriting.get_future().wait();
     sender.send("b", 1);
-    mayEnd.set_value();
+    endRequested.set_value();
     EXPECT_TRUE(sender.awaitDisconnected("b"));
     peer.join();
     auto& receiver = *new MeshNode("b", "key");
-    sender.connectTo(receiver, "b");
+    sender.setPeer(receiver, "b");
     sender.send("b", 2);
     EXPECT_TRUE(receiver.awaitCount(1)) << "the sender still delivers items";
 }
@@ -129,7 +129,7 @@
         EXPECT_NE(closed, boost::beast::error::timeout);
     }
     auto& authorizedNode = *new MeshNode("a", "key");
-    authorizedNode.connectTo(receiver, "b");
+    authorizedNode.setPeer(receiver, "b");
     authorizedNode.send("b", 3);
     EXPECT_TRUE(receiver.awaitCount(1));
 }
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -31,7 +31,7 @@
 {
     SendQuotas quotas;
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Stated);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_FALSE(quotas.take(s_key, 0, s_now));
     quotas.add(s_key, 2, s_now + 700ms);
@@ -61,7 +61,7 @@
     EXPECT_EQ(quotas.recordStatement(upstream(), none, s_now + 2s, s_now + 5s), LimitChange::Ended);
     EXPECT_FALSE(quotas.isLimited(s_key));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 5s));
-    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Named);
+    EXPECT_EQ(quotas.recordStatement(upstream(), { 1 }, s_now + 6s, s_now + 6s), LimitChange::Stated);
 }
 
 TEST(SendQuotasTest, ANewLimitAppliesAtOnceAndALowerOneVoidsTheQuota)
@@ -153,9 +153,9 @@
     for (int request = 0; request < 90; ++request) {
         quotas.recordUnplaced(s_key, 0, s_now);
         quotas.recordUnplaced(s_key, 3, s_now);
-        bool mayGo = quotas.allowsRequest(s_key, 3, s_now);
-        lessUrgent += mayGo;
-        EXPECT_TRUE(quotas.take(s_key, mayGo ? 3 : 0, s_now));
+        bool isAllowed = quotas.allowsRequest(s_key, 3, s_now);
+        lessUrgent += isAllowed;
+        EXPECT_TRUE(quotas.take(s_key, isAllowed ? 3 : 0, s_now));
     }
     EXPECT_EQ(lessUrgent, 15U);
 }
