--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -293,7 +293,8 @@
     uint64_t m_era { 0 };
     std::vector<LateAppend> m_lateAppends;
     std::vector<Call> m_lateCalls;
-    std::deque<AcceptedCall> m_acceptedCalls; // The last three accepted calls, for the detection of alternating holders.
+    std::deque<AcceptedCall>
+        m_acceptedCalls; // The last three accepted calls, for the detection of alternating holders.
     std::map<uint64_t, size_t> m_tokens; // Sender of each token.
     uint64_t m_highestToken { 0 };
     std::optional<uint64_t> m_accepted;
