--- a/Source/RouteServing/Duties/FleetClock.cpp
+++ b/Source/RouteServing/Duties/FleetClock.cpp
@@ -40,7 +40,7 @@
 void FleetClock::recordSubscriberTime(const std::string& id, Milliseconds time, TimePoint now)
 {
     std::erase_if(m_subscribers, [&](const auto& entry) { return now - entry.second.at >= maxOffsetAge; });
-    m_subscribers[id] = { time - ownTime(now), now };
+    m_subscribers[id] = { time - this->ownTime(now), now };
 }
 
 void FleetClock::recordHubTime(Milliseconds time, TimePoint sent, TimePoint now)
