--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -76,7 +76,7 @@
     gauge("brassladder_upstreams_limited", "Upstreams with a limit for all routers together, as this router knows")
         .Set(static_cast<double>(summary.limited));
     gauge("brassladder_quota_allowed", "Requests that this router was allowed to send to upstreams with a limit")
-        .Set(static_cast<double>(summary.allowed));
+        .Set(static_cast<double>(summary.granted));
     gauge("brassladder_quota_used", "Of those, requests that it sent").Set(static_cast<double>(summary.used));
 }
 
--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -99,7 +99,7 @@
     auto& received = m_received[m_self].counts[key];
     state.pool.take(state.routerAssigner.assign(state.pool.size(now), now));
     auto granted = state.routerAssigner.granted(m_self, m_incarnation);
-    m_quotas.add(key, static_cast<unsigned>(granted - received), now + Routing::quotaValidity);
+    m_quotas.addGrant(key, static_cast<unsigned>(granted - received), now + Routing::quotaValidity);
     received = granted;
 }
 
@@ -137,7 +137,7 @@
     table.add_limits(
         static_cast<uint32_t>(std::llround(known.limit.requestsPerSecond * limitUnitsPerRequestPerSecond)));
     table.add_named_ages_ms(encodeTime(known.limit.statedAt, now));
-    table.add_unnamed_ages_ms(encodeTime(known.limit.unstatedSince, now));
+    table.add_unnamed_ages_ms(encodeTime(known.limit.unstatedRequestSentAt, now));
 }
 
 bool QuotaExchange::mergeLimits(const QuotaTable& table, Common::TimePoint sent)
@@ -262,7 +262,7 @@
         return;
     std::lock_guard lock(m_mutex);
     for (int row = 0; row < table.upstreams_size(); ++row)
-        m_quotas.add(table.upstreams(row), recordGranted(from, table, row), requestedAt + Routing::quotaValidity);
+        m_quotas.addGrant(table.upstreams(row), recordGranted(from, table, row), requestedAt + Routing::quotaValidity);
 }
 
 void QuotaExchange::receive(
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -123,7 +123,7 @@
 bool RequestHandler::awaitQuota()
 {
     auto now = Common::now();
-    bool mayWait = !isAbandoned() && now < m_report.arrived + Routing::maxQuotaHold(*m_route);
+    bool mayWait = !isAbandoned() && now < m_report.arrived + Routing::maxQuotaWait(*m_route);
     if (!mayWait || !m_services.registry.quotaWait(placementRequest(), now))
         return false;
     m_isAwaitingQuota = true;
--- a/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.cpp
@@ -9,20 +9,20 @@
 using namespace std::chrono_literals;
 
 // Upper bound of the wait for a quota on routes with a long objective.
-static constexpr Common::Milliseconds quotaHoldCap = 300ms;
+static constexpr Common::Milliseconds maxQuotaWaitCap = 300ms;
 
-Common::Milliseconds maxQuotaHold(const Route& route) { return std::min(route.objective / 2, quotaHoldCap); }
+Common::Milliseconds maxQuotaWait(const Route& route) { return std::min(route.objective / 2, maxQuotaWaitCap); }
 
-Refusal noUpstreamRefusal(const NextAvailability& chance, bool mayHaveRun, Common::TimePoint now)
+Refusal noUpstreamRefusal(const NextAvailability& availability, bool mayHaveRun, Common::TimePoint now)
 {
     if (mayHaveRun)
         return { ErrorKind::UpstreamBroken, "no upstream is left" };
     std::optional<Common::Milliseconds> cooldown;
     // Rounded up, so that a retry does not arrive just before the end of the cooldown.
-    if (chance.earliestCooldownEnd)
-        cooldown = std::max(1ms, Common::toMilliseconds(*chance.earliestCooldownEnd - now) + 1ms);
-    if (chance.quotaWait && (!cooldown || *chance.quotaWait < *cooldown))
-        return { ErrorKind::UpstreamsLimited, "the limits of all upstreams are used up", *chance.quotaWait };
+    if (availability.earliestCooldownEnd)
+        cooldown = std::max(1ms, Common::toMilliseconds(*availability.earliestCooldownEnd - now) + 1ms);
+    if (availability.quotaWait && (!cooldown || *availability.quotaWait < *cooldown))
+        return { ErrorKind::UpstreamsLimited, "the limits of all upstreams are used up", *availability.quotaWait };
     if (!cooldown)
         return { ErrorKind::NoUpstream, "no upstream is left" };
     return { ErrorKind::UpstreamsResting, "every upstream is in a Retry-After cooldown", *cooldown };
--- a/Source/RouteServing/Routing/NoUpstreamPolicy.h
+++ b/Source/RouteServing/Routing/NoUpstreamPolicy.h
@@ -21,7 +21,7 @@
 };
 
 // Returns how long after its arrival a request may wait for a quota.
-Common::Milliseconds maxQuotaHold(const Route&);
+Common::Milliseconds maxQuotaWait(const Route&);
 
 // Returns the refusal of a request for which no upstream is available. `mayHaveRun`: an earlier attempt may have run,
 // so the refusal does not state that the request did not run and gives no retry time.
--- a/Source/RouteServing/Routing/QuotaAssigner.cpp
+++ b/Source/RouteServing/Routing/QuotaAssigner.cpp
@@ -74,13 +74,13 @@
 
 unsigned QuotaAssigner::assign(unsigned requests, Common::TimePoint now)
 {
-    for (unsigned given = 0; given < requests; ++given) {
+    for (unsigned assigned = 0; assigned < requests; ++assigned) {
         auto next = std::max_element(m_requesters.begin(), m_requesters.end(), [&](const auto& a, const auto& b) {
             return std::pair(unmetDemand(a.second, now), b.second.lastGrantNumber)
                 < std::pair(unmetDemand(b.second, now), a.second.lastGrantNumber);
         });
         if (next == m_requesters.end() || !unmetDemand(next->second, now))
-            return given;
+            return assigned;
         ++next->second.granted;
         next->second.lastGrantNumber = ++m_lastGrantNumber;
     }
--- a/Source/RouteServing/Routing/RefusalBackoff.cpp
+++ b/Source/RouteServing/Routing/RefusalBackoff.cpp
@@ -10,13 +10,13 @@
 // Length of the first backoff, and the upper bound of the doubling.
 static constexpr Common::Milliseconds initialBackoff = 25ms;
 static constexpr Common::Milliseconds maxBackoff = 4000ms;
-// An upstream on trial may receive the next request this long after the previous one if that was neither refused nor
+// A half-open upstream may receive the next request this long after the previous one if that was neither refused nor
 // answered. Longer than a refusal takes.
 static constexpr Common::Milliseconds trialInterval = 100ms;
 
 void RefusalBackoff::recordRefusal(Common::TimePoint now)
 {
-    m_isOnTrial = true;
+    m_isHalfOpen = true;
     // Refusals during a backoff do not extend it: most belong to requests that were already in flight.
     if (now < m_until)
         return;
@@ -26,14 +26,14 @@
 
 void RefusalBackoff::recordCooldown()
 {
-    m_isOnTrial = true;
+    m_isHalfOpen = true;
     // Requests that were sent before the cooldown do not count as trial requests.
     m_lastStart = {};
 }
 
 void RefusalBackoff::recordResponse()
 {
-    m_isOnTrial = false;
+    m_isHalfOpen = false;
     m_backoff /= 2;
     if (m_backoff < initialBackoff)
         m_backoff = 0ms;
@@ -41,7 +41,7 @@
 
 bool RefusalBackoff::isBackedOff(Common::TimePoint now) const
 {
-    return now < m_until || (m_isOnTrial && now < m_lastStart + trialInterval);
+    return now < m_until || (m_isHalfOpen && now < m_lastStart + trialInterval);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/RefusalBackoff.h
+++ b/Source/RouteServing/Routing/RefusalBackoff.h
@@ -9,7 +9,7 @@
 // the fewest outstanding requests, and placement by load would prefer it. Each refusal after the end of a backoff
 // doubles its length, up to a bound; each response halves it.
 //
-// After a refusal or a cooldown the upstream is on trial: until it responds, it receives at most one request per
+// After a refusal or a cooldown the upstream is half-open: until it responds, it receives at most one request per
 // `trialInterval` while other upstreams are available. Not thread-safe.
 class RefusalBackoff {
 public:
@@ -30,7 +30,7 @@
     Common::Milliseconds m_backoff { 0 };
     Common::TimePoint m_until {};
     Common::TimePoint m_lastStart {};
-    bool m_isOnTrial { false }; // No response since the last refusal or cooldown.
+    bool m_isHalfOpen { false }; // No response since the last refusal or cooldown.
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/ReplicaPolicy.cpp
+++ b/Source/RouteServing/Routing/ReplicaPolicy.cpp
@@ -10,7 +10,7 @@
 // How long replicas are kept after an engine failed in the middle of a response.
 static constexpr Common::Milliseconds failureRetention = 60'000ms;
 
-bool MidStreamFailures::areLikely(Common::TimePoint now) const { return m_last && now - *m_last < failureRetention; }
+bool MidStreamFailures::hasRecent(Common::TimePoint now) const { return m_last && now - *m_last < failureRetention; }
 
 bool shouldReplicate(const Route& route, const Prompt& prompt, bool engineReplicates, bool midStreamFailuresAreLikely)
 {
--- a/Source/RouteServing/Routing/ReplicaPolicy.h
+++ b/Source/RouteServing/Routing/ReplicaPolicy.h
@@ -15,7 +15,7 @@
 class MidStreamFailures {
 public:
     void record(Common::TimePoint now) { m_last = now; }
-    bool areLikely(Common::TimePoint now) const;
+    bool hasRecent(Common::TimePoint now) const;
 
 private:
     std::optional<Common::TimePoint> m_last;
--- a/Source/RouteServing/Routing/SendQuotas.cpp
+++ b/Source/RouteServing/Routing/SendQuotas.cpp
@@ -14,8 +14,8 @@
 // grant arrives.
 static constexpr double demandSpanSeconds = 0.25;
 // Bounds of the expected wait for a quota, which refusals give to callers as the retry time.
-static constexpr Common::Milliseconds minQuotaWait = 200ms;
-static constexpr Common::Milliseconds maxQuotaWait = 4000ms;
+static constexpr Common::Milliseconds minExpectedWait = 200ms;
+static constexpr Common::Milliseconds maxExpectedWait = 4000ms;
 
 // Length of a time slice of RecentCount.
 static constexpr Common::Milliseconds countSlice = 500ms;
@@ -77,7 +77,7 @@
         learned.requestsPerSecond = roundedLimit(*statement.requestsPerSecond);
         learned.statedAt = now;
     } else {
-        learned.unstatedSince = requestSent;
+        learned.unstatedRequestSentAt = requestSent;
     }
     std::lock_guard lock(m_mutex);
     return update(limitKey(upstream), learned);
@@ -201,10 +201,10 @@
     if (!isAnyLimited)
         return std::nullopt;
     if (!sent)
-        return maxQuotaWait / 4;
+        return maxExpectedWait / 4;
     auto seconds = std::max(0.0, demanded - sent) / sent;
     auto wait = Common::Milliseconds(std::llround(seconds * 1000));
-    return std::clamp(wait, minQuotaWait, maxQuotaWait);
+    return std::clamp(wait, minExpectedWait, maxExpectedWait);
 }
 
 std::vector<SendQuotas::KnownLimit> SendQuotas::knownLimits(Common::TimePoint now) const
@@ -226,13 +226,13 @@
     return known;
 }
 
-void SendQuotas::add(uint32_t key, unsigned requests, Common::TimePoint expires)
+void SendQuotas::addGrant(uint32_t key, unsigned requests, Common::TimePoint expires)
 {
     std::lock_guard lock(m_mutex);
     auto found = m_entries.find(key);
     if (found == m_entries.end() || !found->second.limit.isInForce())
         return;
-    m_allowed += requests;
+    m_granted += requests;
     found->second.quota.insert(found->second.quota.end(), requests, expires);
 }
 
@@ -241,7 +241,7 @@
     std::lock_guard lock(m_mutex);
     auto limited = std::count_if(
         m_entries.begin(), m_entries.end(), [](const auto& each) { return each.second.limit.isInForce(); });
-    return { static_cast<size_t>(limited), m_allowed, m_used };
+    return { static_cast<size_t>(limited), m_granted, m_used };
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/SendQuotas.h
+++ b/Source/RouteServing/Routing/SendQuotas.h
@@ -62,11 +62,11 @@
     std::vector<KnownLimit> knownLimits(Common::TimePoint now) const;
     // Removes limits for which there was no new information for a long time.
     void evictExpired(Common::TimePoint now);
-    void add(uint32_t key, unsigned requests, Common::TimePoint expires);
+    void addGrant(uint32_t key, unsigned requests, Common::TimePoint expires);
 
     struct Summary {
         size_t limited { 0 }; // Number of upstreams with a limit in force.
-        uint64_t allowed { 0 }; // Total of requests granted to this router.
+        uint64_t granted { 0 }; // Total of requests granted to this router.
         uint64_t used { 0 }; // Requests sent out of these.
     };
     Summary summary() const;
@@ -99,7 +99,7 @@
     std::atomic<bool> m_isActive { false };
     mutable std::mutex m_mutex;
     std::map<uint32_t, Entry> m_entries; // By limitKey.
-    uint64_t m_allowed { 0 };
+    uint64_t m_granted { 0 };
     uint64_t m_used { 0 };
 };
 
--- a/Source/RouteServing/Routing/UpstreamLimit.cpp
+++ b/Source/RouteServing/Routing/UpstreamLimit.cpp
@@ -22,17 +22,17 @@
 {
     if (statedAt == Common::TimePoint::min())
         return false;
-    return unstatedSince < statedAt + reorderTolerance;
+    return unstatedRequestSentAt < statedAt + reorderTolerance;
 }
 
 void UpstreamLimit::merge(const UpstreamLimit& other)
 {
     bool isNewer = other.statedAt > statedAt;
-    bool isLowerAtOnce = other.statedAt == statedAt && other.requestsPerSecond < requestsPerSecond;
-    if (isNewer || isLowerAtOnce)
+    bool isLowerAtSameTime = other.statedAt == statedAt && other.requestsPerSecond < requestsPerSecond;
+    if (isNewer || isLowerAtSameTime)
         requestsPerSecond = other.requestsPerSecond;
     statedAt = std::max(statedAt, other.statedAt);
-    unstatedSince = std::max(unstatedSince, other.unstatedSince);
+    unstatedRequestSentAt = std::max(unstatedRequestSentAt, other.unstatedRequestSentAt);
 }
 
 uint32_t limitKey(const UpstreamRecord& upstream)
--- a/Source/RouteServing/Routing/UpstreamLimit.h
+++ b/Source/RouteServing/Routing/UpstreamLimit.h
@@ -32,7 +32,7 @@
     // Arrival time of the newest response that stated the limit.
     Common::TimePoint statedAt { Common::TimePoint::min() };
     // Send time of the newest request whose response stated no limit.
-    Common::TimePoint unstatedSince { Common::TimePoint::min() };
+    Common::TimePoint unstatedRequestSentAt { Common::TimePoint::min() };
 
     // Returns whether the limit applies, so that each request consumes quota. Responses may arrive out of order, and
     // times from other routers are estimates. Therefore a limit ends only with a response without a limit to a request
@@ -40,7 +40,7 @@
     bool isInForce() const;
     void merge(const UpstreamLimit&);
     // Time of the newest information.
-    Common::TimePoint learned() const { return std::max(statedAt, unstatedSince); }
+    Common::TimePoint learned() const { return std::max(statedAt, unstatedRequestSentAt); }
 };
 
 // Identifies one upstream incarnation in messages between routers. Two incarnations with the same key share one limit.
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -109,7 +109,7 @@
 bool UpstreamRegistry::mayReceive(
     const Entry& entry, const PlacementRequest& request, std::span<const uint32_t> limited, Common::TimePoint now) const
 {
-    if (!isEligible(entry, request) || !m_statements.allowRequest(entry.record, now))
+    if (!isEligible(entry, request) || !m_statements.allowsRequest(entry.record, now))
         return false;
     if (!contains(limited, entry.limitKey))
         return true;
@@ -153,15 +153,15 @@
     const PlacementRequest& request, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    std::optional<Common::TimePoint> first;
+    std::optional<Common::TimePoint> earliest;
     for (const auto& [id, entry] : m_entries) {
         if (!isEligible(entry, request) || m_statements.isLeaving(entry.record))
             continue;
-        auto back = m_statements.cooldownEnd(entry.record, now);
-        if (back && (!first || *back < *first))
-            first = back;
+        auto cooldownEnd = m_statements.cooldownEnd(entry.record, now);
+        if (cooldownEnd && (!earliest || *cooldownEnd < *earliest))
+            earliest = cooldownEnd;
     }
-    return first;
+    return earliest;
 }
 
 std::optional<Common::Milliseconds> UpstreamRegistry::quotaWait(
@@ -172,7 +172,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<uint32_t> keys;
     for (const auto& [id, entry] : m_entries) {
-        if (isEligible(entry, request) && m_statements.allowRequest(entry.record, now))
+        if (isEligible(entry, request) && m_statements.allowsRequest(entry.record, now))
             keys.push_back(entry.limitKey);
     }
     return m_quotas.expectedWait(keys, now);
@@ -183,7 +183,7 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        if (!m_statements.allowRequest(upstream, now))
+        if (!m_statements.allowsRequest(upstream, now))
             return std::nullopt;
     }
     if (m_quotas.isActive() && !m_quotas.take(limitKey(upstream), rank, now))
@@ -194,7 +194,7 @@
 bool UpstreamRegistry::allowsRequest(const UpstreamRecord& upstream, Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_statements.allowRequest(upstream, now)
+    return m_statements.allowsRequest(upstream, now)
         && (!m_quotas.isActive() || m_quotas.allowsRequest(limitKey(upstream), 0, now));
 }
 
@@ -366,7 +366,7 @@
     if (!hadPrefillDone)
         entry->own.prefillTokens -= std::min(entry->own.prefillTokens, placement.blockingPrefillTokens());
     entry->health.record(outcome, now);
-    if (outcome == AttemptOutcome::NotExecuted && m_statements.allowRequest(placement.upstream, now))
+    if (outcome == AttemptOutcome::NotExecuted && m_statements.allowsRequest(placement.upstream, now))
         entry->refusals.recordRefusal(now);
 }
 
@@ -382,7 +382,7 @@
 bool UpstreamRegistry::midStreamFailuresAreLikely(Common::TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_midStreamFailures.areLikely(now);
+    return m_midStreamFailures.hasRecent(now);
 }
 
 LoadsByUpstream UpstreamRegistry::ownLoads() const
--- a/Source/RouteServing/Routing/UpstreamStatements.cpp
+++ b/Source/RouteServing/Routing/UpstreamStatements.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-bool UpstreamStatements::allowRequest(const UpstreamRecord& upstream, Common::TimePoint now) const
+bool UpstreamStatements::allowsRequest(const UpstreamRecord& upstream, Common::TimePoint now) const
 {
     const auto* entry = m_entries.empty() ? nullptr : find(upstream);
     return !entry || (!entry->isLeaving && entry->cooldownEnd <= now);
--- a/Source/RouteServing/Routing/UpstreamStatements.h
+++ b/Source/RouteServing/Routing/UpstreamStatements.h
@@ -30,7 +30,7 @@
     bool record(const UpstreamRecord&, const UpstreamStatement&, Common::TimePoint now);
 
     // Returns whether no statement of the upstream forbids sending it a request now.
-    bool allowRequest(const UpstreamRecord&, Common::TimePoint now) const;
+    bool allowsRequest(const UpstreamRecord&, Common::TimePoint now) const;
     bool isLeaving(const UpstreamRecord&) const;
     // Returns the end of the upstream's cooldown, or nullopt if it is in none. A later statement never shortens a
     // cooldown.
--- a/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/NoUpstreamPolicyTest.cpp
@@ -31,13 +31,13 @@
     EXPECT_EQ(noUpstreamRefusal({ s_now + 100ms, 400ms }, false, s_now).kind, ErrorKind::UpstreamsResting);
 }
 
-TEST(NoUpstreamPolicyTest, AQuotaHoldIsBoundedByHalfTheObjectiveAndByACap)
+TEST(NoUpstreamPolicyTest, AQuotaWaitIsBoundedByHalfTheObjectiveAndByACap)
 {
     Route route;
     route.objective = 150ms;
-    EXPECT_EQ(maxQuotaHold(route), 75ms);
+    EXPECT_EQ(maxQuotaWait(route), 75ms);
     route.objective = 1h;
-    EXPECT_EQ(maxQuotaHold(route), 300ms);
+    EXPECT_EQ(maxQuotaWait(route), 300ms);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -14,13 +14,13 @@
 TEST(QuotaBucketTest, ItRefillsAtTheLimitAndCapsTheBurst)
 {
     QuotaBucket bucket;
-    unsigned given = 0;
+    unsigned granted = 0;
     for (int step = 0; step <= 100; ++step) {
         bucket.refill(4, 1, s_now + step * 100ms);
-        given += bucket.available();
+        granted += bucket.available();
         bucket.spend(bucket.available());
     }
-    EXPECT_NEAR(given, 40, 1);
+    EXPECT_NEAR(granted, 40, 1);
     for (int step = 101; step <= 200; ++step)
         bucket.refill(4, 1, s_now + step * 100ms);
     EXPECT_EQ(bucket.available(), 1U);
@@ -37,14 +37,14 @@
 TEST(QuotaBucketTest, ALimitOfZeroStillAllowsProbes)
 {
     QuotaBucket bucket;
-    unsigned given = 0;
+    unsigned granted = 0;
     for (int step = 0; step <= 200; ++step) {
         bucket.refill(0, 1, s_now + step * 100ms);
-        given += bucket.available();
+        granted += bucket.available();
         bucket.spend(bucket.available());
     }
-    EXPECT_GE(given, 3U);
-    EXPECT_LE(given, 4U);
+    EXPECT_GE(granted, 3U);
+    EXPECT_LE(granted, 4U);
 }
 
 TEST(QuotaPoolTest, PooledRequestsExpire)
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -60,10 +60,10 @@
 TEST(ReplicaPolicyTest, OnlyLongOnceOnlyStreamsGetAReplicaAndOnlyAfterAFailure)
 {
     MidStreamFailures failures;
-    EXPECT_FALSE(failures.areLikely(s_now));
+    EXPECT_FALSE(failures.hasRecent(s_now));
     failures.record(s_now);
-    EXPECT_TRUE(failures.areLikely(s_now + 59s));
-    EXPECT_FALSE(failures.areLikely(s_now + 60s));
+    EXPECT_TRUE(failures.hasRecent(s_now + 59s));
+    EXPECT_FALSE(failures.hasRecent(s_now + 60s));
 
     Route route;
     route.kind = RouteKind::Stream;
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -34,7 +34,7 @@
     EXPECT_EQ(quotas.recordStatement(upstream(), { 2 }, s_now, s_now), LimitChange::Stated);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_FALSE(quotas.take(s_key, 0, s_now));
-    quotas.add(s_key, 2, s_now + 700ms);
+    quotas.addGrant(s_key, 2, s_now + 700ms);
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
     EXPECT_TRUE(quotas.take(s_key, 0, s_now + 699ms));
@@ -45,9 +45,9 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 2 }, s_now, s_now);
-    quotas.add(s_key, 2, s_now + 700ms);
+    quotas.addGrant(s_key, 2, s_now + 700ms);
     EXPECT_FALSE(quotas.take(s_key, 0, s_now + 700ms));
-    EXPECT_EQ(quotas.summary().allowed, 2U);
+    EXPECT_EQ(quotas.summary().granted, 2U);
     EXPECT_EQ(quotas.summary().used, 0U);
 }
 
@@ -68,7 +68,7 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 4 }, s_now, s_now);
-    quotas.add(s_key, 3, s_now + 700ms);
+    quotas.addGrant(s_key, 3, s_now + 700ms);
     EXPECT_EQ(quotas.recordStatement(upstream(), { 4 }, s_now, s_now + 1ms), LimitChange::None);
     EXPECT_EQ(quotas.recordStatement(upstream(), { 8 }, s_now, s_now + 2ms), LimitChange::Changed);
     EXPECT_TRUE(quotas.allowsRequest(s_key, 0, s_now + 2ms));
@@ -87,17 +87,17 @@
 // Messages may arrive in any order and more than once.
 TEST(SendQuotasTest, MergingLimitsDoesNotDependOnOrder)
 {
-    UpstreamLimit named { 2, s_now, Common::TimePoint::min() };
+    UpstreamLimit stated { 2, s_now, Common::TimePoint::min() };
     UpstreamLimit ended { 2, s_now, s_now + 3s };
     SendQuotas first;
-    first.merge(s_key, named);
+    first.merge(s_key, stated);
     EXPECT_TRUE(first.isLimited(s_key));
     first.merge(s_key, ended);
-    first.merge(s_key, named);
+    first.merge(s_key, stated);
     EXPECT_FALSE(first.isLimited(s_key));
     SendQuotas second;
     second.merge(s_key, ended);
-    second.merge(s_key, named);
+    second.merge(s_key, stated);
     EXPECT_FALSE(second.isLimited(s_key));
 }
 
@@ -109,7 +109,7 @@
     for (int request = 0; request < 8; ++request)
         quotas.recordDemand(s_key, s_now);
     EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 2U);
-    quotas.add(s_key, 1, s_now + 700ms);
+    quotas.addGrant(s_key, 1, s_now + 700ms);
     EXPECT_EQ(quotas.knownLimits(s_now).front().wanted, 1U);
     EXPECT_EQ(quotas.knownLimits(s_now + 3s).front().wanted, 0U) << "there is no recent demand";
 }
@@ -123,7 +123,7 @@
     for (int request = 0; request < 6; ++request)
         quotas.recordDemand(s_key, s_now);
     EXPECT_EQ(quotas.expectedWait(keys, s_now), 1000ms) << "the rate is unknown until a request is sent";
-    quotas.add(s_key, 2, s_now + 700ms);
+    quotas.addGrant(s_key, 2, s_now + 700ms);
     quotas.take(s_key, 0, s_now);
     quotas.take(s_key, 0, s_now);
     EXPECT_EQ(quotas.expectedWait(keys, s_now), 2000ms) << "four unsent requests at two per second";
@@ -134,7 +134,7 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
-    quotas.add(s_key, 100, s_now + 1h);
+    quotas.addGrant(s_key, 100, s_now + 1h);
     EXPECT_TRUE(quotas.allowsRequest(s_key, 2, s_now)) << "no more urgent request is waiting";
     quotas.recordUnplaced(s_key, 1, s_now);
     EXPECT_FALSE(quotas.allowsRequest(s_key, 2, s_now));
@@ -148,7 +148,7 @@
 {
     SendQuotas quotas;
     quotas.recordStatement(upstream(), { 100 }, s_now, s_now);
-    quotas.add(s_key, 100, s_now + 1h);
+    quotas.addGrant(s_key, 100, s_now + 1h);
     size_t lessUrgent = 0;
     for (int request = 0; request < 90; ++request) {
         quotas.recordUnplaced(s_key, 0, s_now);
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -136,18 +136,18 @@
         std::set<std::pair<std::string, uint64_t>> left;
         for (int round = *rc::gen::inRange(1, 20); round > 0; --round) {
             std::vector<UpstreamRecord> list;
-            std::set<std::string> named;
+            std::set<std::string> listed;
             for (const char* id : { "u1", "u2", "u3" }) {
                 if (!*rc::gen::arbitrary<bool>())
                     continue;
                 list.push_back(upstream(id));
                 list.back().born = *rc::gen::inRange<uint64_t>(1, 5);
                 list.back().leaving = *rc::gen::arbitrary<bool>();
-                named.insert(id);
+                listed.insert(id);
             }
             registry.setUpstreams(list);
             for (const auto& record : registry.upstreams()) {
-                RC_ASSERT(named.contains(record.id));
+                RC_ASSERT(listed.contains(record.id));
                 RC_ASSERT(record.leaving || !left.contains({ record.id, record.born }));
                 RC_ASSERT(record.leaving || record.born >= newest[record.id]);
                 newest[record.id] = std::max(newest[record.id], record.born);
@@ -162,10 +162,10 @@
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams(three());
-    auto endOne = [&](bool wasRead, AttemptOutcome outcome) {
+    auto endOne = [&](bool hadPrefillDone, AttemptOutcome outcome) {
         auto choice = registry.choose(plainRequest(), s_now);
         registry.recordStart(*choice);
-        registry.recordEnd(*choice, wasRead, outcome, s_now);
+        registry.recordEnd(*choice, hadPrefillDone, outcome, s_now);
     };
     endOne(true, AttemptOutcome::Answered);
     endOne(false, AttemptOutcome::Interrupted);
