--- a/Source/Benchmarks/RequestHash.cpp
+++ b/Source/Benchmarks/RequestHash.cpp
@@ -17,7 +17,7 @@
 {
     RequestHasher hasher("fleet key");
     for (auto step : state)
-        benchmark::DoNotOptimize(hasher.target(requestWith("")));
+        benchmark::DoNotOptimize(hasher.headHash(requestWith("")));
 }
 BENCHMARK(targetAlone);
 
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -103,7 +103,7 @@
         const auto& configured = configuration->table.limits();
         limits.headerBytes = configured.headerBytes;
         limits.bodyBytes = configured.bodyBytes;
-        limits.receive = configured.headerTimeout;
+        limits.receive = configured.receiveTimeout;
         limits.idle = configured.idleTimeout;
     }
     return limits;
--- a/Source/RouteServing/Gateway/SuspectCheck.cpp
+++ b/Source/RouteServing/Gateway/SuspectCheck.cpp
@@ -40,7 +40,8 @@
 bool SuspectCheck::mayBeSuspect() const
 {
     const auto& ledger = m_parts.guard.ledger();
-    return !ledger.isEmpty() && ledger.mayContain(m_parts.hasher.target(traits()), m_exchange.request().body().size());
+    return !ledger.isEmpty()
+        && ledger.mayContain(m_parts.hasher.headHash(traits()), m_exchange.request().body().size());
 }
 
 // A request that crashes upstreams is repeated by its caller with a new request id, at any router. Its history is
--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -26,7 +26,7 @@
 
 static void encodeSuspect(const SuspectRecord& record, Inner::Wire::SuspectEntry& entry, TimePoint now)
 {
-    entry.set_target(record.request.target);
+    entry.set_target(record.request.headHash);
     entry.set_body_bytes(record.request.bodyBytes);
     entry.set_body_high(record.request.body[0]);
     entry.set_body_low(record.request.body[1]);
--- a/Source/RouteServing/Gateway/SuspectEndpoint.cpp
+++ b/Source/RouteServing/Gateway/SuspectEndpoint.cpp
@@ -52,7 +52,7 @@
 static void lift(Common::HttpExchange& exchange, Routing::SuspectLedger& ledger)
 {
     auto identity = exchange.query("id");
-    if (!ledger.lift(identity, Common::now()))
+    if (!ledger.clearSuspect(identity, Common::now()))
         return refuse(exchange, ErrorKind::UnknownRoute, "no suspect with this identity is known to this router");
     Common::log(Common::LogLevel::Warning, "gateway", "suspect.lifted", { { "identity", std::string(identity) } });
     exchange.respond(Common::jsonResponse({ { "lifted", std::string(identity) } }));
--- a/Source/RouteServing/Routing/Admission.cpp
+++ b/Source/RouteServing/Routing/Admission.cpp
@@ -30,7 +30,7 @@
         admission.refusal = Refusal { ErrorKind::UnknownRoute, "no route for this host and path" };
         return admission;
     }
-    if (admission.route->anonymous || !state.table->requiresKeys())
+    if (admission.route->isAnonymous || !state.table->requiresKeys())
         return admission;
     if (!state.isKeyLeaseValid) {
         admission.refusal = staleKeysRefusal();
--- a/Source/RouteServing/Routing/EnginePlacement.cpp
+++ b/Source/RouteServing/Routing/EnginePlacement.cpp
@@ -50,37 +50,37 @@
 
 // Returns the engine that should have the prompt's shared prefix cached, by rendezvous hashing, or nullopt if the
 // prompt has no shared prefix.
-static std::optional<size_t> cacheHome(
+static std::optional<size_t> expectedCacheEngine(
     const Prompt& prompt, std::span<const EngineState> engines, std::span<const size_t> offered)
 {
     const auto* prefix = prompt.sharedPrefix();
     if (!prefix)
         return std::nullopt;
-    std::optional<size_t> home;
-    uint64_t homeScore = 0;
+    std::optional<size_t> cacheEngine;
+    uint64_t cacheEngineScore = 0;
     for (size_t index : offered) {
         auto score = Common::stableHash(engines[index].id, prefix->id);
-        if (!home || score > homeScore) {
-            home = index;
-            homeScore = score;
+        if (!cacheEngine || score > cacheEngineScore) {
+            cacheEngine = index;
+            cacheEngineScore = score;
         }
     }
-    return home;
+    return cacheEngine;
 }
 
 // Returns the engine with the lowest cost, in prefill tokens until the new prompt is prefilled. A prefix that can be
 // fetched from another engine costs as much as one that is prefilled again, because the other engine has often evicted
 // it.
 static EnginePlacementResult pickPrefillEngine(const Prompt& prompt, std::span<const EngineState> engines,
-    std::span<const size_t> offered, const EngineLimits& limits)
+    std::span<const size_t> offered, const EngineCapabilities& capabilities)
 {
-    auto home = cacheHome(prompt, engines, offered);
+    auto cacheEngine = expectedCacheEngine(prompt, engines, offered);
     double shared = std::min(prompt.tokens, prompt.sharedTokens());
     EnginePlacementResult best;
     double bestCost = std::numeric_limits<double>::max();
     for (size_t index : offered) {
         const auto& engine = engines[index];
-        bool isCached = index == home;
+        bool isCached = index == cacheEngine;
         double repeated = isCached ? 0 : shared;
         double prefill = prompt.tokens - shared + repeated;
         double cost = prefill + repeated * (repeatedPrefillFactor - 1) + engine.prefillTokens
@@ -91,7 +91,7 @@
             best.index = index;
             best.prefillTokens = static_cast<uint64_t>(prefill);
             best.queuedPrefillTokens = static_cast<uint64_t>(engine.prefillTokens);
-            best.prefixSource = isCached || !limits.fetchesKvCache ? std::nullopt : home;
+            best.prefixSource = isCached || !capabilities.fetchesKvCache ? std::nullopt : cacheEngine;
             bestCost = cost;
         }
     }
@@ -110,20 +110,21 @@
 }
 
 std::optional<EnginePlacementResult> EnginePlacement::place(const Prompt& prompt, std::span<const EngineState> engines,
-    const EngineLimits& limits, Common::TimePoint due, Common::TimePoint now)
+    const EngineCapabilities& capabilities, Common::TimePoint due, Common::TimePoint now)
 {
     if (engines.empty())
         return std::nullopt;
     auto order = orderByIdHash(engines);
-    auto needed = m_reservation.enginesNeeded(engines, limits.batch, now);
-    bool decodes = isDecodeHeavy(prompt);
+    auto needed = m_reservation.enginesNeeded(engines, capabilities.batch, now);
+    bool isDecodeHeavyPrompt = isDecodeHeavy(prompt);
     // Prefill-heavy generations always have at least half of the engines.
-    auto result = decodes
+    auto result = isDecodeHeavyPrompt
         ? placeDecodeHeavy(prompt, engines, std::span(order).first(std::max<size_t>(1, needed)), now)
-        : pickPrefillEngine(prompt, engines, std::span(order).subspan(std::min(needed, engines.size() / 2)), limits);
+        : pickPrefillEngine(
+            prompt, engines, std::span(order).subspan(std::min(needed, engines.size() / 2)), capabilities);
     auto tokensBeforeFirstEvent = static_cast<double>(result.queuedPrefillTokens + result.prefillTokens);
     result.expectedFirstEvent = engines[result.index].firstEvent.delayFor(tokensBeforeFirstEvent);
-    if (!decodes && now + result.expectedFirstEvent > due) {
+    if (!isDecodeHeavyPrompt && now + result.expectedFirstEvent > due) {
         result.punctuality = Punctuality::Late;
         m_reservation.recordLatePrefill(now);
     }
--- a/Source/RouteServing/Routing/EnginePlacement.h
+++ b/Source/RouteServing/Routing/EnginePlacement.h
@@ -16,7 +16,7 @@
 namespace Brassladder::RouteServing::Routing {
 
 // Capabilities of the engines of a service.
-struct EngineLimits {
+struct EngineCapabilities {
     unsigned batch { 1 }; // Requests that one engine runs at once.
     bool fetchesKvCache { false }; // See EngineTraits.
 };
@@ -46,8 +46,8 @@
     //
     // Only prefill-heavy generations are marked late. A late generation may be preempted in the middle of its response.
     // A decode-heavy one would then be interrupted in a long response, although its short prompt hardly delays others.
-    std::optional<EnginePlacementResult> place(
-        const Prompt&, std::span<const EngineState>, const EngineLimits&, Common::TimePoint due, Common::TimePoint now);
+    std::optional<EnginePlacementResult> place(const Prompt&, std::span<const EngineState>, const EngineCapabilities&,
+        Common::TimePoint due, Common::TimePoint now);
 
     // Whether decoding is expected to take the engine longer than the prefill.
     static bool isDecodeHeavy(const Prompt&);
--- a/Source/RouteServing/Routing/RequestIdentity.cpp
+++ b/Source/RouteServing/Routing/RequestIdentity.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-uint64_t RequestHasher::target(const RequestTraits& request) const
+uint64_t RequestHasher::headHash(const RequestTraits& request) const
 {
     auto host = request.host.substr(0, request.host.find(':'));
     std::array<std::string_view, 4> parts { request.workspace, request.method, host, request.target };
@@ -21,7 +21,7 @@
 RequestIdentity RequestHasher::identity(const RequestTraits& request) const
 {
     std::array<std::string_view, 1> parts { request.body };
-    return { target(request), request.body.size(), m_hash.of(parts) };
+    return { headHash(request), request.body.size(), m_hash.of(parts) };
 }
 
 // Two 64-bit numbers as hexadecimal digits, and the terminating zero.
@@ -30,7 +30,7 @@
 std::string RequestIdentity::text() const
 {
     std::array<char, identityTextBytes> digits {};
-    std::snprintf(digits.data(), digits.size(), "%016llx%016llx", static_cast<unsigned long long>(target),
+    std::snprintf(digits.data(), digits.size(), "%016llx%016llx", static_cast<unsigned long long>(headHash),
         static_cast<unsigned long long>(body[0]));
     return digits.data();
 }
--- a/Source/RouteServing/Routing/RequestIdentity.h
+++ b/Source/RouteServing/Routing/RequestIdentity.h
@@ -23,7 +23,7 @@
 };
 
 struct RequestIdentity {
-    uint64_t target { 0 }; // Hash of everything except the body. Cheap to compute, so it is compared first.
+    uint64_t headHash { 0 }; // Hash of everything except the body. Cheap to compute, so it is compared first.
     uint64_t bodyBytes { 0 };
     Common::KeyedHash::Value body {};
 
@@ -38,7 +38,7 @@
 public:
     explicit RequestHasher(std::string_view fleetKey);
 
-    uint64_t target(const RequestTraits&) const;
+    uint64_t headHash(const RequestTraits&) const;
     RequestIdentity identity(const RequestTraits&) const;
 
 private:
--- a/Source/RouteServing/Routing/RouteTable.cpp
+++ b/Source/RouteServing/Routing/RouteTable.cpp
@@ -74,7 +74,7 @@
 
 void RouteTable::Builder::buildUrgency()
 {
-    auto leadsToEngines = [this](const Route& route) {
+    auto isServedByEngines = [this](const Route& route) {
         return std::any_of(route.shares.begin(), route.shares.end(), [this](const auto& share) {
             const auto* service = m_table.service(share.service);
             return service && service->engine;
@@ -82,7 +82,7 @@
     };
     for (const auto& [host, routes] : m_table.m_hosts) {
         for (const auto& route : routes) {
-            if (leadsToEngines(route))
+            if (isServedByEngines(route))
                 m_table.m_urgency.addRoute(route.priority);
         }
     }
--- a/Source/RouteServing/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -38,12 +38,12 @@
     Common::Milliseconds objective { 0 }; // Target time until the response, or until a stream's first event.
     unsigned priority { 0 }; // 0 is the most urgent.
     unsigned maxAttempts { 1 }; // Maximum number of upstreams that one request is sent to.
-    bool anonymous { false }; // Requires no key.
-    bool resumable { false }; // After a failure, another upstream can resume a stream after its last event.
+    bool isAnonymous { false }; // Requires no key.
+    bool isResumable { false }; // After a failure, another upstream can resume a stream after its last event.
     std::vector<ServiceShare> shares;
 
     // Whether a request that may have run may be sent again.
-    bool mayRepeat() const { return kind == RouteKind::Repeatable || (kind == RouteKind::Stream && resumable); }
+    bool mayRepeat() const { return kind == RouteKind::Repeatable || (kind == RouteKind::Stream && isResumable); }
 };
 
 // Traits of a service whose upstreams are model engines that work in batches.
@@ -67,12 +67,14 @@
 // Limits on the size of a caller's requests and on the time to send them.
 struct CallerLimits {
     // Defaults for a configuration that states none.
-    static constexpr Common::Milliseconds defaultHeaderTimeout { 3000 };
+    static constexpr Common::Milliseconds defaultReceiveTimeout { 3000 };
     static constexpr Common::Milliseconds defaultIdleTimeout { 15'000 };
 
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 4 * 1024 * 1024 };
-    Common::Milliseconds headerTimeout { defaultHeaderTimeout }; // For receiving a whole request after its first byte.
+    Common::Milliseconds receiveTimeout {
+        defaultReceiveTimeout
+    }; // For receiving a whole request after its first byte.
     Common::Milliseconds idleTimeout { defaultIdleTimeout }; // Between two requests on one connection.
 };
 
--- a/Source/RouteServing/Routing/Suspect.cpp
+++ b/Source/RouteServing/Routing/Suspect.cpp
@@ -106,9 +106,9 @@
 static void dropOldestOutsideChain(SuspectRecord& suspect)
 {
     auto chain = sequentialRuns(suspect);
-    auto dispensable = std::find_if(suspect.runs.begin(), suspect.runs.end(),
+    auto outsideChain = std::find_if(suspect.runs.begin(), suspect.runs.end(),
         [&](const auto& run) { return std::find(chain.begin(), chain.end(), &run) == chain.end(); });
-    suspect.runs.erase(dispensable == suspect.runs.end() ? suspect.runs.begin() : dispensable);
+    suspect.runs.erase(outsideChain == suspect.runs.end() ? suspect.runs.begin() : outsideChain);
 }
 
 static bool hasRunAt(const SuspectRecord& suspect, const UpstreamIncarnation& upstream)
--- a/Source/RouteServing/Routing/SuspectLedger.cpp
+++ b/Source/RouteServing/Routing/SuspectLedger.cpp
@@ -26,11 +26,11 @@
     return lastEventAt(record) < now - (isHeld ? heldSuspectRetention : suspectRetention);
 }
 
-bool SuspectLedger::mayContain(uint64_t target, uint64_t bodyBytes) const
+bool SuspectLedger::mayContain(uint64_t headHash, uint64_t bodyBytes) const
 {
     std::lock_guard lock(m_mutex);
-    auto found = m_entries.lower_bound({ target, bodyBytes, {} });
-    return found != m_entries.end() && found->first.target == target && found->first.bodyBytes == bodyBytes;
+    auto found = m_entries.lower_bound({ headHash, bodyBytes, {} });
+    return found != m_entries.end() && found->first.headHash == headHash && found->first.bodyBytes == bodyBytes;
 }
 
 std::optional<SuspectRecord> SuspectLedger::find(const RequestIdentity& request) const
@@ -67,7 +67,7 @@
         recordChange(found->second, now);
 }
 
-bool SuspectLedger::lift(std::string_view identityText, TimePoint now)
+bool SuspectLedger::clearSuspect(std::string_view identityText, TimePoint now)
 {
     std::lock_guard lock(m_mutex);
     for (auto& [request, entry] : m_entries) {
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -26,7 +26,7 @@
     // Returns whether there are no suspects. Lock-free, because every request checks it first.
     bool isEmpty() const { return !m_size.load(std::memory_order_relaxed); }
     // Returns whether a suspect has this target hash and body size. If not, the body need not be hashed.
-    bool mayContain(uint64_t target, uint64_t bodyBytes) const;
+    bool mayContain(uint64_t headHash, uint64_t bodyBytes) const;
     std::optional<SuspectRecord> find(const RequestIdentity&) const;
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
 
@@ -35,7 +35,7 @@
     // Records a completed run of the request. Does nothing if the request is not a suspect.
     void recordCompleted(const RequestIdentity&, Common::TimePoint now);
     // Clears the request with this identity text on behalf of an operator. Returns false if it is not known.
-    bool lift(std::string_view identityText, Common::TimePoint now);
+    bool clearSuspect(std::string_view identityText, Common::TimePoint now);
     // Merges a record from another router or from the store.
     void merge(const SuspectRecord&, Common::TimePoint now);
 
--- a/Source/RouteServing/Routing/UpstreamRegistry.h
+++ b/Source/RouteServing/Routing/UpstreamRegistry.h
@@ -34,7 +34,7 @@
     struct PlacementRequest {
         std::string_view service;
         const Prompt* prompt { nullptr }; // Null for a plain service.
-        EngineLimits engine {}; // For generations only.
+        EngineCapabilities engine {}; // For generations only.
         Common::TimePoint due {}; // Deadline for the first event of a generation.
         std::span<const std::string> attempted; // Ids of upstreams that were already attempted.
         bool isolated { false }; // May crash its upstream, so only the least loaded ones are candidates.
--- a/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
@@ -22,7 +22,7 @@
     Route open = keyed;
     open.name = "open";
     open.pathPrefix = "/o/";
-    open.anonymous = true;
+    open.isAnonymous = true;
     return RouteTable::Builder().route(keyed).route(open).workspace({ "w", std::nullopt }, { "key" }).build();
 }
 
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -14,7 +14,7 @@
 
 constexpr Common::TimePoint s_now(1h);
 constexpr Common::TimePoint s_due = s_now + 600ms;
-constexpr EngineLimits s_limits { 64, false };
+constexpr EngineCapabilities s_capabilities { 64, false };
 
 std::vector<EngineState> nineEngines()
 {
@@ -40,8 +40,8 @@
     auto engines = nineEngines();
     std::set<size_t> used;
     for (uint64_t prefix = 100; prefix < 200; ++prefix) {
-        auto pick = placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now);
-        EXPECT_EQ(placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now)->index, pick->index);
+        auto pick = placement.place(prefillHeavy(prefix), engines, s_capabilities, s_due, s_now);
+        EXPECT_EQ(placement.place(prefillHeavy(prefix), engines, s_capabilities, s_due, s_now)->index, pick->index);
         EXPECT_EQ(pick->prefillTokens, 2000U) << "the shared prefix is expected to be cached there";
         used.insert(pick->index);
     }
@@ -52,11 +52,11 @@
 {
     EnginePlacement placement;
     auto engines = nineEngines();
-    auto home = placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now)->index;
+    auto home = placement.place(prefillHeavy(5), engines, s_capabilities, s_due, s_now)->index;
     engines[home].prefillTokens = 59'900;
-    EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now)->index, home);
+    EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_capabilities, s_due, s_now)->index, home);
     engines[home].prefillTokens = 60'100;
-    auto other = placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now);
+    auto other = placement.place(prefillHeavy(5), engines, s_capabilities, s_due, s_now);
     EXPECT_NE(other->index, home);
     EXPECT_EQ(other->prefillTokens, 8000U);
 }
@@ -64,7 +64,7 @@
 TEST(EnginePlacementTest, AnEngineWithoutThePrefixFetchesItFromTheOneThatHasIt)
 {
     EnginePlacement placement;
-    EngineLimits fetching { s_limits.batch, true };
+    EngineCapabilities fetching { s_capabilities.batch, true };
     auto engines = nineEngines();
     auto home = placement.place(prefillHeavy(5), engines, fetching, s_due, s_now);
     EXPECT_FALSE(home->prefixSource) << "the engine is expected to have the prefix";
@@ -72,7 +72,7 @@
     auto other = placement.place(prefillHeavy(5), engines, fetching, s_due, s_now);
     EXPECT_EQ(other->prefixSource, home->index);
     EXPECT_EQ(other->prefillTokens, 8000U) << "the other engine may have evicted it";
-    EXPECT_FALSE(placement.place(prefillHeavy(5), engines, s_limits, s_due, s_now)->prefixSource)
+    EXPECT_FALSE(placement.place(prefillHeavy(5), engines, s_capabilities, s_due, s_now)->prefixSource)
         << "engines cannot fetch";
 }
 
@@ -84,14 +84,14 @@
     std::set<size_t> decodeEngines;
     std::set<size_t> prefillEngines;
     for (int index = 0; index < 20; ++index) {
-        auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
+        auto pick = placement.place(decodeHeavy(), engines, s_capabilities, s_due, s_now);
         engines[pick->index].running += 1;
         engines[pick->index].decodeHeavy += 1;
         decodeEngines.insert(pick->index);
     }
     EXPECT_EQ(decodeEngines.size(), 1U) << "20 fit into half of one batch";
     for (uint64_t prefix = 0; prefix < 200; ++prefix)
-        prefillEngines.insert(placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now)->index);
+        prefillEngines.insert(placement.place(prefillHeavy(prefix), engines, s_capabilities, s_due, s_now)->index);
     EXPECT_FALSE(prefillEngines.contains(*decodeEngines.begin()));
     EXPECT_EQ(prefillEngines.size(), engines.size() - 1);
 }
@@ -105,7 +105,7 @@
         engine.decodeHeavy = 10;
     std::set<size_t> used;
     for (int index = 0; index < 300; ++index)
-        used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, s_now)->index);
+        used.insert(placement.place(decodeHeavy(), engines, s_capabilities, s_due, s_now)->index);
     EXPECT_EQ(used.size(), 4U) << "90 generations with 25% headroom, 32 per engine";
 }
 
@@ -119,7 +119,7 @@
             engine.decodeHeavy = generations / static_cast<double>(engines.size());
         std::set<size_t> used;
         for (int index = 0; index < 300; ++index)
-            used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, s_now)->index);
+            used.insert(placement.place(decodeHeavy(), engines, s_capabilities, s_due, s_now)->index);
         return used.size();
     };
     EXPECT_EQ(usedBy(162), 4U) << "half-full batches would take seven engines, nearly full ones take four";
@@ -136,15 +136,17 @@
     auto enginesOfDecodeHeavy = [&](Common::TimePoint now) {
         std::set<size_t> used;
         for (int index = 0; index < 300; ++index)
-            used.insert(placement.place(decodeHeavy(), engines, s_limits, s_due, now)->index);
+            used.insert(placement.place(decodeHeavy(), engines, s_capabilities, s_due, now)->index);
         return used.size();
     };
     EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U) << "90 generations with 25% headroom, 32 per engine";
     for (auto& engine : engines)
         engine.firstEvent = { 0, 1 };
-    EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 3s, s_now)->punctuality, Punctuality::OnTime);
+    EXPECT_EQ(
+        placement.place(prefillHeavy(5), engines, s_capabilities, s_now + 3s, s_now)->punctuality, Punctuality::OnTime);
     EXPECT_EQ(enginesOfDecodeHeavy(s_now), 4U);
-    EXPECT_EQ(placement.place(prefillHeavy(5), engines, s_limits, s_now + 1s, s_now)->punctuality, Punctuality::Late);
+    EXPECT_EQ(
+        placement.place(prefillHeavy(5), engines, s_capabilities, s_now + 1s, s_now)->punctuality, Punctuality::Late);
     EXPECT_EQ(enginesOfDecodeHeavy(s_now + 1s), 2U) << "nearly full batches: 57 per engine";
     EXPECT_EQ(enginesOfDecodeHeavy(s_now + 4s), 4U) << "no prompt was late for three seconds";
 }
@@ -155,7 +157,7 @@
     auto engines = nineEngines();
     for (auto& engine : engines)
         engine.firstEvent = { 0, 100 };
-    auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
+    auto pick = placement.place(decodeHeavy(), engines, s_capabilities, s_due, s_now);
     EXPECT_GT(pick->expectedFirstEvent, 600ms);
     EXPECT_EQ(pick->punctuality, Punctuality::OnTime)
         << "a late generation could be preempted in the middle of its response";
@@ -169,7 +171,7 @@
         engine.decodeHeavy = 200;
     std::set<size_t> prefillEngines;
     for (uint64_t prefix = 0; prefix < 300; ++prefix)
-        prefillEngines.insert(placement.place(prefillHeavy(prefix), engines, s_limits, s_due, s_now)->index);
+        prefillEngines.insert(placement.place(prefillHeavy(prefix), engines, s_capabilities, s_due, s_now)->index);
     EXPECT_EQ(prefillEngines.size(), 5U);
 }
 
@@ -177,10 +179,10 @@
 {
     EnginePlacement placement;
     auto engines = nineEngines();
-    auto pick = placement.place(decodeHeavy(), engines, s_limits, s_due, s_now);
+    auto pick = placement.place(decodeHeavy(), engines, s_capabilities, s_due, s_now);
     auto receivesPrefillHeavy = [&](Common::TimePoint now) {
         for (uint64_t prefix = 0; prefix < 300; ++prefix) {
-            if (placement.place(prefillHeavy(prefix), engines, s_limits, s_due, now)->index == pick->index)
+            if (placement.place(prefillHeavy(prefix), engines, s_capabilities, s_due, now)->index == pick->index)
                 return true;
         }
         return false;
@@ -191,7 +193,7 @@
 
 TEST(EnginePlacementTest, WithoutAnEngineThereIsNoPlacement)
 {
-    EXPECT_FALSE(EnginePlacement().place(decodeHeavy(), {}, s_limits, s_due, s_now));
+    EXPECT_FALSE(EnginePlacement().place(decodeHeavy(), {}, s_capabilities, s_due, s_now));
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -185,31 +185,33 @@
 // 80 prompts per second exceed what the engines can prefill in time. If served in order of arrival, most would be late.
 TEST(OverloadTest, GenerationsThatCanStillBeInTimeGoFirst)
 {
-    auto before = BurstSimulation(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
+    auto withoutRule = BurstSimulation(burst(80), [](const auto& urgency, unsigned priority, Punctuality) {
         return byRouteAndPunctuality(urgency, priority, Punctuality::OnTime);
     }).run(2s, 9s);
-    auto after = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_LT(before[prompts].inTimeShare(), 0.25);
-    EXPECT_GT(after[prompts].inTimeShare(), 0.63);
-    EXPECT_GT(after[prompts].servedShare(), before[prompts].servedShare() + 0.1) << "late prompts are not starved";
+    auto withRule = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_LT(withoutRule[prompts].inTimeShare(), 0.25);
+    EXPECT_GT(withRule[prompts].inTimeShare(), 0.63);
+    EXPECT_GT(withRule[prompts].servedShare(), withoutRule[prompts].servedShare() + 0.1)
+        << "late prompts are not starved";
 }
 
 // All workspaces have the same priority. Without the route's priority, urgent chats would wait behind long prompts.
 TEST(OverloadTest, AnUrgentRouteDoesNotWaitBehindALessUrgentOne)
 {
-    auto before = BurstSimulation(burst(80), [](const auto&, unsigned, Punctuality) { return size_t(0); }).run(2s, 9s);
-    auto after = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_LT(before[chats].inTimeShare(), 0.93);
-    EXPECT_GT(after[chats].inTimeShare(), 0.98);
+    auto withoutRule
+        = BurstSimulation(burst(80), [](const auto&, unsigned, Punctuality) { return size_t(0); }).run(2s, 9s);
+    auto withRule = BurstSimulation(burst(80), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_LT(withoutRule[chats].inTimeShare(), 0.93);
+    EXPECT_GT(withRule[chats].inTimeShare(), 0.98);
 }
 
 // Long prompts become late first, but must not starve while there is capacity left.
 TEST(OverloadTest, LateGenerationsAreServedInTheRoomThatIsLeft)
 {
-    auto after = BurstSimulation(burst(30), byRouteAndPunctuality).run(2s, 9s);
-    EXPECT_GT(after[prompts].inTimeShare(), 0.85);
-    EXPECT_GT(after[prompts].servedShare(), 0.99);
-    EXPECT_GT(after[chats].servedShare(), 0.99);
+    auto withRule = BurstSimulation(burst(30), byRouteAndPunctuality).run(2s, 9s);
+    EXPECT_GT(withRule[prompts].inTimeShare(), 0.85);
+    EXPECT_GT(withRule[prompts].servedShare(), 0.99);
+    EXPECT_GT(withRule[chats].servedShare(), 0.99);
 }
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RequestIdentityTest.cpp
@@ -19,7 +19,7 @@
     RequestHasher there("key");
     EXPECT_EQ(here.identity(someRequest()), there.identity(someRequest()));
     EXPECT_EQ(here.identity(someRequest()).text().size(), 32U);
-    EXPECT_EQ(here.identity(someRequest()).target, here.target(someRequest()));
+    EXPECT_EQ(here.identity(someRequest()).headHash, here.headHash(someRequest()));
 }
 
 TEST(RequestIdentityTest, AnotherCallerMethodTargetQueryOrBodyIsAnotherRequest)
@@ -45,7 +45,7 @@
 TEST(RequestIdentityTest, PartBoundariesChangeTheHash)
 {
     RequestHasher hasher("key");
-    EXPECT_NE(hasher.target({ "ab", "c", "h", "/", "" }), hasher.target({ "a", "bc", "h", "/", "" }));
+    EXPECT_NE(hasher.headHash({ "ab", "c", "h", "/", "" }), hasher.headHash({ "a", "bc", "h", "/", "" }));
 }
 
 TEST(RequestIdentityTest, TheIdentityDependsOnTheFleetKey)
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -18,11 +18,11 @@
     AttemptOutcome::NotExecuted, AttemptOutcome::Interrupted, AttemptOutcome::CancelledAfterSending,
     AttemptOutcome::ServerError, AttemptOutcome::Answered, AttemptOutcome::Withheld };
 
-Route routeOf(RouteKind kind, bool resumable = false)
+Route routeOf(RouteKind kind, bool isResumable = false)
 {
     Route route;
     route.kind = kind;
-    route.resumable = resumable;
+    route.isResumable = isResumable;
     route.maxAttempts = 2;
     return route;
 }
--- a/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
@@ -55,11 +55,11 @@
 {
     Route once = route("a", "/");
     EXPECT_FALSE(once.mayRepeat());
-    once.resumable = true;
+    once.isResumable = true;
     EXPECT_FALSE(once.mayRepeat()) << "resumable applies only to streams";
     once.kind = RouteKind::Stream;
     EXPECT_TRUE(once.mayRepeat());
-    once.resumable = false;
+    once.isResumable = false;
     EXPECT_FALSE(once.mayRepeat());
     once.kind = RouteKind::Repeatable;
     EXPECT_TRUE(once.mayRepeat());
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -73,7 +73,7 @@
     EXPECT_FALSE(shouldReplicate(route, longResponse, true, false));
     EXPECT_FALSE(shouldReplicate(route, longResponse, false, true)) << "the engine cannot replicate";
     EXPECT_FALSE(shouldReplicate(route, longPrompt, true, true));
-    route.resumable = true;
+    route.isResumable = true;
     EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "the request can start over on another engine";
     route.kind = RouteKind::OnceOnly;
     EXPECT_FALSE(shouldReplicate(route, longResponse, true, true)) << "not a stream";
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -256,9 +256,9 @@
     EXPECT_FALSE(ledger.mayContain(1, 11));
     EXPECT_FALSE(ledger.mayContain(2, 10));
     EXPECT_EQ(ledger.suspicionOf(identityOf(1), s_start + 1s), Suspicion::Once);
-    EXPECT_TRUE(ledger.lift(identityOf(1).text(), s_start + 2s));
+    EXPECT_TRUE(ledger.clearSuspect(identityOf(1).text(), s_start + 2s));
     EXPECT_EQ(ledger.suspicionOf(identityOf(1), s_start + 2s), Suspicion::None);
-    EXPECT_FALSE(ledger.lift("nothing", s_start + 2s));
+    EXPECT_FALSE(ledger.clearSuspect("nothing", s_start + 2s));
 }
 
 TEST(SuspectLedgerTest, TheRepeatedScopeHoldsRepeatedSuspectsAndTheirLaterChanges)
