--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -67,7 +67,7 @@
     std::vector<Inner::Peer> peers;
     for (const auto& [id, peer] : m_member.peers().peers())
         peers.push_back({ id, peer.endpoint });
-    if (const auto& seed = m_member.seed())
+    if (const auto& seed = m_member.queriedSeed())
         peers.push_back({ seed->id, seed->endpoint });
     m_mesh.setPeers(peers);
 }
@@ -327,7 +327,7 @@
     if (m_suspects)
         m_suspects->forgetSent(id);
     std::lock_guard lock(m_mutex);
-    const auto& seed = m_member.seed();
+    const auto& seed = m_member.queriedSeed();
     if (seed && seed->id == id)
         m_member.recordSeedFailure();
     else if (auto* peer = m_member.peers().find(id))
@@ -353,7 +353,7 @@
     // A seed's response carries only the roster. The request was recorded under a generated id (FleetMember::Target),
     // because the seed's own id was not known when it was sent.
     auto& outstanding = m_member.outstanding();
-    if (const auto& seed = m_member.seed()) {
+    if (const auto& seed = m_member.queriedSeed()) {
         outstanding.complete(seed->id, snapshot.nonce());
         return std::nullopt;
     }
@@ -362,7 +362,7 @@
         return std::nullopt;
     m_member.recordPeerStoreAvailability(from, !snapshot.store_unavailable(), now);
     if (snapshot.leaving())
-        m_member.peers().state(from).backoff.recordLeaving(now);
+        m_member.peers().state(from).backoff.recordUnavailable(now);
     if (!outstanding.asHub())
         m_loads.recordHub(from, decodeLoads(snapshot.loads()), snapshot.routers(), now);
     return requestedAt;
--- a/Source/RouteServing/Gateway/SnapshotBuilder.cpp
+++ b/Source/RouteServing/Gateway/SnapshotBuilder.cpp
@@ -34,15 +34,15 @@
     snapshot.set_configuration_version(version);
     if (version <= knownVersion)
         return;
-    bool readsPacked = false;
+    bool acceptsPackedConfiguration = false;
     {
         std::lock_guard lock(m_parts.mutex);
         auto& state = m_parts.member.peers().state(peer);
         if (!state.configuration.beginSend(version, now))
             return;
-        readsPacked = state.readsPacked;
+        acceptsPackedConfiguration = state.acceptsPackedConfiguration;
     }
-    if (readsPacked)
+    if (acceptsPackedConfiguration)
         snapshot.set_packed_configuration(*packedConfiguration(*configuration));
     else
         snapshot.set_configuration(configuration->text);
@@ -94,7 +94,7 @@
         peer.recordContact(sender.incarnation);
     else
         peer.recordRequest(sender.incarnation, request.configuration_version(), now);
-    peer.readsPacked = request.reads_packed();
+    peer.acceptsPackedConfiguration = request.reads_packed();
     return m_parts.member.hasCompleteRoster(now);
 }
 
--- a/Source/RouteServing/Routing/FleetConnectivity.cpp
+++ b/Source/RouteServing/Routing/FleetConnectivity.cpp
@@ -11,12 +11,12 @@
 // that has lost half of its routers counts as complete again.
 static constexpr Common::Milliseconds peakRetention = 15'000ms;
 
-void FleetConnectivity::record(unsigned routers, Common::TimePoint now)
+void FleetConnectivity::record(unsigned otherRouters, Common::TimePoint now)
 {
-    m_routers = routers;
-    while (!m_peaks.empty() && m_peaks.back().routers <= routers)
+    m_otherRouters = otherRouters;
+    while (!m_peaks.empty() && m_peaks.back().otherRouters <= otherRouters)
         m_peaks.pop_back();
-    m_peaks.push_back({ now, routers });
+    m_peaks.push_back({ now, otherRouters });
     while (now - m_peaks.front().at > peakRetention)
         m_peaks.pop_front();
 }
@@ -25,14 +25,14 @@
 {
     if (m_peaks.empty() || now - m_peaks.front().at > peakRetention)
         return false;
-    return 2 * m_routers < m_peaks.front().routers;
+    return 2 * m_otherRouters < m_peaks.front().otherRouters;
 }
 
 double FleetConnectivity::reachableShare(Common::TimePoint now) const
 {
     if (m_peaks.empty() || now - m_peaks.front().at > peakRetention)
         return 1;
-    return (1.0 + m_routers) / (1.0 + m_peaks.front().routers);
+    return (1.0 + m_otherRouters) / (1.0 + m_peaks.front().otherRouters);
 }
 
 double FleetConnectivity::unreachableLoadFactor(Common::TimePoint now) const
--- a/Source/RouteServing/Routing/FleetConnectivity.h
+++ b/Source/RouteServing/Routing/FleetConnectivity.h
@@ -13,7 +13,7 @@
 class FleetConnectivity {
 public:
     // Records the number of other routers that have reported their load recently.
-    void record(unsigned routers, Common::TimePoint now);
+    void record(unsigned otherRouters, Common::TimePoint now);
     bool isPartitioned(Common::TimePoint now) const;
     // Returns the reachable routers divided by their recent peak, both including this router.
     double reachableShare(Common::TimePoint now) const;
@@ -25,11 +25,11 @@
 private:
     struct Sample {
         Common::TimePoint at;
-        unsigned routers { 0 };
+        unsigned otherRouters { 0 };
     };
     // In order of time, with decreasing counts: each is the maximum since the one before it.
     std::deque<Sample> m_peaks;
-    unsigned m_routers { 0 };
+    unsigned m_otherRouters { 0 };
 };
 
 } // namespace Brassladder::RouteServing::Routing
--- a/Source/RouteServing/Routing/FleetMember.cpp
+++ b/Source/RouteServing/Routing/FleetMember.cpp
@@ -52,7 +52,7 @@
 {
     RosterSituation situation;
     situation.isKnown = m_isRosterKnown;
-    situation.awaitsPeers = m_start.awaitsRoster(now);
+    situation.awaitsRoster = m_start.awaitsRoster(now);
     situation.isAnnounced = m_isAnnounced || m_peers.isAnnounced();
     situation.isStoreReader = m_readsStore;
     return situation;
@@ -94,7 +94,7 @@
     if (isAvailable)
         backoff.recordResponse();
     else if (!backoff.isIgnored(now))
-        backoff.recordLeaving(now);
+        backoff.recordUnavailable(now);
 }
 
 // Target of the requests
@@ -117,7 +117,7 @@
 // Returns whether the queried seed has changed, also to none.
 bool FleetMember::updateSeed(Common::TimePoint now)
 {
-    auto seed = isQueryingSeeds(now) ? m_start.seed() : std::nullopt;
+    auto seed = isQueryingSeeds(now) ? m_start.seedToQuery() : std::nullopt;
     bool isSame = m_seed ? seed == m_seed->endpoint : !seed;
     if (isSame)
         return false;
--- a/Source/RouteServing/Routing/FleetMember.h
+++ b/Source/RouteServing/Routing/FleetMember.h
@@ -57,7 +57,7 @@
     // Records a timeout if the response of the target is overdue. Returns the target's id, or nullopt if it was a seed
     // or no response is overdue.
     std::optional<std::string> handleOverdueHub(Common::TimePoint now);
-    const std::optional<RosterEntry>& seed() const { return m_seed; }
+    const std::optional<RosterEntry>& queriedSeed() const { return m_seed; }
     void recordSeedFailure() { m_start.recordSeedFailure(); }
 
     // Records the result of a read of the platform's store. After repeated failures, canReadStore() is false for a
@@ -94,7 +94,7 @@
     OutstandingRequests m_outstanding;
     std::optional<RosterEntry> m_seed; // Set while a seed is queried.
     RosterPosition m_seedRoster; // How far the seed's roster was received.
-    HubBackoff m_storeBackoff;
+    PeerBackoff m_storeBackoff;
     unsigned m_storeFailures { 0 }; // Consecutive.
     bool m_isRosterKnown { false };
     bool m_isAnnounced { false };
--- a/Source/RouteServing/Routing/HubRanking.cpp
+++ b/Source/RouteServing/Routing/HubRanking.cpp
@@ -9,13 +9,13 @@
 namespace Brassladder::RouteServing::Routing {
 
 // In a smaller fleet all routers are hubs, because a single hub would have no immediate replacement.
-static constexpr size_t minRoutersWithHubs = 4;
+static constexpr size_t minRoutersWithSubscribers = 4;
 // If one store reader fails and another is cut off from the store, the third one remains.
 static constexpr size_t maxStoreReaders = 3;
 
 size_t HubRanking::hubCount(size_t routers)
 {
-    if (routers < minRoutersWithHubs)
+    if (routers < minRoutersWithSubscribers)
         return routers;
     return static_cast<size_t>(std::lround(std::sqrt(static_cast<double>(routers))));
 }
--- a/Source/RouteServing/Routing/HubBackoff.h
+++ b/Source/RouteServing/Routing/PeerBackoff.h
@@ -9,7 +9,7 @@
 
 // Tracks how long a router is ignored as a hub because it does not respond, or as a store reader because it cannot read
 // the store. Not thread-safe.
-class HubBackoff {
+class PeerBackoff {
 public:
     // Backoff after the first timeout. It doubles with each further timeout, up to 32 s, and is longer than most
     // freezes from which an instance recovers.
@@ -24,7 +24,7 @@
         ++m_timeouts;
     }
     // The router stated that it is stopping, or that it cannot read the store.
-    void recordLeaving(Common::TimePoint now) { m_ignoredUntil = now + initialBackoff; }
+    void recordUnavailable(Common::TimePoint now) { m_ignoredUntil = now + initialBackoff; }
     // The router responded, has a new address, or can read the store.
     void recordResponse()
     {
@@ -32,7 +32,7 @@
         m_ignoredUntil = {};
     }
     // The router sent a request. It is running, but may still fail to respond, so the number of timeouts stays.
-    void recordRequest() { m_ignoredUntil = {}; }
+    void recordContact() { m_ignoredUntil = {}; }
 
     bool isIgnored(Common::TimePoint now) const { return now < m_ignoredUntil; }
     unsigned timeouts() const { return m_timeouts; } // Consecutive.
--- a/Source/RouteServing/Routing/PeerDirectory.cpp
+++ b/Source/RouteServing/Routing/PeerDirectory.cpp
@@ -14,7 +14,7 @@
     if (incarnation != sender)
         forgetSent();
     incarnation = sender;
-    backoff.recordRequest();
+    backoff.recordContact();
 }
 
 void PeerState::recordRequest(uint64_t sender, uint64_t version, Common::TimePoint now)
--- a/Source/RouteServing/Routing/PeerDirectory.h
+++ b/Source/RouteServing/Routing/PeerDirectory.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "Common/Endpoint.h"
-#include "RouteServing/Routing/HubBackoff.h"
 #include "RouteServing/Routing/HubRanking.h"
 #include "RouteServing/Routing/OutstandingRequests.h"
+#include "RouteServing/Routing/PeerBackoff.h"
 #include "RouteServing/Routing/Roster.h"
 
 #include <map>
@@ -35,12 +35,12 @@
     Common::Endpoint endpoint;
     uint64_t rosterVersion { 0 }; // Of the peer's newest known announcement.
     uint64_t rosterRevision { 0 }; // Of this router's roster when the entry last changed.
-    HubBackoff backoff;
-    HubBackoff storeBackoff; // Active while the peer reports that it cannot read the store.
+    PeerBackoff backoff;
+    PeerBackoff storeBackoff; // Active while the peer reports that it cannot read the store.
     Common::TimePoint lastRequest {}; // When the peer last requested a snapshot from this router.
     uint64_t incarnation { 0 }; // Of the peer's process at its last contact.
     uint64_t configurationVersion { 0 }; // The version that the peer had at its last request.
-    bool readsPacked { false }; // Whether the peer accepts a packed configuration.
+    bool acceptsPackedConfiguration { false }; // Whether the peer accepts a packed configuration.
     LastSentVersion configuration { configurationLostAfter };
     LastSentVersion upstreams { upstreamsLostAfter }; // The version is the digest of the list.
     RosterCursor rosterSent; // How far this router's roster was sent to the peer.
--- a/Source/RouteServing/Routing/RefreshIntervals.cpp
+++ b/Source/RouteServing/Routing/RefreshIntervals.cpp
@@ -19,18 +19,18 @@
 static constexpr int upstreamIntervalPercent = 45;
 // Leaves the rest of the bound for a read by the router itself.
 static constexpr int upstreamsStalePercent = 72;
-static constexpr int wholePercent = 100;
-static constexpr Common::Milliseconds initialBackoff { 100 };
+static constexpr int percentDivisor = 100;
+static constexpr Common::Milliseconds defaultInitialBackoff { 100 };
 
 RefreshIntervals RefreshIntervals::within(Common::Milliseconds configurationBound, Common::Milliseconds leavingBound)
 {
     RefreshIntervals intervals;
-    intervals.configurationLongPoll = configurationBound * configurationLongPollPercent / wholePercent;
-    intervals.configurationStaleAfter = configurationBound * configurationStalePercent / wholePercent;
-    intervals.upstreamInterval = leavingBound * upstreamIntervalPercent / wholePercent;
-    intervals.upstreamsStaleAfter = leavingBound * upstreamsStalePercent / wholePercent;
-    intervals.initialBackoff = Routing::initialBackoff;
-    intervals.maxBackoff = configurationBound * maxBackoffPercent / wholePercent;
+    intervals.configurationLongPoll = configurationBound * configurationLongPollPercent / percentDivisor;
+    intervals.configurationStaleAfter = configurationBound * configurationStalePercent / percentDivisor;
+    intervals.upstreamInterval = leavingBound * upstreamIntervalPercent / percentDivisor;
+    intervals.upstreamsStaleAfter = leavingBound * upstreamsStalePercent / percentDivisor;
+    intervals.initialBackoff = Routing::defaultInitialBackoff;
+    intervals.maxBackoff = configurationBound * maxBackoffPercent / percentDivisor;
     return intervals;
 }
 
@@ -49,12 +49,13 @@
     return exponentialBackoff(maxBackoff, maxBackoff * nonReaderBackoffFactor, failures - 1);
 }
 
-Common::Milliseconds exponentialBackoff(Common::Milliseconds initial, Common::Milliseconds longest, unsigned failures)
+Common::Milliseconds exponentialBackoff(
+    Common::Milliseconds initial, Common::Milliseconds maxBackoff, unsigned failures)
 {
     auto backoff = initial;
-    for (unsigned failure = 1; failure < failures && backoff < longest; ++failure)
+    for (unsigned failure = 1; failure < failures && backoff < maxBackoff; ++failure)
         backoff *= 2;
-    return std::min(backoff, longest);
+    return std::min(backoff, maxBackoff);
 }
 
 Common::Milliseconds jittered(Common::Milliseconds backoff, double random)
--- a/Source/RouteServing/Routing/RefreshIntervals.h
+++ b/Source/RouteServing/Routing/RefreshIntervals.h
@@ -29,8 +29,9 @@
     Common::Milliseconds nonReaderBackoffAfter(unsigned failures) const;
 };
 
-// Starts at `initial` and doubles with each failure, up to `longest`.
-Common::Milliseconds exponentialBackoff(Common::Milliseconds initial, Common::Milliseconds longest, unsigned failures);
+// Starts at `initial` and doubles with each failure, up to `maxBackoff`.
+Common::Milliseconds exponentialBackoff(
+    Common::Milliseconds initial, Common::Milliseconds maxBackoff, unsigned failures);
 
 // Shortens the backoff by up to a half at random, so that routers that failed together do not retry in step. `random`
 // is uniformly distributed in [0, 1).
--- a/Source/RouteServing/Routing/RosterDuty.cpp
+++ b/Source/RouteServing/Routing/RosterDuty.cpp
@@ -11,19 +11,19 @@
 static constexpr Common::Milliseconds initialInterval = 1000ms;
 // A long interval suffices, because a router that starts between two reads contacts a peer and becomes known without a
 // read.
-static constexpr Common::Milliseconds longestInterval = 6000ms;
+static constexpr Common::Milliseconds maxInterval = 6000ms;
 
 Common::Milliseconds rosterInterval(unsigned reads)
 {
     auto interval = initialInterval;
-    for (unsigned read = 1; read < reads && interval < longestInterval; ++read)
+    for (unsigned read = 1; read < reads && interval < maxInterval; ++read)
         interval *= 2;
-    return std::min(interval, longestInterval);
+    return std::min(interval, maxInterval);
 }
 
 RosterStep nextRosterStep(const RosterSituation& situation)
 {
-    if (!situation.isKnown && situation.awaitsPeers)
+    if (!situation.isKnown && situation.awaitsRoster)
         return RosterStep::Wait;
     // Announcing comes before the first read: if two routers start together, at least one sees the other.
     if (!situation.isAnnounced)
--- a/Source/RouteServing/Routing/RosterDuty.h
+++ b/Source/RouteServing/Routing/RosterDuty.h
@@ -14,7 +14,7 @@
 // The input of nextRosterStep().
 struct RosterSituation {
     bool isKnown { false }; // Read from the store, or received from a router that has it.
-    bool awaitsPeers { false }; // The roster is expected from a seed (StartPhase).
+    bool awaitsRoster { false }; // The roster is expected from a seed (StartPhase).
     bool isAnnounced { false }; // The platform has this router's current address.
     bool isStoreReader { false }; // This router reads the store for other routers (HubRanking).
     unsigned reads { 0 }; // Reads by this router so far.
--- a/Source/RouteServing/Routing/StartPhase.cpp
+++ b/Source/RouteServing/Routing/StartPhase.cpp
@@ -25,7 +25,7 @@
     return hasSeeds() && !m_hasSeedFailed && now - m_started < firstStateTimeout;
 }
 
-std::optional<Common::Endpoint> StartPhase::seed() const
+std::optional<Common::Endpoint> StartPhase::seedToQuery() const
 {
     if (m_seeds.empty())
         return std::nullopt;
--- a/Source/RouteServing/Routing/StartPhase.h
+++ b/Source/RouteServing/Routing/StartPhase.h
@@ -49,7 +49,7 @@
     // Whether the first configuration and list of upstreams are expected from other routers.
     bool awaitsState(Common::TimePoint now) const;
     // Returns the seed to query now, or nullopt if there is none.
-    std::optional<Common::Endpoint> seed() const;
+    std::optional<Common::Endpoint> seedToQuery() const;
     // The seed did not respond: the next one is queried.
     void recordSeedFailure()
     {
--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -103,7 +103,7 @@
         request.set_nonce(++m_nonce);
         request.set_endpoint(endpoint.text());
         request.set_configuration_version(knownVersion);
-        request.set_reads_packed(readsPacked);
+        request.set_reads_packed(acceptsPackedConfiguration);
         m_mesh.send("hub", std::move(item));
     }
     void notify(Knowledge notification)
@@ -138,7 +138,7 @@
         });
     }
 
-    bool readsPacked { false };
+    bool acceptsPackedConfiguration { false };
     Common::Endpoint endpoint; // The hub sends its responses here.
 
 private:
@@ -271,7 +271,7 @@
     EXPECT_EQ(peer.copies(1), 1U);
     EXPECT_EQ(peer.packedCopies(1), 0U);
     auto& updated = *new Subscriber(hub, 2);
-    updated.readsPacked = true;
+    updated.acceptsPackedConfiguration = true;
     ASSERT_TRUE(updated.requestAndWait(0));
     EXPECT_EQ(updated.copies(1), 0U);
     EXPECT_EQ(updated.packedCopies(1), 1U);
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -147,7 +147,7 @@
         auto nonce = member.outstanding().add(id, member.isHub(), now);
         auto* peer = at(endpoint, now);
         if (!peer) {
-            if (member.seed())
+            if (member.queriedSeed())
                 member.recordSeedFailure();
             return;
         }
--- a/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/PeersTest.cpp
@@ -12,9 +12,9 @@
 
 static constexpr Common::TimePoint s_now(1h);
 
-TEST(HubBackoffTest, TheBackoffDoublesUntilAResponse)
+TEST(PeerBackoffTest, TheBackoffDoublesUntilAResponse)
 {
-    HubBackoff backoff;
+    PeerBackoff backoff;
     EXPECT_FALSE(backoff.isIgnored(s_now));
     auto expected = 2000ms;
     for (int timeout = 1; timeout <= 7; ++timeout) {
@@ -24,14 +24,14 @@
         expected = std::min(expected * 2, 32'000ms);
     }
     EXPECT_EQ(backoff.timeouts(), 7U);
-    backoff.recordRequest();
+    backoff.recordContact();
     EXPECT_FALSE(backoff.isIgnored(s_now)) << "the router is running";
     EXPECT_EQ(backoff.timeouts(), 7U) << "a request is not a response";
     backoff.recordResponse();
     backoff.recordTimeout(s_now);
     EXPECT_FALSE(backoff.isIgnored(s_now + 2000ms)) << "the backoff starts again from its initial value";
     backoff.recordResponse();
-    backoff.recordLeaving(s_now);
+    backoff.recordUnavailable(s_now);
     EXPECT_TRUE(backoff.isIgnored(s_now + 1999ms));
 }
 
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -102,9 +102,9 @@
 TEST(RosterDutyTest, ARouterAnnouncesItselfOnceAndOnlyStoreReadersRead)
 {
     RosterSituation situation;
-    situation.awaitsPeers = true;
+    situation.awaitsRoster = true;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Wait) << "a seed may respond";
-    situation.awaitsPeers = false;
+    situation.awaitsRoster = false;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Announce) << "no seed responded";
     situation.isAnnounced = true;
     EXPECT_EQ(nextRosterStep(situation), RosterStep::Read);
@@ -137,7 +137,7 @@
     StartPhase start({ {}, true }, s_now, 0.5);
     start.setOwnEndpoint(s_self);
     EXPECT_FALSE(start.awaitsRoster(s_now));
-    EXPECT_FALSE(start.seed());
+    EXPECT_FALSE(start.seedToQuery());
 }
 
 TEST(StartPhaseTest, SeedsAreAskedInTurnForALimitedTime)
@@ -145,11 +145,11 @@
     StartPhase start({ { s_old, s_new } }, s_now, 0);
     start.setOwnEndpoint(s_self);
     EXPECT_TRUE(start.awaitsRoster(s_now));
-    EXPECT_EQ(start.seed(), s_old);
+    EXPECT_EQ(start.seedToQuery(), s_old);
     start.recordSeedFailure();
-    EXPECT_EQ(start.seed(), s_new);
+    EXPECT_EQ(start.seedToQuery(), s_new);
     start.recordSeedFailure();
-    EXPECT_EQ(start.seed(), s_old);
+    EXPECT_EQ(start.seedToQuery(), s_old);
     EXPECT_TRUE(start.awaitsRoster(s_now + StartPhase::rosterTimeout - 1ms));
     EXPECT_FALSE(start.awaitsRoster(s_now + StartPhase::rosterTimeout));
     StartPhase later({ { s_old, s_new } }, s_now, 0.99);
