--- a/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/AdmissionTest.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 // Each row fails one check and passes those before it.
-TEST(AdmissionTest, TheFirstConditionThatDoesNotHoldRefuses)
+TEST(AdmissionTest, TheFirstFailedCheckDeterminesTheRefusal)
 {
     auto table = tableWithKeys();
     struct Case {
@@ -102,7 +102,7 @@
     }
 }
 
-TEST(AdmissionTest, TheShorterTimeoutHolds)
+TEST(AdmissionTest, TheShorterTimeoutApplies)
 {
     Route route;
     route.timeout = 3000ms;
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST(EnginePlacementTest, PromptsWithOnePrefixGoToOneEngineAndPrefixesSpread)
+TEST(EnginePlacementTest, EachPrefixIsPlacedOnOneEngineAndPrefixesAreDistributed)
 {
     EnginePlacement placement;
     auto engines = nineEngines();
--- a/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/FleetStartTest.cpp
@@ -199,7 +199,7 @@
 } // namespace
 
 // Guards against reads of the roster that grow with the fleet: by each starting router, or by all hubs.
-TEST(FleetStartTest, AFirstStartCostsTheStoreOneCallForEachRouterAndAFewReads)
+TEST(FleetStartTest, AFirstStartNeedsOneAnnouncementPerRouterAndAFewReads)
 {
     for (size_t count : { 30, 100, 300 }) {
         SimulatedFleet fleet(count, s_seeds);
@@ -229,7 +229,7 @@
     EXPECT_LE(fleet.store.reads, s_maxReadsPerRun);
 }
 
-TEST(FleetStartTest, ARouterThatIsReplacedIsKnownToAllWithoutAReadOfItsOwn)
+TEST(FleetStartTest, AReplacedRouterReceivesTheRosterWithoutReadingTheStore)
 {
     static constexpr size_t count = 100;
     SimulatedFleet fleet(count, s_seeds);
--- a/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/HubRankingTest.cpp
@@ -138,7 +138,7 @@
     EXPECT_EQ(readers, HubRanking::storeReaderCount(100));
 }
 
-TEST(HubRankingTest, ARouterIsAHubBeforeItKnowsAnyOther)
+TEST(HubRankingTest, ARouterWithoutPeersIsAHub)
 {
     HubRanking alone({}, { "r1" });
     EXPECT_TRUE(alone.isHub());
--- a/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OutstandingRequestsTest.cpp
@@ -12,7 +12,7 @@
 static constexpr Common::TimePoint s_now(1h);
 
 // If the round trip is longer than the exchange interval, each response arrives after the next request.
-TEST(OutstandingRequestsTest, AResponseCountsAlsoAfterLaterRequests)
+TEST(OutstandingRequestsTest, AResponseIsAcceptedAfterLaterRequests)
 {
     OutstandingRequests requests;
     requests.setTarget("h1", false);
--- a/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/OverloadTest.cpp
@@ -206,7 +206,7 @@
 }
 
 // Long prompts become late first, but must not starve while there is capacity left.
-TEST(OverloadTest, LateGenerationsAreServedInTheRoomThatIsLeft)
+TEST(OverloadTest, LateGenerationsAreServedWithRemainingCapacity)
 {
     auto withRule = BurstSimulation(burst(30), byRouteAndPunctuality).run(2s, 9s);
     EXPECT_GT(withRule[prompts].inTimeShare(), 0.85);
--- a/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/QuotaAssignerTest.cpp
@@ -26,7 +26,7 @@
     EXPECT_EQ(bucket.available(), 1U);
 }
 
-TEST(QuotaBucketTest, APauseAccumulatesNoTokens)
+TEST(QuotaBucketTest, APauseAddsTokensForABoundedTimeOnly)
 {
     QuotaBucket bucket;
     bucket.refill(100, 1, s_now);
--- a/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RegistryStatementsTest.cpp
@@ -83,7 +83,7 @@
 }
 
 // An upstream may start a cooldown after it was chosen, while the router connects or waits for another attempt.
-TEST(RegistryStatementsTest, ACooldownThatStartsAfterTheChoiceRevokesThePermit)
+TEST(RegistryStatementsTest, ACooldownThatStartsAfterTheChoicePreventsThePermit)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
--- a/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RetryPolicyTest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST(AttemptOutcomeTest, TheLogFieldTellsWhetherTheRequestRan)
+TEST(AttemptOutcomeTest, TheLogFieldStatesWhetherTheRequestRan)
 {
     std::vector<std::string_view> labels;
     labels.reserve(s_allOutcomes.size());
@@ -117,7 +117,7 @@
         RetryDecision::GiveUp);
 }
 
-TEST(RetryPolicyTest, ErrorKindsThatSayDidNotRunAreOnlyUsedForRequestsThatDidNot)
+TEST(RetryPolicyTest, NotRunErrorKindsAreUsedOnlyForRequestsThatDidNotRun)
 {
     AttemptHistory notRun;
     notRun.record(AttemptOutcome::NotExecuted);
@@ -146,7 +146,7 @@
 
 // Guards against a delay of a second, which would miss shorter objectives although another upstream can take the
 // request.
-TEST(RetryPolicyTest, RetryAfterIsShorterWhileOtherUpstreamsHaveRoom)
+TEST(RetryPolicyTest, RetryAfterIsShorterWhileAnotherUpstreamIsHealthy)
 {
     EXPECT_EQ(retryAfterRefusal(true), 50ms);
     EXPECT_EQ(retryAfterRefusal(false), 1000ms);
--- a/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RosterTest.cpp
@@ -57,7 +57,7 @@
     EXPECT_EQ(position.revisionOf(2), 3U);
 }
 
-TEST(PeerDirectoryTest, TheRosterSinceARevisionHoldsWhatChangedSince)
+TEST(PeerDirectoryTest, RosterAfterReturnsEntriesChangedAfterTheRevision)
 {
     PeerDirectory peers("self");
     peers.setOwnEndpoint(s_self);
@@ -140,7 +140,7 @@
     EXPECT_FALSE(start.seedToQuery());
 }
 
-TEST(StartPhaseTest, SeedsAreAskedInTurnForALimitedTime)
+TEST(StartPhaseTest, SeedsAreQueriedInTurnForALimitedTime)
 {
     StartPhase start({ { s_old, s_new } }, s_now, 0);
     start.setOwnEndpoint(s_self);
--- a/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/RouteTableTest.cpp
@@ -16,7 +16,7 @@
     return result;
 }
 
-TEST(RouteTableTest, LongestPrefixOfTheHostWins)
+TEST(RouteTableTest, TheLongestMatchingPrefixIsSelected)
 {
     auto table = RouteTable::Builder()
                      .route(route("a.example", "/x/"))
@@ -37,7 +37,7 @@
     EXPECT_EQ(table.routeCount(), 3U);
 }
 
-TEST(RouteTableTest, KeysLeadToTheirWorkspace)
+TEST(RouteTableTest, KeysMapToTheirWorkspace)
 {
     auto table = RouteTable::Builder()
                      .workspace({ "shop", 1 }, { "k1", "k2" })
--- a/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SchedulesTest.cpp
@@ -16,7 +16,7 @@
 static constexpr Common::TimePoint s_now(1h);
 
 // The values are fixed percentages of the bounds.
-TEST(RefreshIntervalsTest, AllFollowFromTheBounds)
+TEST(RefreshIntervalsTest, IntervalsAreDerivedFromTheBounds)
 {
     auto intervals = RefreshIntervals::within(2000ms, 1000ms);
     EXPECT_EQ(intervals.configurationLongPoll, 500ms);
--- a/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SendQuotasTest.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(SendQuotasTest, WithoutAQuotaNothingGoesToALimitedUpstream)
+TEST(SendQuotasTest, WithoutAQuotaNoRequestIsSentToALimitedUpstream)
 {
     SendQuotas quotas;
     EXPECT_TRUE(quotas.take(s_key, 0, s_now));
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -198,7 +198,7 @@
 // A request that can complete is cleared by a trial ten minutes after it was held, unless its engine crashes for
 // another reason. A request that never completes runs at most three times before it is held, and three more times as a
 // trial.
-TEST(SuspectTest, InnocentRequestsAreHeldForTenMinutesAtMostAndGuiltyOnesRunThreeTimes)
+TEST(SuspectTest, HarmlessRequestsAreHeldForTenMinutesAtMostAndCrashingOnesRunThreeTimes)
 {
     EXPECT_TRUE(rc::check([] {
         History history;
@@ -226,7 +226,7 @@
     }));
 }
 
-TEST(SuspectTest, AGuiltyRequestRunsThreeTimesInTenMinutesWhateverRunsBesideIt)
+TEST(SuspectTest, ACrashingRequestRunsThreeTimesInTenMinutesWhateverRunsBesideIt)
 {
     EXPECT_TRUE(rc::check([] {
         History history;
--- a/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UpstreamRegistryTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST(UpstreamRegistryTest, ALeavingUpstreamGetsNothingNewAndStaysLeaving)
+TEST(UpstreamRegistryTest, ALeavingUpstreamIsNotChosenAndRemainsLeaving)
 {
     UpstreamRegistry registry("north");
     registry.setUpstreams({ upstream("u1") });
--- a/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/UrgencyTest.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-TEST(UrgencyTest, ALateGenerationGoesBehindItsOwnRankAndBeforeTheNext)
+TEST(UrgencyTest, LateGenerationsRankBetweenTheirRankAndTheNext)
 {
     auto urgency = scale({ 0, 1 }, { 0, 1 });
     size_t last = 0;
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(UrgencyTest, WhereLevelsAreScarceTheLeastUrgentRanksHaveTwo)
+TEST(UrgencyTest, WithTooFewLevelsTheLeastUrgentRanksHaveTwo)
 {
     auto six = scale({ 0, 1, 2 }, { 0, 1, 2, 3 });
     EXPECT_EQ(six.level(1, Punctuality::OnTime, 10), 1U);
