--- a/Source/RouteServing/Routing/PeerBackoff.h
+++ b/Source/RouteServing/Routing/PeerBackoff.h
@@ -7,8 +7,8 @@
 
 namespace Brassladder::RouteServing::Routing {
 
-// Tracks how long a router is ignored as a hub because it does not respond, or as a store reader because it cannot read
-// the store. Not thread-safe.
+// Tracks how long a router is left out of the ranking because it does not respond, or is not a store reader because it
+// cannot read the store. Not thread-safe.
 class PeerBackoff {
 public:
     // Backoff after the first timeout. It doubles with each further timeout, up to 32 s, and is longer than most
@@ -31,7 +31,7 @@
         m_timeouts = 0;
         m_ignoredUntil = {};
     }
-    // The router sent a request. It is running, but may still fail to respond, so the number of timeouts stays.
+    // The router sent a message. It is running, but may still fail to respond, so the number of timeouts stays.
     void recordContact() { m_ignoredUntil = {}; }
 
     bool isIgnored(Common::TimePoint now) const { return now < m_ignoredUntil; }
--- a/Source/RouteServing/Routing/PeerDirectory.h
+++ b/Source/RouteServing/Routing/PeerDirectory.h
@@ -40,7 +40,7 @@
     Common::TimePoint lastRequest {}; // When the peer last requested a snapshot from this router.
     uint64_t incarnation { 0 }; // Of the peer's process at its last contact.
     uint64_t configurationVersion { 0 }; // The version that the peer had at its last request.
-    bool acceptsPackedConfiguration { false }; // Whether the peer accepts a packed configuration.
+    bool acceptsPackedConfiguration { false };
     LastSentVersion configuration { configurationLostAfter };
     LastSentVersion upstreams { upstreamsLostAfter }; // The version is the digest of the list.
     RosterCursor rosterSent; // How far this router's roster was sent to the peer.
--- a/Source/RouteServing/Routing/RouteTable.h
+++ b/Source/RouteServing/Routing/RouteTable.h
@@ -72,9 +72,8 @@
 
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 4 * 1024 * 1024 };
-    Common::Milliseconds receiveTimeout {
-        defaultReceiveTimeout
-    }; // For receiving a whole request after its first byte.
+    // For receiving a whole request after its first byte.
+    Common::Milliseconds receiveTimeout { defaultReceiveTimeout };
     Common::Milliseconds idleTimeout { defaultIdleTimeout }; // Between two requests on one connection.
 };
 
--- a/Source/RouteServing/Routing/SuspectLedger.h
+++ b/Source/RouteServing/Routing/SuspectLedger.h
@@ -25,7 +25,7 @@
 
     // Returns whether there are no suspects. Lock-free, because every request checks it first.
     bool isEmpty() const { return !m_size.load(std::memory_order_relaxed); }
-    // Returns whether a suspect has this target hash and body size. If not, the body need not be hashed.
+    // Returns whether a suspect has this hash of the head and this body size. If not, the body need not be hashed.
     bool mayContain(uint64_t headHash, uint64_t bodyBytes) const;
     std::optional<SuspectRecord> find(const RequestIdentity&) const;
     Suspicion suspicionOf(const RequestIdentity&, Common::TimePoint now) const;
--- a/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/EnginePlacementTest.cpp
@@ -109,7 +109,7 @@
     EXPECT_EQ(used.size(), 4U) << "90 generations with 25% headroom, 32 per engine";
 }
 
-// In a burst, long responses must not spread to the engines of long prompts while their own engines have room.
+// In a burst, long responses must not spread to the engines of long prompts while their own engines have capacity left.
 TEST(EnginePlacementTest, DecodeHeavyWorkFillsItsEnginesBeforeItUsesOthers)
 {
     EnginePlacement placement;
--- a/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
+++ b/Source/UnitTests/RouteServing/Routing/SuspectTest.cpp
@@ -147,8 +147,8 @@
 
 namespace {
 
-// Simulates a fleet with one ledger in virtual time. Requests are sent repeatedly. Request 0, the guilty one, crashes
-// each engine that runs it, and engines also crash for other reasons.
+// Simulates a fleet with one ledger in virtual time. Requests are sent repeatedly. Request 0, the crashing one,
+// crashes each engine that runs it, and engines also crash for other reasons.
 struct History {
     static constexpr size_t engines = 12;
     static constexpr size_t harmlessRequests = 6;
@@ -157,7 +157,7 @@
     TimePoint now { s_start };
     uint64_t born { 0 };
     size_t crashingRuns { 0 };
-    // Since when an innocent request is held without a due trial.
+    // Since when a harmless request is held without a due trial.
     std::map<uint64_t, TimePoint> heldSince;
 
     // Returns whether a request may run now. Records a trial if the request is on trial.
@@ -172,8 +172,8 @@
         return suspicion != Suspicion::Held;
     }
 
-    // Runs these requests on one engine. It crashes if the guilty one is among them or if `crashesIndependently` is
-    // set.
+    // Runs these requests on one engine. It crashes if the crashing request is among them or if
+    // `crashesIndependently` is set.
     void run(const std::vector<uint64_t>& numbers, bool crashesIndependently, Common::Milliseconds time)
     {
         auto sent = now;
@@ -212,7 +212,7 @@
             if (!batch.empty())
                 history.run(batch, crashesIndependently, Common::Milliseconds(*rc::gen::inRange(100, 2000)));
             history.now += Common::Milliseconds(*rc::gen::inRange(50, 3000));
-            // Without other crashes, a held innocent request gets a trial and is cleared.
+            // Without other crashes, a held harmless request gets a trial and is cleared.
             if (step % 100 == 99) {
                 history.now += 10min;
                 for (uint64_t number = 1; number <= History::harmlessRequests; ++number) {
