--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -35,10 +35,10 @@
         return Step::Send;
     bool isFullyCounted = ledger.isFullyCounted(window);
     if (isFullyCounted && ledger.isFinal(window))
-        return Step::Write;
+        return Step::Append;
     if (wall < end + m_times.delay - reportLeadTime)
         return Step::Wait;
-    return isFullyCounted ? Step::Write : Step::GiveUp;
+    return isFullyCounted ? Step::Append : Step::GiveUp;
 }
 
 uint64_t UsageReports::firstReportableWindow(uint64_t openWindow)
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -45,7 +45,7 @@
 
     enum class Step : uint8_t {
         Wait,
-        Write, // Write the ledger's counts to the log.
+        Append, // Write the ledger's counts to the log.
         Send, // Send the logged counts.
         GiveUp, // Send no report: the counts are incomplete, and no time is left to complete them.
     };
--- a/Source/RouteServing/Gateway/DutyMetrics.cpp
+++ b/Source/RouteServing/Gateway/DutyMetrics.cpp
@@ -68,7 +68,7 @@
         .Increment();
 }
 
-void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>& need)
+void engineCounts(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>& need)
 {
     auto set = [&](const char* quantity, unsigned engines) {
         Common::Metrics::gauge("brassladder_capacity_engines", "Engines of a service whose capacity this router orders",
--- a/Source/RouteServing/Gateway/DutyMetrics.h
+++ b/Source/RouteServing/Gateway/DutyMetrics.h
@@ -25,7 +25,7 @@
 
 // Sets `brassladder_capacity_engines{service,what}`. `what` is standing (listed engines that are not leaving), lasting
 // (needed for the sustained load) or ahead (needed with headroom).
-void capacity(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>&);
+void engineCounts(const std::string& service, unsigned servingEngines, const std::optional<Duties::CapacityNeed>&);
 
 std::string_view label(DutyCallOutcome);
 
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -184,8 +184,8 @@
         return false;
     auto [next, window] = m_parts.usage.inspect([&](const auto& ledger, Milliseconds wall) {
         auto first = Duties::UsageReports::firstReportableWindow(m_settings.usage.windowAt(wall));
-        auto window = std::max(m_firstUnreported, first);
-        return std::pair(m_reports.next(window, ledger, wall), window);
+        auto windowToReport = std::max(m_firstUnreported, first);
+        return std::pair(m_reports.next(windowToReport, ledger, wall), windowToReport);
     });
     switch (next) {
     case UsageStep::Wait:
@@ -193,8 +193,8 @@
     case UsageStep::GiveUp:
         closeWindow(window, "unknown");
         return true;
-    case UsageStep::Write:
-        return writeWindow(window);
+    case UsageStep::Append:
+        return appendWindow(window);
     case UsageStep::Send:
         return sendWindow(*m_reports.written(window));
     }
@@ -209,7 +209,7 @@
         Common::log(LogLevel::Warning, "gateway", "usage.not_reported", { { "window", window }, { "why", outcome } });
 }
 
-bool DutyRunner::writeWindow(uint64_t window)
+bool DutyRunner::appendWindow(uint64_t window)
 {
     auto dutyCaller = caller();
     if (!dutyCaller)
@@ -283,7 +283,7 @@
         servingEngines += domain.onDemand + domain.spot;
     auto& demand = m_demands.try_emplace(service.service, service.terms.spotPrice).first->second;
     demand.observe(service.load, servingEngines, now);
-    DutyMetrics::capacity(service.service, servingEngines, demand.need(now));
+    DutyMetrics::engineCounts(service.service, servingEngines, demand.need(now));
 }
 
 bool DutyRunner::orderCapacity(const ServiceCapacity& service, TimePoint now)
--- a/Source/RouteServing/Gateway/DutyRunner.h
+++ b/Source/RouteServing/Gateway/DutyRunner.h
@@ -75,7 +75,7 @@
 
     // In the two groups below, true means that the step did some work, so the next step follows without a pause.
     bool reportUsage();
-    bool writeWindow(uint64_t window);
+    bool appendWindow(uint64_t window);
     bool sendWindow(const Duties::WindowRecord&);
     void closeWindow(uint64_t window, std::string_view outcome);
 
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -27,7 +27,7 @@
 // Wait at the end of a planned stop until the last usage counts reach the hub: two intervals of the exchange.
 static constexpr Milliseconds finalUsageExchangeTime = 200ms;
 
-static Milliseconds timeOfDay()
+static Milliseconds unixTime()
 {
     return std::chrono::duration_cast<Milliseconds>(std::chrono::system_clock::now().time_since_epoch());
 }
@@ -37,7 +37,7 @@
     if (!settings.duties)
         return nullptr;
     Duties::RouterProcess self { settings.id, Common::randomNumber() };
-    return std::make_unique<UsageExchange>(std::move(self), settings.duties->usage, timeOfDay);
+    return std::make_unique<UsageExchange>(std::move(self), settings.duties->usage, unixTime);
 }
 
 Gateway::Gateway(
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -72,7 +72,7 @@
     m_mesh.setPeers(peers);
 }
 
-void PeerExchange::addContact(const std::string& id, const std::string& address)
+void PeerExchange::addPeerAddress(const std::string& id, const std::string& address)
 {
     auto endpoint = Common::parseEndpoint(address);
     // Without a valid address in the request, the mesh can send the response only if the roster contains the peer.
@@ -336,7 +336,7 @@
 
 void PeerExchange::onSnapshotRequest(const Inner::Mesh::Sender& sender, const Inner::Wire::KnowledgeAsk& request)
 {
-    addContact(sender.id, request.endpoint());
+    addPeerAddress(sender.id, request.endpoint());
     Item item;
     *item.mutable_knowledge() = m_snapshots.buildResponse(sender, request);
     m_mesh.send(sender.id, std::move(item));
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -96,7 +96,7 @@
     void notifySubscribers();
 
     // The roster
-    void addContact(const std::string& id, const std::string& address);
+    void addPeerAddress(const std::string& id, const std::string& address);
     void addRoster(std::span<const Routing::RosterEntry>);
     void setMeshPeers();
     void onRosterRead(std::span<const Routing::RosterEntry>);
--- a/Source/RouteServing/Gateway/QuotaExchange.cpp
+++ b/Source/RouteServing/Gateway/QuotaExchange.cpp
@@ -37,10 +37,10 @@
     }
     if (reachable != m_reachableHubs) {
         m_reachableHubs = std::move(reachable);
-        m_since.hubs = now;
+        m_stableSince.hubs = now;
     }
     if (!m_lastStep || now - *m_lastStep > maxStepGap)
-        m_since = { now, now };
+        m_stableSince = { now, now };
     m_lastStep = now;
 }
 
@@ -71,7 +71,7 @@
 {
     auto& state = m_limitStates[known.key];
     state.owner = ownerOf(known.key);
-    bool assigns = state.ownership.update(state.owner, m_self, m_since, now);
+    bool assigns = state.ownership.update(state.owner, m_self, m_stableSince, now);
     auto& own = m_received[m_self];
     own.incarnation = m_incarnation;
     state.routerAssigner.record(m_self, { m_incarnation, known.wanted, own.counts[known.key] }, now);
@@ -105,7 +105,7 @@
 
 bool QuotaExchange::wasRecentlyPaused(Common::TimePoint now) const
 {
-    return !m_lastStep || now - *m_lastStep > maxStepGap || now - m_since.running < maxStepGap;
+    return !m_lastStep || now - *m_lastStep > maxStepGap || now - m_stableSince.running < maxStepGap;
 }
 
 void QuotaExchange::stepAsSubscriber(Common::TimePoint now)
--- a/Source/RouteServing/Gateway/QuotaExchange.h
+++ b/Source/RouteServing/Gateway/QuotaExchange.h
@@ -94,7 +94,7 @@
     std::map<std::string, Received> m_received; // By the id of the granting router, which may be this one.
     std::map<std::string, HubContact> m_hubContacts;
     std::vector<std::string> m_reachableHubs; // Hubs that sent a message recently, and this hub.
-    Routing::QuotaOwnership::StableSince m_since;
+    Routing::QuotaOwnership::StableSince m_stableSince;
     std::optional<Common::TimePoint> m_lastStep;
 };
 
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -151,8 +151,8 @@
     // Reads the lease before the configuration, so the configuration is at least as recent as the one that the lease
     // confirms.
     bool isLeaseValid = isKeyLeaseValid();
-    auto inForce = m_services.watcher.configuration();
-    return Routing::revalidateKey(inForce->table, m_workspace, key(), isLeaseValid);
+    auto current = m_services.watcher.configuration();
+    return Routing::revalidateKey(current->table, m_workspace, key(), isLeaseValid);
 }
 
 Routing::UpstreamRegistry::PlacementRequest RequestHandler::placementRequest() const
--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -88,15 +88,15 @@
 
 ClockReading ClockReading::now()
 {
-    auto timeOfDay = std::chrono::system_clock::now().time_since_epoch();
-    return { Common::now(), std::chrono::duration_cast<Milliseconds>(timeOfDay) };
+    auto unixTime = std::chrono::system_clock::now().time_since_epoch();
+    return { Common::now(), std::chrono::duration_cast<Milliseconds>(unixTime) };
 }
 
 std::string encodeStoredSuspect(const StoredSuspect& stored, const ClockReading& now)
 {
     Inner::Wire::StoredSuspect message;
     encodeSuspect(stored.record, *message.mutable_suspect(), now.steady);
-    message.set_written_ms(static_cast<uint64_t>(now.timeOfDay.count()));
+    message.set_written_ms(static_cast<uint64_t>(now.unixTime.count()));
     message.set_claimed_by(stored.claimedBy);
     message.set_claimed_until_ms(static_cast<uint64_t>(stored.claimedUntil.count()));
     return message.SerializeAsString();
@@ -108,7 +108,7 @@
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return std::nullopt;
     // If the time of day was set back since the write, the record counts as just written.
-    auto elapsed = std::max(now.timeOfDay - Milliseconds(message.written_ms()), Milliseconds(0));
+    auto elapsed = std::max(now.unixTime - Milliseconds(message.written_ms()), Milliseconds(0));
     auto written = now.steady - std::min(elapsed, maxSuspectAge);
     auto record = decodeSuspect(message.suspect(), written);
     if (Routing::lastEventAt(record) == TimePoint::min())
--- a/Source/RouteServing/Gateway/SuspectCodec.h
+++ b/Source/RouteServing/Gateway/SuspectCodec.h
@@ -29,7 +29,7 @@
 // One instant on the steady clock, to which ages refer, and as the time of day since the Unix epoch.
 struct ClockReading {
     Common::TimePoint steady;
-    Common::Milliseconds timeOfDay { 0 };
+    Common::Milliseconds unixTime { 0 };
 
     static ClockReading now();
 };
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -134,7 +134,7 @@
         return Claim::Unavailable;
     auto now = ClockReading::now();
     const auto* stored = findStored(valueOf(contents), request);
-    if (stored && !stored->claimedBy.empty() && stored->claimedUntil > now.timeOfDay)
+    if (stored && !stored->claimedBy.empty() && stored->claimedUntil > now.unixTime)
         return Claim::Busy;
     // The stored records may have changed the suspicion.
     auto suspicion = m_ledger.suspicionOf(request, now.steady);
@@ -144,7 +144,7 @@
     auto record = *m_ledger.find(request);
     if (isTrial)
         Routing::countTrial(record, now.steady);
-    auto claimedUntil = now.timeOfDay + Common::toMilliseconds(until - now.steady) + claimMargin;
+    auto claimedUntil = now.unixTime + Common::toMilliseconds(until - now.steady) + claimMargin;
     auto claimed = m_log->append({ record, m_routerId, claimedUntil }, valueOf(contents).end);
     if (isError(claimed))
         return Claim::Unavailable;
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -148,7 +148,7 @@
     ledger.advance(s_window + 1);
     EXPECT_EQ(reports.next(s_window, ledger, end + 499ms), UsageReports::Step::Wait)
         << "counts may still be in transit";
-    EXPECT_EQ(reports.next(s_window, ledger, end + 500ms), UsageReports::Step::Write);
+    EXPECT_EQ(reports.next(s_window, ledger, end + 500ms), UsageReports::Step::Append);
     reports.recordWritten({ 1, s_window, { { "blue", 1 } } });
     reports.recordWritten({ 2, s_window, { { "blue", 2 } } });
     EXPECT_EQ(reports.next(s_window, ledger, end + 500ms), UsageReports::Step::Send);
@@ -164,7 +164,7 @@
     UsageReports reports(s_times);
     auto end = s_times.endOf(s_window);
     EXPECT_EQ(reports.next(s_window, ledger, end + 8s), UsageReports::Step::Wait);
-    EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::Write);
+    EXPECT_EQ(reports.next(s_window, ledger, end + 9s), UsageReports::Step::Append);
 }
 
 TEST(UsageReportsTest, WindowThatNoRouterCountedCompletelyIsNotSent)
