--- a/Source/RouteServing/Duties/CapacityDemand.cpp
+++ b/Source/RouteServing/Duties/CapacityDemand.cpp
@@ -67,18 +67,18 @@
     auto engines = [](double number) { return static_cast<unsigned>(std::ceil(number)); };
     if (!m_firstLoadAt || now - *m_firstLoadAt < minLoadObservation)
         return CapacityNeed { *m_initialEngines, *m_initialEngines };
-    double most = 0;
-    double least = m_smoothed;
+    double recentMax = 0;
+    double recentMin = m_smoothed;
     for (const auto& sample : m_samples) {
-        most = std::max(most, sample.engines);
+        recentMax = std::max(recentMax, sample.engines);
         if (now - sample.at <= sustainedLoadWindow)
-            least = std::min(least, sample.engines);
+            recentMin = std::min(recentMin, sample.engines);
     }
-    auto withHeadroom = engines(m_headroom * most);
+    auto withHeadroom = engines(m_headroom * recentMax);
     // The initial engines may be headroom for bursts that a new holder has not observed yet.
     if (now - *m_firstLoadAt < peakLoadWindow)
         withHeadroom = std::max(withHeadroom, *m_initialEngines);
-    return CapacityNeed { engines(least), withHeadroom };
+    return CapacityNeed { engines(recentMin), withHeadroom };
 }
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/CapacityOrders.cpp
+++ b/Source/RouteServing/Duties/CapacityOrders.cpp
@@ -15,11 +15,10 @@
 
 // Returns the last accepted number. Returns nullopt, which causes a new order, if there is none, or if fewer engines
 // serve although the time for them to boot has passed.
-std::optional<unsigned> CapacityOrders::orderedNumber(
-    const Subject& subject, unsigned servingEngines, TimePoint now) const
+std::optional<unsigned> CapacityOrders::orderedNumber(const OrderKey& key, unsigned servingEngines, TimePoint now) const
 {
-    auto found = m_subjects.find(subject);
-    if (found == m_subjects.end() || !found->second.accepted)
+    auto found = m_states.find(key);
+    if (found == m_states.end() || !found->second.accepted)
         return std::nullopt;
     const auto& state = found->second;
     bool isMissing = servingEngines < *state.accepted && now - state.acceptedAt > m_boot + upstreamListLag;
@@ -38,11 +37,11 @@
     std::span<const CapacityOrder> wanted, uint64_t token, TimePoint now) const
 {
     for (const auto& order : wanted) {
-        auto found = m_subjects.find(subjectOf(order));
-        if (found == m_subjects.end())
+        auto found = m_states.find(keyOf(order));
+        if (found == m_states.end())
             return Next { order, false };
         const auto& state = found->second;
-        if (now < state.notBefore)
+        if (now < state.nextOrderAt)
             continue;
         bool conflictsWithUnanswered
             = state.unanswered && *state.unanswered != order.desired && state.unansweredToken >= token;
@@ -53,7 +52,7 @@
 
 void CapacityOrders::record(const CapacityOrder& order, uint64_t token, Outcome outcome, TimePoint now)
 {
-    auto& state = m_subjects[subjectOf(order)];
+    auto& state = m_states[keyOf(order)];
     switch (outcome) {
     case Outcome::Accepted:
         state.accepted = order.desired;
@@ -63,13 +62,13 @@
             state.unanswered.reset();
         return;
     case Outcome::NoCapacity:
-        state.notBefore = now + noCapacityRetryDelay;
+        state.nextOrderAt = now + noCapacityRetryDelay;
         return;
     case Outcome::NotPerformed:
-        state.notBefore = now + failureRetryDelay;
+        state.nextOrderAt = now + failureRetryDelay;
         return;
     case Outcome::NoResponse:
-        state.notBefore = now + failureRetryDelay;
+        state.nextOrderAt = now + failureRetryDelay;
         state.unanswered = order.desired;
         state.unansweredToken = token;
         return;
--- a/Source/RouteServing/Duties/CapacityOrders.h
+++ b/Source/RouteServing/Duties/CapacityOrders.h
@@ -47,19 +47,19 @@
     void record(const CapacityOrder&, uint64_t token, Outcome, Common::TimePoint now);
 
 private:
-    using Subject = std::tuple<std::string, std::string, EngineKind>;
+    using OrderKey = std::tuple<std::string, std::string, EngineKind>;
     struct State {
         std::optional<unsigned> accepted;
         Common::TimePoint acceptedAt {};
-        Common::TimePoint notBefore {};
+        Common::TimePoint nextOrderAt {};
         std::optional<unsigned> unanswered; // Number of an order without a response, which may still be executed.
         uint64_t unansweredToken { 0 }; // Token of that order.
     };
-    static Subject subjectOf(const CapacityOrder& order) { return { order.service, order.domain, order.kind }; }
-    std::optional<unsigned> orderedNumber(const Subject&, unsigned servingEngines, Common::TimePoint now) const;
+    static OrderKey keyOf(const CapacityOrder& order) { return { order.service, order.domain, order.kind }; }
+    std::optional<unsigned> orderedNumber(const OrderKey&, unsigned servingEngines, Common::TimePoint now) const;
 
     Common::Milliseconds m_boot;
-    std::map<Subject, State> m_subjects;
+    std::map<OrderKey, State> m_states;
 };
 
 } // namespace Brassladder::RouteServing::Duties
--- a/Source/RouteServing/Duties/CapacityPlan.cpp
+++ b/Source/RouteServing/Duties/CapacityPlan.cpp
@@ -26,7 +26,7 @@
         wanted, servingEngines - std::min(servingEngines, maxEnginesPerStep), servingEngines + maxEnginesPerStep);
 }
 
-static bool exceedsSpotSurplus(unsigned ordered, unsigned wanted)
+static bool isReleaseWorthwhile(unsigned ordered, unsigned wanted)
 {
     return ordered - wanted > std::max(minSpotSurplus, ordered / spotSurplusDivisor);
 }
@@ -96,7 +96,7 @@
         auto room = [&](unsigned other) { return m_terms.max - std::min(m_terms.max, other); };
         auto nextOnDemand = std::min(limitStep(domain.onDemand, targets[index].onDemand), room(spot));
         auto nextSpot = std::min(limitStep(domain.spot, targets[index].spot), room(onDemand));
-        if (nextSpot < spot && spot <= room(std::max(onDemand, nextOnDemand)) && !exceedsSpotSurplus(spot, nextSpot))
+        if (nextSpot < spot && spot <= room(std::max(onDemand, nextOnDemand)) && !isReleaseWorthwhile(spot, nextSpot))
             nextSpot = spot;
         if (nextOnDemand + nextSpot < m_terms.min)
             nextOnDemand = m_terms.min - nextSpot;
--- a/Source/RouteServing/Duties/Lease.cpp
+++ b/Source/RouteServing/Duties/Lease.cpp
@@ -99,8 +99,8 @@
     const auto& newest = m_state.newest;
     bool isOfEarlierEra = eraOf(lease.token) < m_state.end.era;
     bool isKnown = newest && lease.token == newest->token;
-    bool isOver = newest && (lease.token < newest->token || (isKnown && newest->isReleased));
-    if (isOver || (isOfEarlierEra && isKnown))
+    bool isSuperseded = newest && (lease.token < newest->token || (isKnown && newest->isReleased));
+    if (isSuperseded || (isOfEarlierEra && isKnown))
         return;
     // The record is part of the copy that the store was restored from, or its writer had not read the new era yet. It
     // is not a valid claim in this era, even if this router wrote it.
@@ -117,10 +117,10 @@
         applyLease(*lease);
     m_state.newestOffset = logged.offset;
     m_state.newestSeen = now;
-    bool isOurs = isHolder();
-    if (isOurs && m_state.unresolvedAppendAt)
+    bool isOwnLease = isHolder();
+    if (isOwnLease && m_state.unresolvedAppendAt)
         m_state.validFrom = *m_state.unresolvedAppendAt;
-    if (isOurs)
+    if (isOwnLease)
         m_state.lastHeld = now;
 }
 
--- a/Source/RouteServing/Duties/UsageLedger.cpp
+++ b/Source/RouteServing/Duties/UsageLedger.cpp
@@ -64,10 +64,10 @@
     for (auto process = m_processes.begin(); process != m_processes.end();) {
         auto& windows = process->second.windows;
         windows.erase(windows.begin(), windows.upper_bound(m_openWindow - std::min(m_openWindow, retainedWindows)));
-        bool isOver
+        bool isExpired
             = process->second.openWindow == allWindowsFinal ? windows.empty() : !isRetained(process->second.openWindow);
-        bool isGone = process->first != m_self && isOver;
-        process = isGone ? m_processes.erase(process) : std::next(process);
+        bool mustEvict = process->first != m_self && isExpired;
+        process = mustEvict ? m_processes.erase(process) : std::next(process);
     }
 }
 
--- a/Source/RouteServing/Duties/UsageStart.h
+++ b/Source/RouteServing/Duties/UsageStart.h
@@ -25,7 +25,7 @@
 // queued. Other requests are assumed to have begun, because they begin within milliseconds.
 //
 // Returns false for an answered generation, which is counted at its first event instead.
-inline bool hadStartedAtUpstream(const EndedAttempt& attempt)
+inline bool countsAsUsage(const EndedAttempt& attempt)
 {
     switch (attempt.outcome) {
     case Routing::AttemptOutcome::ServerError:
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -225,7 +225,7 @@
     ended.elapsed = Common::toMilliseconds(Common::now() - m_report.lastPlaced);
     if (m_report.expectedFirstEvent.count() > 0)
         ended.expectedFirstEvent = m_report.expectedFirstEvent;
-    if (Duties::hadStartedAtUpstream(ended))
+    if (Duties::countsAsUsage(ended))
         countUsage();
 }
 
--- a/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/CapacityTest.cpp
@@ -217,9 +217,9 @@
 
 TEST(CapacityPlanTest, ManyEnginesAreReplacedInSteps)
 {
-    auto large = terms();
-    large.max = 2000;
-    CapacityPlan plan(large);
+    auto highMaxTerms = terms();
+    highMaxTerms.max = 2000;
+    CapacityPlan plan(highMaxTerms);
     Platform platform { threeDomains(1000, 0) };
     auto before = platform.domains;
     for (int round = 0; round < 60; ++round) {
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -280,10 +280,10 @@
         m_acceptedCalls.push_back({ call.router, now() });
         if (m_acceptedCalls.size() > 3)
             m_acceptedCalls.pop_front();
-        bool isBackAndForth = m_acceptedCalls.size() == 3 && m_acceptedCalls[0].router == m_acceptedCalls[2].router
+        bool hasReturned = m_acceptedCalls.size() == 3 && m_acceptedCalls[0].router == m_acceptedCalls[2].router
             && m_acceptedCalls[0].router != m_acceptedCalls[1].router
             && m_acceptedCalls[2].at - m_acceptedCalls[0].at < 3000ms;
-        if (isBackAndForth)
+        if (hasReturned)
             m_violation = "the duties returned to a former holder within one lease duration";
     }
 
--- a/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/LeaseTest.cpp
@@ -252,19 +252,19 @@
         Log log;
         log.era = 1;
         Lease a(s_times, "a", 1, s_start - 1min);
-        Lease fresh(s_times, "a", 7, s_start - 1min);
+        Lease restarted(s_times, "a", 7, s_start - 1min);
         log.read(a, s_start - 10s);
         log.read(a, s_start);
         log.append(a, Step::Claim, s_start);
         log.restoreFromCopy(copyEnd);
-        log.read(fresh, s_start);
-        EXPECT_EQ(fresh.nextStep(s_candidate, s_start), Step::Read);
-        EXPECT_GT(fresh.readWait(s_start), 2900ms);
-        log.read(fresh, s_start + 2999ms);
-        EXPECT_EQ(fresh.nextStep(s_candidate, s_start + 2999ms), Step::Read);
+        log.read(restarted, s_start);
+        EXPECT_EQ(restarted.nextStep(s_candidate, s_start), Step::Read);
+        EXPECT_GT(restarted.readWait(s_start), 2900ms);
+        log.read(restarted, s_start + 2999ms);
+        EXPECT_EQ(restarted.nextStep(s_candidate, s_start + 2999ms), Step::Read);
         EXPECT_FALSE(a.token(s_start + 2999ms)) << "the lease of a has expired";
-        log.read(fresh, s_start + 3s);
-        EXPECT_EQ(fresh.nextStep(s_candidate, s_start + 3s), Step::Claim);
+        log.read(restarted, s_start + 3s);
+        EXPECT_EQ(restarted.nextStep(s_candidate, s_start + 3s), Step::Claim);
     }
 }
 
--- a/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/UsageTest.cpp
@@ -83,8 +83,8 @@
 TEST(UsageLedgerTest, RowsFarInTheFutureAreIgnored)
 {
     UsageLedger a({ "a", 1 }, s_window);
-    const std::vector<RouterUsage> hostile { { { "b", 1 }, 0, s_window, { { s_window + 1000, "blue", 7 } } } };
-    a.merge(hostile);
+    const std::vector<RouterUsage> outOfRange { { { "b", 1 }, 0, s_window, { { s_window + 1000, "blue", 7 } } } };
+    a.merge(outOfRange);
     EXPECT_TRUE(a.total(s_window + 1000).empty());
 }
 
@@ -158,8 +158,8 @@
 TEST(UsageReportsTest, UnreachableRouterDelaysAReportUntilItIsNearlyDue)
 {
     UsageLedger ledger({ "a", 1 }, s_window - 1);
-    UsageLedger cutOff({ "b", 1 }, s_window - 1);
-    forwardAll(cutOff, ledger);
+    UsageLedger unreachable({ "b", 1 }, s_window - 1);
+    forwardAll(unreachable, ledger);
     ledger.advance(s_window + 1);
     UsageReports reports(s_times);
     auto end = s_times.endOf(s_window);
@@ -181,17 +181,16 @@
 TEST(UsageStartTest, StartedRequestsCountEvenWithoutAResponse)
 {
     using Outcome = Routing::AttemptOutcome;
-    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Answered, false, 10ms, std::nullopt }));
-    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
-    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::ServerError, true, 10ms, 100ms }));
-    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, true, 100ms, 100ms }));
-    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 99ms, 100ms }))
-        << "the generation was still queued";
-    EXPECT_FALSE(hadStartedAtUpstream({ Outcome::Interrupted, true, 10s, std::nullopt }));
-    EXPECT_TRUE(hadStartedAtUpstream({ Outcome::Interrupted, false, 1ms, std::nullopt }));
+    EXPECT_TRUE(countsAsUsage({ Outcome::Answered, false, 10ms, std::nullopt }));
+    EXPECT_FALSE(countsAsUsage({ Outcome::Answered, true, 10ms, 100ms })) << "counted at its first event";
+    EXPECT_TRUE(countsAsUsage({ Outcome::ServerError, true, 10ms, 100ms }));
+    EXPECT_TRUE(countsAsUsage({ Outcome::Interrupted, true, 100ms, 100ms }));
+    EXPECT_FALSE(countsAsUsage({ Outcome::Interrupted, true, 99ms, 100ms })) << "the generation was still queued";
+    EXPECT_FALSE(countsAsUsage({ Outcome::Interrupted, true, 10s, std::nullopt }));
+    EXPECT_TRUE(countsAsUsage({ Outcome::Interrupted, false, 1ms, std::nullopt }));
     for (auto outcome : { Outcome::NotExecuted, Outcome::ConnectFailed, Outcome::CancelledBeforeSending,
              Outcome::CancelledAfterSending })
-        EXPECT_FALSE(hadStartedAtUpstream({ outcome, false, 10s, 1ms }));
+        EXPECT_FALSE(countsAsUsage({ outcome, false, 10s, 1ms }));
 }
 
 TEST(FleetClockTest, ClockJumpIsAdoptedOnlyIfItPersists)
