--- a/Source/Inner/Http2Session.cpp
+++ b/Source/Inner/Http2Session.cpp
@@ -95,7 +95,7 @@
     auto& self = *static_cast<Http2Session*>(source->ptr);
     size_t bytes = std::min(room, self.m_outbound.size() - self.m_outboundConsumed);
     if (!bytes) {
-        self.m_deferred = true;
+        self.m_bodyDeferred = true;
         return NGHTTP2_ERR_DEFERRED;
     }
     std::copy_n(self.m_outbound.data() + self.m_outboundConsumed, bytes, target);
@@ -186,8 +186,8 @@
         m_outbound = std::move(bytes);
     else
         m_outbound += bytes;
-    if (m_deferred) {
-        m_deferred = false;
+    if (m_bodyDeferred) {
+        m_bodyDeferred = false;
         nghttp2_session_resume_data(m_session, m_stream);
     }
     flush();
@@ -203,9 +203,9 @@
         auto consumedBefore = m_totalConsumed;
         auto status = m_progress.wait_for(lock, std::chrono::milliseconds(writeStallTimeoutMs));
         // While bytes are being written to the socket (`m_flushing`), TCP_USER_TIMEOUT applies instead.
-        bool isStuck
+        bool hasTimedOut
             = status == boost::fibers::cv_status::timeout && m_totalConsumed == consumedBefore && !m_flushing && m_open;
-        if (isStuck)
+        if (hasTimedOut)
             close();
     }
 }
--- a/Source/Inner/Http2Session.h
+++ b/Source/Inner/Http2Session.h
@@ -58,7 +58,7 @@
     std::string m_outbound;
     size_t m_outboundConsumed { 0 };
     uint64_t m_totalConsumed { 0 }; // Outbound bytes that nghttp2 has consumed since the connection opened.
-    bool m_deferred { false }; // nghttp2 waits for outbound bytes; `nghttp2_session_resume_data` ends the wait.
+    bool m_bodyDeferred { false }; // nghttp2 waits for outbound bytes; `nghttp2_session_resume_data` ends the wait.
     bool m_flushing { false };
     bool m_open { true };
     boost::fibers::mutex m_progressMutex;
--- a/Source/Inner/Mesh.cpp
+++ b/Source/Inner/Mesh.cpp
@@ -59,7 +59,7 @@
     Links next;
     for (const auto& peer : peers) {
         if (peer.id != m_self.id)
-            next.emplace(peer.id, linkTo(peer));
+            next.emplace(peer.id, findOrCreateLink(peer));
     }
     for (auto& [id, link] : m_links) {
         auto kept = next.find(id);
@@ -70,7 +70,7 @@
 }
 
 // Returns the existing link if the peer is unchanged, otherwise a new one. The caller holds m_mutex.
-std::shared_ptr<PeerLink> Mesh::linkTo(const Peer& peer)
+std::shared_ptr<PeerLink> Mesh::findOrCreateLink(const Peer& peer)
 {
     auto old = m_links.find(peer.id);
     if (old != m_links.end() && old->second->peer() == peer)
--- a/Source/Inner/Mesh.h
+++ b/Source/Inner/Mesh.h
@@ -46,7 +46,7 @@
 
     void serve(Http2Session::Socket);
     bool receive(FrameDecoder&, std::string_view bytes);
-    std::shared_ptr<PeerLink> linkTo(const Peer&);
+    std::shared_ptr<PeerLink> findOrCreateLink(const Peer&);
 
     Common::FiberRuntime& m_runtime;
     Sender m_self;
--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -43,7 +43,7 @@
         startsDrain = !std::exchange(m_draining, true);
     }
     if (exceedsBacklog)
-        m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->closeStalledConnection(); });
+        m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->closeBackloggedConnection(); });
     if (startsDrain)
         m_context.runtime.spawnOn(m_thread, [self = shared_from_this()] { self->drain(); });
 }
@@ -187,7 +187,7 @@
     dropOutboxAndNotify();
 }
 
-void PeerLink::closeStalledConnection()
+void PeerLink::closeBackloggedConnection()
 {
     {
         std::lock_guard lock(m_mutex);
--- a/Source/Inner/PeerLink.h
+++ b/Source/Inner/PeerLink.h
@@ -74,7 +74,7 @@
     void startReading(const Session&);
     void closeConnection(const Session&);
     // Closes the connection if the backlog still exceeds its limit.
-    void closeStalledConnection();
+    void closeBackloggedConnection();
     void dropOutboxAndNotify();
     void removeOnLinkThread();
 
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -199,7 +199,7 @@
     peer.end();
 }
 
-TEST(MeshConnectionTest, AMessageLargerThanThePeersWindowArrivesWhole)
+TEST(MeshConnectionTest, ItemLargerThanThePeersWindowArrivesComplete)
 {
     auto& sender = *new RecordingNode("a");
     auto& receiver = *new RecordingNode("b");
--- a/Source/UnitTests/Inner/MeshFailureTest.cpp
+++ b/Source/UnitTests/Inner/MeshFailureTest.cpp
@@ -42,8 +42,8 @@
 
 // A peer that terminates, and its successor at the same address.
 struct RestartingPeer {
-    RestartingPeer(std::string id, const TerminatingPeer::Plan& plan)
-        : id(std::move(id))
+    RestartingPeer(std::string peerId, const TerminatingPeer::Plan& plan)
+        : id(std::move(peerId))
         , beforeRestart(port.port(), plan)
     {
     }
@@ -88,13 +88,13 @@
     void terminateAllPeers()
     {
         std::shuffle(m_peers.begin(), m_peers.end(), m_random);
-        for (auto& ending : m_peers) {
+        for (auto& peer : m_peers) {
             sendToAll();
-            ending->beforeRestart.end();
+            peer->beforeRestart.end();
             sendToAll();
         }
         for (auto& peer : m_peers) {
-            peer->beforeRestart.killAndWait();
+            peer->beforeRestart.closeAndWait();
             EXPECT_TRUE(m_sender.awaitDisconnected(peer->id)) << peer->id;
             peer->connectionsBefore = m_sender.connections(peer->id);
         }
@@ -127,12 +127,12 @@
     {
         std::uniform_int_distribution<size_t> someBytes(1, largeBytes / 4);
         std::vector<TerminatingPeer::Plan> plans;
-        for (auto ending : { Termination::Reset, Termination::Shutdown, Termination::Silence }) {
-            plans.push_back({ Stage::Connecting, ending });
-            plans.push_back({ Stage::BeforeSettings, ending });
-            plans.push_back({ Stage::DuringMessage, ending, someBytes(m_random) });
-            plans.push_back({ Stage::AfterMessages, ending, 0, 1 });
-            plans.push_back({ Stage::AfterMessages, ending, 0, 1 + itemsBefore });
+        for (auto termination : { Termination::Reset, Termination::Shutdown, Termination::Silence }) {
+            plans.push_back({ Stage::Connecting, termination });
+            plans.push_back({ Stage::BeforeSettings, termination });
+            plans.push_back({ Stage::DuringMessage, termination, someBytes(m_random) });
+            plans.push_back({ Stage::AfterMessages, termination, 0, 1 });
+            plans.push_back({ Stage::AfterMessages, termination, 0, 1 + itemsBefore });
         }
         return plans;
     }
@@ -206,7 +206,7 @@
     EXPECT_TRUE(MeshNode::await([&] { return sender.disconnections("b") > disconnectionsBefore; }))
         << "the connection to the removed peer is closed";
     old.end();
-    old.killAndWait();
+    old.closeAndWait();
     auto& added = *new MeshNode("b", "key", port.port());
     sender.setPeer(added, "b");
     EXPECT_TRUE(sender.sendUntilReconnected("b", connectionsBefore, probeSequence));
--- a/Source/UnitTests/Inner/TerminatingPeer.h
+++ b/Source/UnitTests/Inner/TerminatingPeer.h
@@ -49,11 +49,11 @@
     enum class Termination {
         Reset, // The connection is reset, as when a process with unread bytes is killed.
         Shutdown, // The sending side is shut down, as when a process without unread bytes is killed.
-        Silence, // The peer reads nothing more, as when a process is stopped; `killAndWait` closes the connection.
+        Silence, // The peer reads nothing more, as when a process is stopped; `closeAndWait` closes the connection.
     };
     struct Plan {
         Stage stage { Stage::DuringMessage };
-        Termination ending { Termination::Shutdown };
+        Termination termination { Termination::Shutdown };
         size_t bytes { 0 };
         size_t items { 0 };
     };
@@ -73,7 +73,7 @@
     ~TerminatingPeer()
     {
         end();
-        killAndWait();
+        closeAndWait();
     }
     TerminatingPeer(const TerminatingPeer&) = delete;
     TerminatingPeer& operator=(const TerminatingPeer&) = delete;
@@ -86,10 +86,10 @@
             m_endRequested.set_value();
     }
     // With `Silence`, closes the connection. Blocks until the connection is closed.
-    void killAndWait()
+    void closeAndWait()
     {
-        if (!std::exchange(m_isKilled, true))
-            m_killRequested.set_value();
+        if (!std::exchange(m_isClosing, true))
+            m_closeRequested.set_value();
         // If the stage was not reached, the thread may still wait for a connection.
         if (!isAtStage())
             ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
@@ -108,7 +108,7 @@
     static constexpr size_t frameHeaderBytes = 9; // RFC 9113, 4.1.
     static constexpr uint8_t dataFrame = 0;
 
-    bool mustListen() const { return m_plan.stage != Stage::Connecting || m_plan.ending == Termination::Silence; }
+    bool mustListen() const { return m_plan.stage != Stage::Connecting || m_plan.termination == Termination::Silence; }
 
     void listen(uint16_t port)
     {
@@ -192,11 +192,11 @@
     void finish()
     {
         boost::system::error_code ignored;
-        if (m_plan.ending == Termination::Silence)
-            m_killRequested.get_future().wait();
-        if (m_plan.ending == Termination::Reset)
+        if (m_plan.termination == Termination::Silence)
+            m_closeRequested.get_future().wait();
+        if (m_plan.termination == Termination::Reset)
             m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-        if (m_plan.ending == Termination::Shutdown)
+        if (m_plan.termination == Termination::Shutdown)
             shutDown();
         m_socket.close(ignored);
         m_acceptor.close(ignored);
@@ -221,9 +221,9 @@
     size_t m_items { 0 };
     std::atomic<bool> m_isAtStage { false };
     std::promise<void> m_endRequested;
-    std::promise<void> m_killRequested;
+    std::promise<void> m_closeRequested;
     bool m_isEnding { false };
-    bool m_isKilled { false };
+    bool m_isClosing { false };
     std::thread m_thread;
 };
 
--- a/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/HeaderRulesTest.cpp
@@ -7,7 +7,7 @@
 
 namespace Brassladder::RouteServing::Gateway {
 
-TEST(HeaderRulesTest, HopByHopAndWithheldHeadersAreNotPassedOn)
+TEST(HeaderRulesTest, HopByHopAndWithheldHeadersAreNotForwarded)
 {
     Common::HttpRequest request;
     request.set("Connection", "close");
@@ -21,15 +21,15 @@
     EXPECT_EQ(headers[0].value, "a");
     EXPECT_EQ(headers[1].value, "b");
 
-    Common::HttpClientResponse answer;
-    answer.headers = { { "KEEP-ALIVE", "timeout=3" }, { "Content-Length", "3" }, { "Content-Type", "text/plain" } };
-    auto passed = headersForCaller(answer);
-    ASSERT_EQ(passed.size(), 1U);
-    EXPECT_EQ(passed[0].name, "Content-Type");
+    Common::HttpClientResponse response;
+    response.headers = { { "KEEP-ALIVE", "timeout=3" }, { "Content-Length", "3" }, { "Content-Type", "text/plain" } };
+    auto forwarded = headersForCaller(response);
+    ASSERT_EQ(forwarded.size(), 1U);
+    EXPECT_EQ(forwarded[0].name, "Content-Type");
 }
 
 // RFC 9110, section 7.6.1: fields that `Connection` lists are hop-by-hop fields as well.
-TEST(HeaderRulesTest, FieldsThatConnectionNamesAreNotPassedOn)
+TEST(HeaderRulesTest, FieldsListedInConnectionAreNotForwarded)
 {
     Common::HttpRequest request;
     request.set("Connection", "close, X-Hop");
@@ -41,9 +41,9 @@
 
     Common::HttpClientResponse response;
     response.headers = { { "x-hop", "h" }, { "Connection", "X-HOP" }, { "X-End", "e" } };
-    auto passed = headersForCaller(response);
-    ASSERT_EQ(passed.size(), 1U);
-    EXPECT_EQ(passed[0].name, "X-End");
+    auto forwarded = headersForCaller(response);
+    ASSERT_EQ(forwarded.size(), 1U);
+    EXPECT_EQ(forwarded[0].name, "X-End");
 }
 
 TEST(HeaderRulesTest, ParseMillisecondsRequiresALeadingPositiveInteger)
--- a/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/PeerExchangeSnapshotTest.cpp
@@ -112,7 +112,7 @@
         *item.mutable_knowledge() = std::move(notification);
         m_mesh.send("hub", std::move(item));
     }
-    bool isAnswered()
+    bool hasResponse()
     {
         return count([&](const auto& snapshot) { return snapshot.nonce() == m_nonce; });
     }
@@ -120,7 +120,7 @@
     bool requestAndWait(uint64_t knownVersion)
     {
         request(knownVersion);
-        return eventually([&] { return isAnswered(); });
+        return eventually([&] { return hasResponse(); });
     }
     size_t notifications()
     {
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleet.cpp
@@ -18,7 +18,7 @@
 // Response time of the upstream.
 static constexpr auto serviceTime = 20ms;
 // Routers exclude a frozen router while more than this remains of its freeze.
-static constexpr auto failureDetectionTime = 600ms;
+static constexpr auto minExcludedFreeze = 600ms;
 // The operators' rule counts arrivals in any period of countingWindow. It ignores those during a fault of the router or
 // within faultGracePeriod after it, and those before the router has had the limit for limitGracePeriod.
 static constexpr auto faultGracePeriod = 3000ms;
@@ -110,7 +110,7 @@
 bool QuotaFleet::isAlive(size_t router, size_t seenBy) const
 {
     const auto& other = m_routers[router];
-    bool isFrozen = other.frozenUntil > m_now + failureDetectionTime;
+    bool isFrozen = other.frozenUntil > m_now + minExcludedFreeze;
     return router == seenBy || (!isFrozen && isConnected(router, seenBy));
 }
 
@@ -143,13 +143,13 @@
     if (!ranking.isHub()) {
         router.exchange->stepAsSubscriber(m_now);
         auto hub = indexOf(*ranking.source());
-        Inner::Wire::KnowledgeAsk ask;
-        router.exchange->addTo(ask, m_routers[hub].id, m_now);
-        m_bytes += ask.ByteSizeLong();
+        Inner::Wire::KnowledgeAsk snapshotRequest;
+        router.exchange->addTo(snapshotRequest, m_routers[hub].id, m_now);
+        m_bytes += snapshotRequest.ByteSizeLong();
         if (!isConnected(index, hub))
             return;
-        scheduleAtRouter(hub, m_now + latency(), [this, index, hub, self, ask, requestedAt = m_now] {
-            m_routers[hub].exchange->receive(self, ask, m_now);
+        scheduleAtRouter(hub, m_now + latency(), [this, index, hub, self, snapshotRequest, requestedAt = m_now] {
+            m_routers[hub].exchange->receive(self, snapshotRequest, m_now);
             Inner::Wire::Knowledge response;
             m_routers[hub].exchange->addTo(response, self, m_now);
             m_bytes += response.ByteSizeLong();
--- a/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/QuotaFleetTest.cpp
@@ -78,7 +78,7 @@
 }
 
 // Also holds for a limit of zero: routers send a probe occasionally and detect the end of the limit.
-TEST(QuotaFleetTest, ALimitEndsOnceTheUpstreamNamesNone)
+TEST(QuotaFleetTest, ALimitEndsOnceTheUpstreamStatesNone)
 {
     for (double limit : { 0.0, 1.0, 30.0 }) {
         QuotaFleet fleet({ 7, 6, 1 });
--- a/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectGuardTest.cpp
@@ -77,7 +77,8 @@
     }
 };
 
-void crash(SuspectLedger& ledger, int times, Common::Duration ago = 10s, const RequestIdentity& request = s_request)
+void recordCrashes(
+    SuspectLedger& ledger, int times, Common::Duration ago = 10s, const RequestIdentity& request = s_request)
 {
     for (int number = 0; number < times; ++number) {
         auto sent = Common::now() - ago + number * 300ms;
@@ -127,7 +128,7 @@
     auto& log = *new FakeLog;
     auto& router = *new Router(log, "a");
     EXPECT_EQ(router.acquire(), Permission::Unrestricted);
-    crash(router.ledger, 1);
+    recordCrashes(router.ledger, 1);
     EXPECT_EQ(router.acquire(), Permission::Unrestricted);
     EXPECT_EQ(log.reads, 0U);
 }
@@ -137,8 +138,8 @@
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
-    crash(first.ledger, 2);
-    crash(second.ledger, 2);
+    recordCrashes(first.ledger, 2);
+    recordCrashes(second.ledger, 2);
     EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_TRUE(log.isClaimed());
     EXPECT_EQ(second.acquire(200ms), Permission::TimedOut);
@@ -156,10 +157,10 @@
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
-    crash(first.ledger, 2);
-    crash(second.ledger, 2);
+    recordCrashes(first.ledger, 2);
+    recordCrashes(second.ledger, 2);
     ASSERT_EQ(first.acquire(), Permission::Exclusive);
-    crash(first.ledger, 3);
+    recordCrashes(first.ledger, 3);
     first.release(true);
     EXPECT_EQ(second.acquire(), Permission::Held);
 }
@@ -169,22 +170,22 @@
     auto& log = *new FakeLog;
     log.isUnavailable = true;
     auto& router = *new Router(log, "a");
-    crash(router.ledger, 2);
+    recordCrashes(router.ledger, 2);
     EXPECT_EQ(router.acquire(), Permission::Exclusive);
     EXPECT_EQ(router.acquire(100ms), Permission::TimedOut);
     auto& other = *new Router(log, "b");
-    crash(other.ledger, 3, 11min);
+    recordCrashes(other.ledger, 3, 11min);
     ASSERT_EQ(other.ledger.suspicionOf(s_request, Common::now()), Suspicion::OnTrial);
     EXPECT_EQ(other.acquire(), Permission::Held);
 }
 
-TEST(SuspectGuardTest, OnlyOneRouterTriesAHeldRequest)
+TEST(SuspectGuardTest, OnlyOneRouterBeginsATrialOfAHeldRequest)
 {
     auto& log = *new FakeLog;
     auto& first = *new Router(log, "a");
     auto& second = *new Router(log, "b");
-    crash(first.ledger, 3, 11min);
-    crash(second.ledger, 3, 11min);
+    recordCrashes(first.ledger, 3, 11min);
+    recordCrashes(second.ledger, 3, 11min);
     EXPECT_EQ(first.acquire(), Permission::Exclusive);
     EXPECT_EQ(first.ledger.find(s_request)->trials, 1U);
     EXPECT_EQ(second.acquire(), Permission::Held) << "another router has begun the trial";
@@ -198,16 +199,16 @@
     const RequestIdentity old { 2, 10, { 2, 2 } };
     const RequestIdentity before { 3, 10, { 3, 3 } };
     auto& earlier = *new Router(log, "earlier");
-    crash(earlier.ledger, 2, 20min, old);
+    recordCrashes(earlier.ledger, 2, 20min, old);
     log.suspects[old] = { *earlier.ledger.find(old), "", 0ms };
-    crash(earlier.ledger, 3, 1min, before);
+    recordCrashes(earlier.ledger, 3, 1min, before);
     log.suspects[before] = { *earlier.ledger.find(before), "", 0ms };
     auto& router = *new Router(log, "a");
     testRuntime().spawn([&] { router.guard.runStoreSync([] { return true; }); });
     EXPECT_TRUE(eventually([&] {
         return router.ledger.suspicionOf(before, Common::now()) == Suspicion::Held && log.size() == 1;
     })) << "the expired suspect is dropped";
-    crash(router.ledger, 2);
+    recordCrashes(router.ledger, 2);
     EXPECT_TRUE(eventually([&] { return log.size() == 2; }));
     router.ledger.recordCompleted(s_request, Common::now());
     EXPECT_TRUE(eventually([&] { return log.size() == 1; }));
@@ -220,8 +221,8 @@
     auto& log = *new FakeLog;
     auto& reader = *new Router(log, "a");
     auto& other = *new Router(log, "b");
-    crash(reader.ledger, 2);
-    crash(other.ledger, 2);
+    recordCrashes(reader.ledger, 2);
+    recordCrashes(other.ledger, 2);
     ASSERT_EQ(reader.acquire(), Permission::Exclusive);
     testRuntime().spawn([&] { reader.guard.runStoreSync([] { return true; }); });
     // Another upstream crashes with the same request in flight; the reader stores the crash.
