--- a/Source/RouteServing/Duties/DutyRecord.h
+++ b/Source/RouteServing/Duties/DutyRecord.h
@@ -26,7 +26,7 @@
     bool operator==(const LeaseRecord&) const = default;
 };
 
-// Counts of one usage window. Written once, before they are first sent.
+// Counts of one usage window. Appended once, before they are first sent.
 struct WindowRecord {
     uint64_t token { 0 }; // Token of the writer.
     uint64_t window { 0 };
--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -10,7 +10,7 @@
 
 // Time until the counts of a router have reached the holder through its hub and a store reader.
 static constexpr Milliseconds countPropagationTime = 500ms;
-// Time before the due time that is reserved to write and send the report.
+// Time before the due time that is reserved to append the counts and send the report.
 static constexpr Milliseconds reportLeadTime = 1200ms;
 
 void UsageReports::recordWritten(const WindowRecord& record)
--- a/Source/RouteServing/Duties/UsageReports.h
+++ b/Source/RouteServing/Duties/UsageReports.h
@@ -20,13 +20,13 @@
     Common::Milliseconds endOf(uint64_t index) const { return window * (static_cast<int64_t>(index) + 1); }
 };
 
-// Decides which usage window the holder of the duties writes or sends next. Windows are handled in order.
+// Decides which usage window the holder of the duties appends or sends next. Windows are handled in order.
 //
 // The platform must never accept two different reports of one window, and a call without a response may be executed
-// later. The holder therefore first writes the counts to the log, under the lease, and every holder sends the logged
+// later. The holder therefore first appends the counts to the log, under the lease, and every holder sends the logged
 // counts.
 //
-// The counts of a window are written when all routers have finished it, or shortly before the report is due if some
+// The counts of a window are appended when all routers have finished it, or shortly before the report is due if some
 // routers were killed or are unreachable. If no router counted the window from start to end, no report is sent, because
 // a missing report is detectable and a wrong one is not.
 //
@@ -45,7 +45,7 @@
 
     enum class Step : uint8_t {
         Wait,
-        Append, // Write the ledger's counts to the log.
+        Append, // Append the ledger's counts to the log.
         Send, // Send the logged counts.
         GiveUp, // Send no report: the counts are incomplete, and no time is left to complete them.
     };
--- a/Source/RouteServing/Gateway/GatewaySettings.h
+++ b/Source/RouteServing/Gateway/GatewaySettings.h
@@ -43,7 +43,7 @@
     size_t callerConnections { defaultCallerConnections };
 
     // Bounds that the operators promise. Intervals and timeouts are derived from them (Routing/RefreshIntervals.h).
-    Common::Milliseconds configurationBound { defaultConfigurationBound }; // Until a new configuration is in force.
+    Common::Milliseconds configurationBound { defaultConfigurationBound }; // Until a new configuration is active.
     Common::Milliseconds leavingBound { defaultLeavingBound }; // Until a leaving upstream gets no new requests.
     Common::Milliseconds revocationBound { 0 }; // Until a revoked key is no longer accepted; zero: no bound.
     Common::Milliseconds gracePeriod { defaultGracePeriod }; // From SIGTERM until the process is killed.
--- a/Source/RouteServing/Gateway/PeerExchange.h
+++ b/Source/RouteServing/Gateway/PeerExchange.h
@@ -41,7 +41,7 @@
 
     // Listens for peers. Returns the port in use, or PlatformUnavailable.
     Common::Result<uint16_t> listen(const Common::Endpoint&);
-    // watchRoster() and exchange() run until the process ends. Each must be started in its own fiber.
+    // watchRoster() and run() run until the process ends. Each must be started in its own fiber.
     void watchRoster() { m_roster.watch({ m_id, m_endpoint }); }
     void run();
 
--- a/Source/RouteServing/Gateway/PlatformSources.h
+++ b/Source/RouteServing/Gateway/PlatformSources.h
@@ -75,7 +75,7 @@
         std::vector<Duties::LoggedRecord> records; // In the order of their offsets.
         Duties::LogEnd end;
     };
-    // Returns the records that were written since the last call, and waits up to `wait` for one. The first call, and
+    // Returns the records that were appended since the last call, and waits up to `wait` for one. The first call, and
     // the first one in a new era (Duties/Lease.h), returns the newest record of each key.
     std::function<Common::Result<Changes>(Common::Milliseconds wait)> read;
     // Appends a record if the log ends at `expectedEnd`, and returns whether it did. After an error the record may have
--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -107,7 +107,7 @@
     Inner::Wire::StoredSuspect message;
     if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return std::nullopt;
-    // If the time of day was set back since the write, the record counts as just written.
+    // If the system clock was set back since the write, the record counts as just written.
     auto elapsed = std::max(now.unixTime - Milliseconds(message.written_ms()), Milliseconds(0));
     auto written = now.steady - std::min(elapsed, maxSuspectAge);
     auto record = decodeSuspect(message.suspect(), written);
--- a/Source/RouteServing/Gateway/SuspectCodec.h
+++ b/Source/RouteServing/Gateway/SuspectCodec.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 // Encodes and decodes suspects for messages between routers (Inner/Inner.proto) and for the platform's store. Times are
-// encoded as ages, because the steady clocks of instances are unrelated. A stored suspect also has the time of day of
+// encoded as ages, because the steady clocks of instances are unrelated. A stored suspect also has the Unix time of
 // its write.
 namespace Brassladder::RouteServing::Gateway {
 
@@ -23,10 +23,10 @@
 struct StoredSuspect {
     Routing::SuspectRecord record;
     std::string claimedBy; // Id of a router; empty if there is no claim.
-    Common::Milliseconds claimedUntil { 0 }; // Time of day, since the Unix epoch.
+    Common::Milliseconds claimedUntil { 0 }; // Unix time.
 };
 
-// One instant on the steady clock, to which ages refer, and as the time of day since the Unix epoch.
+// One instant on the steady clock, to which ages refer, and as Unix time.
 struct ClockReading {
     Common::TimePoint steady;
     Common::Milliseconds unixTime { 0 };
--- a/Source/UnitTests/Inner/MeshConnectionTest.cpp
+++ b/Source/UnitTests/Inner/MeshConnectionTest.cpp
@@ -258,7 +258,7 @@
         sender.setPeers({});
         sender.setPeers({ receiver.asPeer("b") });
         sender.mesh().send("b", numberedItem(2));
-        // If the links were on two threads, the link on the free thread would run first.
+        // If the links were on two threads, the link on the idle thread would run first.
         std::this_thread::sleep_for(100ms);
         resumeRequested.set_value();
         ASSERT_TRUE(receiver.awaitEvent("item 2"));
--- a/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
+++ b/Source/UnitTests/RouteServing/Duties/DutyModelTest.cpp
@@ -229,7 +229,7 @@
         return true;
     }
 
-    // If the router is the holder, writes or sends the count of the window.
+    // If the router is the holder, appends or sends the count of the window.
     bool reportWindow(size_t index, Delivery delivery)
     {
         auto& router = m_routers[index];
--- a/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
+++ b/Source/UnitTests/RouteServing/Gateway/SuspectCodecTest.cpp
@@ -68,7 +68,7 @@
     EXPECT_EQ(read->claimedUntil, 2'000'000ms);
     EXPECT_EQ(read->record.runs.back().ended, Common::TimePoint(3s) - 67'500ms);
     EXPECT_EQ(Routing::suspicionOf(read->record, Common::TimePoint(3s)), Suspicion::Held);
-    // The time of day was set back after the write.
+    // The system clock was set back after the write.
     auto early = decodeStoredSuspect(bytes, { s_now, 990'000ms });
     ASSERT_TRUE(early);
     EXPECT_EQ(early->record.runs.back().ended, s_now - 7500ms);
