--- a/Source/RouteServing/Gateway/SuspectCodec.cpp
+++ b/Source/RouteServing/Gateway/SuspectCodec.cpp
@@ -88,8 +88,8 @@
 
 ClockReading ClockReading::now()
 {
-    auto unixTime = std::chrono::system_clock::now().time_since_epoch();
-    return { Common::now(), std::chrono::duration_cast<Milliseconds>(unixTime) };
+    auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+    return { Common::now(), std::chrono::duration_cast<Milliseconds>(sinceEpoch) };
 }
 
 std::string encodeStoredSuspect(const StoredSuspect& stored, const ClockReading& now)
