--- a/Source/RouteServing/Duties/UsageReports.cpp
+++ b/Source/RouteServing/Duties/UsageReports.cpp
@@ -10,7 +10,7 @@
 
 // Time until the counts of a router have reached the holder through its hub and a store reader.
 static constexpr Milliseconds countPropagationTime = 500ms;
-// Time before the due time that is reserved to write and send the report.
+// Time before the due time that is reserved to append the counts and send the report.
 static constexpr Milliseconds reportLeadTime = 1200ms;
 
 void UsageReports::recordWritten(const WindowRecord& record)
@@ -35,10 +35,10 @@
         return Step::Send;
     bool isFullyCounted = ledger.isFullyCounted(window);
     if (isFullyCounted && ledger.isFinal(window))
-        return Step::Write;
+        return Step::Append;
     if (wall < end + m_times.delay - reportLeadTime)
         return Step::Wait;
-    return isFullyCounted ? Step::Write : Step::GiveUp;
+    return isFullyCounted ? Step::Append : Step::GiveUp;
 }
 
 uint64_t UsageReports::firstReportableWindow(uint64_t openWindow)
