--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -31,8 +31,8 @@
         slot = std::make_shared<Partition>(m_options.horizon);
         slot->number = number;
         slot->lastUsed = Common::now();
-        Common::FiberRuntime::spawnHere([this, partition = slot] { follow(partition); });
-        Common::FiberRuntime::spawnHere([this, partition = slot] { write(partition); });
+        Common::FiberRuntime::spawnOnCurrentThread([this, partition = slot] { follow(partition); });
+        Common::FiberRuntime::spawnOnCurrentThread([this, partition = slot] { write(partition); });
     }
     return slot;
 }
--- a/Source/ClassServing/Config/Table.cpp
+++ b/Source/ClassServing/Config/Table.cpp
@@ -21,7 +21,7 @@
 {
     auto digest = Common::sha256Hex(key);
     auto found = byKeyDigest.find(digest);
-    if (found == byKeyDigest.end() || !Common::equalInConstantTime(found->first, digest))
+    if (found == byKeyDigest.end() || !Common::constantTimeEquals(found->first, digest))
         return nullptr;
     return found->second;
 }
--- a/Source/ClassServing/Frontend/AdminEndpoint.cpp
+++ b/Source/ClassServing/Frontend/AdminEndpoint.cpp
@@ -17,7 +17,7 @@
 
 void AdminEndpoint::handle(Common::HttpExchange& exchange)
 {
-    if (!Common::equalInConstantTime(exchange.header("Authorization"), m_authorization))
+    if (!Common::constantTimeEquals(exchange.header("Authorization"), m_authorization))
         return refuse(exchange, ErrorKind::Unauthenticated, "not the fleet's key");
     if (exchange.path() == "/admin/status")
         return void(exchange.respond(Common::jsonResponse(m_status())));
--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -21,7 +21,7 @@
 AttemptResult Generation::tryOn(const Membership::Upstream& upstream)
 {
     auto stream = std::make_shared<Upstream::EngineStream>(upstream.endpoint, m_context.requestId);
-    auto& io = Common::FiberRuntime::here();
+    auto& io = Common::FiberRuntime::currentContext();
     m_context.signal->setOnPreempt([&io, weak = std::weak_ptr(stream)] {
         boost::asio::post(io, [weak] {
             if (auto live = weak.lock())
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -98,7 +98,7 @@
 {
     for (const auto& [shard, upstreams] : m_parts.home.ownShards()) {
         for (const auto& upstream : upstreams)
-            Common::FiberRuntime::spawnHere([this, shard = shard, upstream] { readLoad(shard, upstream); });
+            Common::FiberRuntime::spawnOnCurrentThread([this, shard = shard, upstream] { readLoad(shard, upstream); });
     }
 }
 
--- a/Source/ClassServing/Frontend/RequestMetrics.cpp
+++ b/Source/ClassServing/Frontend/RequestMetrics.cpp
@@ -55,7 +55,8 @@
     Metrics::counter("brassladder_attainment_total", "Requests that met or missed the target of their class",
         { { "class", name }, { "result", met ? "met" : "missed" } })
         .Increment();
-    Metrics::seconds("brassladder_answer_seconds", "Time to the first token or to the answer", { { "class", name } })
+    Metrics::durationHistogram(
+        "brassladder_answer_seconds", "Time to the first token or to the answer", { { "class", name } })
         .Observe(Common::toSeconds(after));
 }
 
@@ -78,7 +79,7 @@
 
 void waited(const Config::RequestClass& requestClass, Common::Duration wait)
 {
-    Metrics::seconds(
+    Metrics::durationHistogram(
         "brassladder_wait_seconds", "Time until a slot was granted", { { "class", requestClass.policy.name } })
         .Observe(Common::toSeconds(wait));
 }
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -32,7 +32,7 @@
 EngineStream::~EngineStream()
 {
     if (m_connection && m_finished && m_mayRepeat)
-        Common::HttpConnectionPool::here().release(m_engine, std::move(m_connection));
+        Common::HttpConnectionPool::forCurrentThread().release(m_engine, std::move(m_connection));
 }
 
 Common::Error statusError(const Common::HttpClientResponse& answer)
@@ -68,7 +68,7 @@
 {
     m_mayRepeat = mayRepeat;
     if (mayRepeat) {
-        auto taken = Common::HttpConnectionPool::here().take(m_engine, timeouts.connect);
+        auto taken = Common::HttpConnectionPool::forCurrentThread().acquire(m_engine, timeouts.connect);
         if (isError(taken))
             return errorOf(taken);
         m_connection = std::move(valueOf(taken));
@@ -118,7 +118,7 @@
 
 void EngineStream::pause()
 {
-    Common::FiberRuntime::spawnHere([engine = m_engine, id = m_requestId] {
+    Common::FiberRuntime::spawnOnCurrentThread([engine = m_engine, id = m_requestId] {
         HttpClientRequest call;
         call.method = "POST";
         call.target = "/v1/requests/" + id + "/pause";
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -54,7 +54,7 @@
     call.headers.push_back({ std::string(requestIdHeader), m_requestId });
 
     if (mayRepeat) {
-        auto taken = Common::HttpConnectionPool::here().take(m_service, timeouts.connect);
+        auto taken = Common::HttpConnectionPool::forCurrentThread().acquire(m_service, timeouts.connect);
         if (isError(taken))
             return errorOf(taken);
         m_connection = std::move(valueOf(taken));
@@ -75,7 +75,7 @@
         return statusError(valueOf(answer));
     valueOf(answer).body = std::move(valueOf(body));
     if (mayRepeat)
-        Common::HttpConnectionPool::here().release(m_service, std::move(m_connection));
+        Common::HttpConnectionPool::forCurrentThread().release(m_service, std::move(m_connection));
     return answer;
 }
 
--- a/Source/Common/Digest.cpp
+++ b/Source/Common/Digest.cpp
@@ -31,7 +31,7 @@
     return toHex(digest);
 }
 
-bool equalInConstantTime(std::string_view left, std::string_view right)
+bool constantTimeEquals(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && !CRYPTO_memcmp(left.data(), right.data(), left.size());
 }
@@ -54,7 +54,7 @@
     return generator();
 }
 
-double randomShare()
+double randomUnitFraction()
 {
     // The bits that a double holds exactly.
     static constexpr unsigned bits = 53;
--- a/Source/Common/FatalSignal.cpp
+++ b/Source/Common/FatalSignal.cpp
@@ -22,7 +22,7 @@
 // Loaded objects whose names are kept; the router has about 30.
 static constexpr size_t maxModules = 64;
 // Bytes kept of a name, including the final zero.
-static constexpr size_t nameBytes = 48;
+static constexpr size_t maxNameBytes = 48;
 // Bytes of a thread's stack for signal handlers: the unwinder's frames, and room for the largest register state of
 // x86-64 (AMX, about 11 KB). Backed by memory only when it is used.
 static constexpr size_t signalStackBytes = 64 * 1024;
@@ -31,7 +31,7 @@
 
 // The address range of one loaded object.
 struct Module {
-    std::array<char, nameBytes> name {};
+    std::array<char, maxNameBytes> name {};
     uintptr_t loadAddress { 0 };
     uintptr_t begin { 0 };
     uintptr_t end { 0 };
@@ -39,7 +39,7 @@
 
 // Written once by `installFatalSignalHandler`, read by the handler.
 struct FatalSignalState {
-    std::array<char, nameBytes> instance {};
+    std::array<char, maxNameBytes> instance {};
     std::array<Module, maxModules> modules {};
     size_t moduleCount { 0 };
 };
@@ -48,9 +48,9 @@
 
 static FatalSignalState s_state;
 
-static void copyName(std::array<char, nameBytes>& target, std::string_view name)
+static void copyName(std::array<char, maxNameBytes>& target, std::string_view name)
 {
-    auto length = std::min(name.size(), nameBytes - 1);
+    auto length = std::min(name.size(), maxNameBytes - 1);
     std::copy_n(name.data(), length, target.data());
     target[length] = '\0';
 }
@@ -129,7 +129,7 @@
     line.text("\"");
 }
 
-static void writeCause(int signal, const siginfo_t& info, const ucontext_t& context)
+static void writeSignalLine(int signal, const siginfo_t& info, const ucontext_t& context)
 {
     auto registerValue = [&](int which) { return static_cast<uintptr_t>(context.uc_mcontext.gregs[which]); };
     SignalSafeLine line;
@@ -150,7 +150,7 @@
     line.writeTo(STDOUT_FILENO);
 }
 
-static void writeStack()
+static void writeStackLine()
 {
     std::array<void*, maxFrames> frames {};
     int count = backtrace(frames.data(), maxFrames);
@@ -167,7 +167,7 @@
 }
 
 // Takes effect when the handler returns: the signal is blocked until then.
-static void endBySignal(int signal)
+static void raiseWithDefaultAction(int signal)
 {
     std::signal(signal, SIG_DFL);
     raise(signal);
@@ -180,13 +180,13 @@
     static std::atomic<pid_t> s_reporter { 0 };
     pid_t reporter = 0;
     if (s_reporter.compare_exchange_strong(reporter, gettid())) {
-        writeCause(signal, *info, *static_cast<const ucontext_t*>(context));
-        writeStack();
+        writeSignalLine(signal, *info, *static_cast<const ucontext_t*>(context));
+        writeStackLine();
     } else if (reporter != gettid()) {
         while (true)
             pause();
     }
-    endBySignal(signal);
+    raiseWithDefaultAction(signal);
 }
 
 void installFatalSignalHandler(std::string_view instance)
@@ -196,21 +196,21 @@
     s_state.moduleCount = 0;
     dl_iterate_phdr(recordModule, nullptr);
     // The first call loads the unwinder, which is not safe in a handler.
-    std::array<void*, 1> loadsUnwinder {};
-    backtrace(loadsUnwinder.data(), static_cast<int>(loadsUnwinder.size()));
+    std::array<void*, 1> unusedFrames {};
+    backtrace(unusedFrames.data(), static_cast<int>(unusedFrames.size()));
     struct sigaction action { };
     action.sa_sigaction = reportFatalSignal;
     action.sa_flags = SA_SIGINFO | SA_ONSTACK;
     sigemptyset(&action.sa_mask);
     for (int signal : { SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT })
         sigaction(signal, &action, nullptr);
-    useAlternateSignalStack();
+    installAlternateSignalStack();
 #else
     static_cast<void>(instance);
 #endif
 }
 
-void useAlternateSignalStack()
+void installAlternateSignalStack()
 {
 #if !defined(BRASSLADDER_SANITIZED)
     void* memory = mmap(nullptr, signalStackBytes, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
--- a/Source/Common/FatalSignal.h
+++ b/Source/Common/FatalSignal.h
@@ -18,6 +18,6 @@
 
 // Gives the calling thread a stack of its own for signal handlers, so that a fiber that overflowed its stack is
 // reported as well. Lives until the process ends.
-void useAlternateSignalStack();
+void installAlternateSignalStack();
 
 } // namespace Brassladder::Common
--- a/Source/Common/FiberRuntime.cpp
+++ b/Source/Common/FiberRuntime.cpp
@@ -91,7 +91,7 @@
 
 void FiberRuntime::run(Worker& worker)
 {
-    useAlternateSignalStack();
+    installAlternateSignalStack();
     s_context = &worker.context;
     auto guard = asio::make_work_guard(worker.context);
     fibers::use_scheduling_algorithm<IoContextAlgorithm>(worker.context);
@@ -103,17 +103,18 @@
 
 void FiberRuntime::spawnOn(size_t thread, Task task)
 {
-    asio::post(m_workers[thread]->context, [task = std::move(task)]() mutable { spawnHere(std::move(task)); });
+    asio::post(
+        m_workers[thread]->context, [task = std::move(task)]() mutable { spawnOnCurrentThread(std::move(task)); });
 }
 
 void FiberRuntime::spawn(Task task) { spawnOn(nextThread(), std::move(task)); }
 
-void FiberRuntime::spawnHere(Task task)
+void FiberRuntime::spawnOnCurrentThread(Task task)
 {
     fibers::fiber(fibers::launch::post, std::allocator_arg, FiberStacks(), std::move(task)).detach();
 }
 
-asio::io_context& FiberRuntime::here() { return *s_context; }
+asio::io_context& FiberRuntime::currentContext() { return *s_context; }
 
 void sleepFor(std::chrono::steady_clock::duration duration) { boost::this_fiber::sleep_for(duration); }
 
--- a/Source/Common/FiberRuntime.h
+++ b/Source/Common/FiberRuntime.h
@@ -24,7 +24,7 @@
     void spawn(Task);
     void spawnOn(size_t thread, Task);
     // Runs the task as a new fiber on the calling fiber's own thread.
-    static void spawnHere(Task);
+    static void spawnOnCurrentThread(Task);
 
     // Runs the function in a fiber and blocks the calling plain thread until it returns.
     template <typename Function> auto call(Function function)
@@ -43,7 +43,7 @@
     size_t nextThread() { return m_next.fetch_add(1, std::memory_order_relaxed) % m_workers.size(); }
 
     // The io_context of the calling thread. Only valid on the runtime's threads.
-    static boost::asio::io_context& here();
+    static boost::asio::io_context& currentContext();
 
 private:
     struct Worker {
--- a/Source/Common/HopByHop.cpp
+++ b/Source/Common/HopByHop.cpp
@@ -9,23 +9,24 @@
 namespace Brassladder::Common {
 
 // RFC 9110, 7.6.1, the older Keep-Alive and Proxy-Connection, and the fields that a proxy sets anew.
-static constexpr std::array<std::string_view, 11> s_always { "connection", "content-length", "expect", "keep-alive",
-    "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade" };
+static constexpr std::array<std::string_view, 11> s_fixedFields { "connection", "content-length", "expect",
+    "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding",
+    "upgrade" };
 
 void HopByHopFields::addConnectionField(std::string_view value)
 {
     for (absl::string_view option : absl::StrSplit(absl::string_view(value.data(), value.size()), ',')) {
         auto name = absl::AsciiStrToLower(absl::StripAsciiWhitespace(option));
         if (!name.empty())
-            m_named.push_back(std::move(name));
+            m_connectionOptions.push_back(std::move(name));
     }
 }
 
 bool HopByHopFields::contains(std::string_view name) const
 {
     auto lower = absl::AsciiStrToLower(absl::string_view(name.data(), name.size()));
-    return std::find(s_always.begin(), s_always.end(), lower) != s_always.end()
-        || std::find(m_named.begin(), m_named.end(), lower) != m_named.end();
+    return std::find(s_fixedFields.begin(), s_fixedFields.end(), lower) != s_fixedFields.end()
+        || std::find(m_connectionOptions.begin(), m_connectionOptions.end(), lower) != m_connectionOptions.end();
 }
 
 } // namespace Brassladder::Common
--- a/Source/Common/HopByHop.h
+++ b/Source/Common/HopByHop.h
@@ -17,7 +17,7 @@
     bool contains(std::string_view name) const;
 
 private:
-    std::vector<std::string> m_named; // By `Connection`, in lower case.
+    std::vector<std::string> m_connectionOptions; // By `Connection`, in lower case.
 };
 
 } // namespace Brassladder::Common
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -72,7 +72,7 @@
 }
 
 HttpConnection::HttpConnection()
-    : m_stream(FiberRuntime::here())
+    : m_stream(FiberRuntime::currentContext())
 {
 }
 
--- a/Source/Common/HttpConnectionPool.cpp
+++ b/Source/Common/HttpConnectionPool.cpp
@@ -7,17 +7,18 @@
 // threads.
 static constexpr size_t maxIdleConnections = 32;
 
-HttpConnectionPool& HttpConnectionPool::here()
+HttpConnectionPool& HttpConnectionPool::forCurrentThread()
 {
     // Never destroyed: its sockets belong to an io_context that lives until the process ends.
     thread_local auto* s_pool = new HttpConnectionPool;
     return *s_pool;
 }
 
-Result<std::unique_ptr<HttpConnection>> HttpConnectionPool::take(const Endpoint& endpoint, Milliseconds connectTimeout)
+Result<std::unique_ptr<HttpConnection>> HttpConnectionPool::acquire(
+    const Endpoint& endpoint, Milliseconds connectTimeout)
 {
-    if (auto kept = acquireIdle(endpoint, Milliseconds::max()))
-        return kept;
+    if (auto pooled = acquireIdle(endpoint, Milliseconds::max()))
+        return pooled;
     auto connection = std::make_unique<HttpConnection>();
     if (auto status = connection->connect(endpoint, connectTimeout); isError(status))
         return errorOf(status);
@@ -32,14 +33,14 @@
     auto& idle = found->second;
     auto moment = now();
     while (!idle.empty()) {
-        auto rest = moment - idle.back().since;
-        auto keptFor = idle.back().connection->keepAliveTime();
+        auto idleTime = moment - idle.back().since;
+        auto keepAliveTime = idle.back().connection->keepAliveTime();
         // Those before it have rested longer still.
-        if (keptFor && rest > *keptFor / 2) {
+        if (keepAliveTime && idleTime > *keepAliveTime / 2) {
             idle.clear();
             break;
         }
-        if (maxIdleTime != Milliseconds::max() && rest > maxIdleTime)
+        if (maxIdleTime != Milliseconds::max() && idleTime > maxIdleTime)
             return nullptr;
         auto connection = std::move(idle.back().connection);
         idle.pop_back();
--- a/Source/Common/HttpConnectionPool.h
+++ b/Source/Common/HttpConnectionPool.h
@@ -15,10 +15,10 @@
 class HttpConnectionPool {
 public:
     // The pool of the calling thread.
-    static HttpConnectionPool& here();
+    static HttpConnectionPool& forCurrentThread();
 
     // An idle connection of any age, or a new one. UpstreamConnect when there is none.
-    Result<std::unique_ptr<HttpConnection>> take(const Endpoint&, Milliseconds connectTimeout);
+    Result<std::unique_ptr<HttpConnection>> acquire(const Endpoint&, Milliseconds connectTimeout);
     // The most recently used connection that was idle for at most `maxIdleTime`, or null. Connections that were idle
     // for more than half of the time for which the other side keeps them are closed.
     std::unique_ptr<HttpConnection> acquireIdle(const Endpoint&, Milliseconds maxIdleTime);
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -114,7 +114,7 @@
 class ArrivalTimer {
 public:
     ArrivalTimer(HttpExchange::Socket& stream, Milliseconds limit)
-        : m_timer(FiberRuntime::here(), limit)
+        : m_timer(FiberRuntime::currentContext(), limit)
     {
         m_timer.async_wait([state = m_state, &stream](beast::error_code error) {
             if (error || state->isDisarmed)
--- a/Source/Common/Listener.cpp
+++ b/Source/Common/Listener.cpp
@@ -9,7 +9,7 @@
 using tcp = asio::ip::tcp;
 
 // After a failed accept: out of descriptors, most likely. Trying again at once would only spin.
-static constexpr Milliseconds acceptPause { 50 };
+static constexpr Milliseconds acceptRetryDelay { 50 };
 
 Listener::Listener(FiberRuntime& runtime, OnConnection onConnection)
     : m_runtime(runtime)
@@ -47,7 +47,7 @@
                 return;
             if (error) {
                 m_runtime.spawnOn(0, [this] {
-                    sleepFor(acceptPause);
+                    sleepFor(acceptRetryDelay);
                     accept();
                 });
                 return;
--- a/Source/Common/Metrics.cpp
+++ b/Source/Common/Metrics.cpp
@@ -23,7 +23,7 @@
     return prometheus::BuildGauge().Name(name).Help(help).Register(registry()).Add(labels);
 }
 
-prometheus::Histogram& seconds(const std::string& name, const std::string& help, const Labels& labels)
+prometheus::Histogram& durationHistogram(const std::string& name, const std::string& help, const Labels& labels)
 {
     static const prometheus::Histogram::BucketBoundaries s_buckets { 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2,
         0.38, 0.5, 1, 2, 5, 10, 30, 60, 300, 1800, 3600 };
--- a/Source/Common/Metrics.h
+++ b/Source/Common/Metrics.h
@@ -16,7 +16,7 @@
 prometheus::Counter& counter(const std::string& name, const std::string& help, const Labels& labels = {});
 prometheus::Gauge& gauge(const std::string& name, const std::string& help, const Labels& labels = {});
 // Buckets are in seconds, from 1 ms to 1 hour, so that histograms of several instances can be added up.
-prometheus::Histogram& seconds(const std::string& name, const std::string& help, const Labels& labels = {});
+prometheus::Histogram& durationHistogram(const std::string& name, const std::string& help, const Labels& labels = {});
 
 // All series in Prometheus' text format.
 std::string expose();
--- a/Source/Inner/Mesh.cpp
+++ b/Source/Inner/Mesh.cpp
@@ -32,7 +32,7 @@
     auto decoder = std::make_shared<FrameDecoder>();
     Http2Session::Hooks hooks;
     hooks.authorize
-        = [this](std::string_view given) { return Common::equalInConstantTime(given, m_linkContext.authorization); };
+        = [this](std::string_view given) { return Common::constantTimeEquals(given, m_linkContext.authorization); };
     hooks.onData = [this, decoder](std::string_view bytes) { return receive(*decoder, bytes); };
     Http2Session::server(std::move(socket), std::move(hooks))->run();
 }
--- a/Source/Inner/PeerLink.cpp
+++ b/Source/Inner/PeerLink.cpp
@@ -159,7 +159,7 @@
 
 PeerLink::Session PeerLink::connect()
 {
-    boost::beast::tcp_stream stream(Common::FiberRuntime::here());
+    boost::beast::tcp_stream stream(Common::FiberRuntime::currentContext());
     stream.expires_after(connectTimeout);
     boost::system::error_code error;
     tcp::endpoint target(asio::ip::make_address(m_peer.endpoint.address, error), m_peer.endpoint.port);
@@ -171,7 +171,7 @@
 
 void PeerLink::startReading(const Session& session)
 {
-    Common::FiberRuntime::spawnHere([self = shared_from_this(), session] {
+    Common::FiberRuntime::spawnOnCurrentThread([self = shared_from_this(), session] {
         session->run();
         self->closeConnection(session);
     });
--- a/Source/RouteServing/Gateway/CrashDetector.cpp
+++ b/Source/RouteServing/Gateway/CrashDetector.cpp
@@ -63,7 +63,7 @@
     }
     std::lock_guard lock(m_mutex);
     if (m_interrupted.add(upstream.incarnation(), std::move(attempt)))
-        Common::FiberRuntime::spawnHere([this, upstream] { determineCause(upstream); });
+        Common::FiberRuntime::spawnOnCurrentThread([this, upstream] { determineCause(upstream); });
 }
 
 void CrashDetector::determineCause(const Routing::UpstreamRecord& upstream)
--- a/Source/RouteServing/Gateway/DutyRunner.cpp
+++ b/Source/RouteServing/Gateway/DutyRunner.cpp
@@ -45,7 +45,8 @@
 
 static Milliseconds backoffAfter(unsigned failures)
 {
-    return Routing::jittered(Routing::exponentialBackoff(initialBackoff, maxBackoff, failures), Common::randomShare());
+    return Routing::jittered(
+        Routing::exponentialBackoff(initialBackoff, maxBackoff, failures), Common::randomUnitFraction());
 }
 
 Milliseconds DutyRunner::step()
--- a/Source/RouteServing/Gateway/GatewayMetrics.cpp
+++ b/Source/RouteServing/Gateway/GatewayMetrics.cpp
@@ -6,8 +6,8 @@
 namespace Brassladder::RouteServing::Gateway::GatewayMetrics {
 
 using Common::Metrics::counter;
+using Common::Metrics::durationHistogram;
 using Common::Metrics::gauge;
-using Common::Metrics::seconds;
 
 static constexpr unsigned statusesPerClass = 100; // RFC 9110, section 15: 2xx, 4xx and so on.
 
@@ -17,13 +17,15 @@
     counter("brassladder_gateway_requests_total", "Requests by kind of status and reason of our own",
         { { "status", statusClass }, { "reason", std::string(reason) } })
         .Increment();
-    static auto& s_time = seconds("brassladder_gateway_request_seconds", "From arrival to the end of the answer");
+    static auto& s_time
+        = durationHistogram("brassladder_gateway_request_seconds", "From arrival to the end of the answer");
     s_time.Observe(Common::toSeconds(time));
 }
 
 void firstByte(Common::Duration time)
 {
-    static auto& s_time = seconds("brassladder_gateway_first_byte_seconds", "From arrival to the answer's first byte");
+    static auto& s_time
+        = durationHistogram("brassladder_gateway_first_byte_seconds", "From arrival to the answer's first byte");
     s_time.Observe(Common::toSeconds(time));
 }
 
--- a/Source/RouteServing/Gateway/PeerExchange.cpp
+++ b/Source/RouteServing/Gateway/PeerExchange.cpp
@@ -23,7 +23,7 @@
           { [this] { return locked([](const auto& member) { return member.rosterSituation(Common::now()); }); },
               [this](const auto& entries) { onRosterRead(entries); },
               [this] { locked([](auto& member) { member.recordAnnounced(); }); } })
-    , m_member(m_id, m_parts.start, Common::now(), Common::randomShare())
+    , m_member(m_id, m_parts.start, Common::now(), Common::randomUnitFraction())
     , m_suspects(m_parts.suspects ? std::make_optional<SuspectExchange>(*m_parts.suspects, m_mesh.self().incarnation)
                                   : std::nullopt)
     , m_quotas(m_parts.registry.quotas(), m_id, m_mesh.self().incarnation)
@@ -106,7 +106,7 @@
     // The roster has just become complete, so the hub is known. Requests a snapshot without waiting for the next
     // interval.
     if (isNew)
-        Common::FiberRuntime::spawnHere([this] { step(); });
+        Common::FiberRuntime::spawnOnCurrentThread([this] { step(); });
 }
 
 // Roles
@@ -381,7 +381,7 @@
     onConfiguration(from, snapshot, confirmedBy(snapshot.configuration_age_ms()));
     bool isNotification = snapshot.nonce() == 0;
     if (isNotification)
-        return Common::FiberRuntime::spawnHere([this] { step(); });
+        return Common::FiberRuntime::spawnOnCurrentThread([this] { step(); });
     if (!requestedAt)
         return;
     if (m_suspects)
--- a/Source/RouteServing/Gateway/PlatformWatcher.cpp
+++ b/Source/RouteServing/Gateway/PlatformWatcher.cpp
@@ -54,7 +54,7 @@
     dependency.recordFailure(*error);
     auto backoff = m_isStoreReader() ? m_intervals.backoffAfter(dependency.failures)
                                      : m_intervals.nonReaderBackoffAfter(dependency.failures);
-    Common::sleepFor(Routing::jittered(backoff, Common::randomShare()));
+    Common::sleepFor(Routing::jittered(backoff, Common::randomUnitFraction()));
     return true;
 }
 
--- a/Source/RouteServing/Gateway/RosterWatcher.cpp
+++ b/Source/RouteServing/Gateway/RosterWatcher.cpp
@@ -62,7 +62,7 @@
         Common::log(Common::LogLevel::Warning, "gateway", "roster.unavailable",
             { { "what", operation }, { "error", errorOf(status).message } });
     auto backoff = Routing::exponentialBackoff(initialBackoff, maxBackoff, m_failures);
-    Common::sleepFor(Routing::jittered(backoff, Common::randomShare()));
+    Common::sleepFor(Routing::jittered(backoff, Common::randomUnitFraction()));
 }
 
 void RosterWatcher::watch(const Inner::Peer& self)
--- a/Source/RouteServing/Gateway/SuspectEndpoint.cpp
+++ b/Source/RouteServing/Gateway/SuspectEndpoint.cpp
@@ -13,7 +13,7 @@
 
 static bool hasFleetKey(const Common::HttpExchange& exchange, std::string_view fleetKey)
 {
-    return Common::equalInConstantTime(exchange.header("Authorization"), "Bearer " + std::string(fleetKey));
+    return Common::constantTimeEquals(exchange.header("Authorization"), "Bearer " + std::string(fleetKey));
 }
 
 static Json toJson(const SuspectRecord& suspect, TimePoint now)
--- a/Source/RouteServing/Gateway/SuspectGuard.cpp
+++ b/Source/RouteServing/Gateway/SuspectGuard.cpp
@@ -79,7 +79,7 @@
 
 void SuspectGuard::release(const RequestIdentity& request, bool crashCheckPending)
 {
-    Common::FiberRuntime::spawnHere([this, request, crashCheckPending] {
+    Common::FiberRuntime::spawnOnCurrentThread([this, request, crashCheckPending] {
         if (crashCheckPending)
             Common::sleepFor(CrashDetector::maxDetectionTime);
         releaseClaim(request);
@@ -224,7 +224,7 @@
         return true;
     // All store readers receive a suspect at about the same time. A random delay makes it unlikely that all of them
     // write it.
-    Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeSyncInterval * Common::randomShare()));
+    Common::sleepFor(std::chrono::duration_cast<Milliseconds>(storeSyncInterval * Common::randomUnitFraction()));
     auto status = store(std::move(changes.records), OwnClaims::Keep);
     if (isError(status))
         storedRevision = 0;
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -24,7 +24,7 @@
 bool UpstreamAttempt::connect(const Options& options)
 {
     const auto& endpoint = m_placement.upstream.endpoint;
-    m_connection = Common::HttpConnectionPool::here().acquireIdle(endpoint, options.maxIdleTime);
+    m_connection = Common::HttpConnectionPool::forCurrentThread().acquireIdle(endpoint, options.maxIdleTime);
     if (m_connection)
         return true;
     m_connection = std::make_unique<Common::HttpConnection>();
@@ -155,7 +155,7 @@
 
 void UpstreamAttempt::releaseConnection()
 {
-    Common::HttpConnectionPool::here().release(m_placement.upstream.endpoint, std::move(m_connection));
+    Common::HttpConnectionPool::forCurrentThread().release(m_placement.upstream.endpoint, std::move(m_connection));
 }
 
 void UpstreamAttempt::cancel()
--- a/Source/RouteServing/Routing/UpstreamRegistry.cpp
+++ b/Source/RouteServing/Routing/UpstreamRegistry.cpp
@@ -267,7 +267,7 @@
     for (const auto* entry : entries)
         plain.push_back({ outstanding(*entry, now), entry->record.slots, entry->record.failureDomain == m_failureDomain,
             entry->health.errorRate(now) });
-    auto chosen = choosePlainUpstream(plain, Common::randomShare);
+    auto chosen = choosePlainUpstream(plain, Common::randomUnitFraction);
     if (!chosen)
         return std::nullopt;
     Placement result { entries[*chosen]->record };
--- a/Source/Testing/Fakes/FakeEngine.cpp
+++ b/Source/Testing/Fakes/FakeEngine.cpp
@@ -150,7 +150,7 @@
 void FakeEngine::stream(Common::HttpExchange& exchange, const GenerationPtr& generation, uint32_t sent)
 {
     exchange.watchCaller([this, weak = std::weak_ptr(generation)] {
-        Common::FiberRuntime::spawnHere([this, weak] {
+        Common::FiberRuntime::spawnOnCurrentThread([this, weak] {
             if (auto live = weak.lock())
                 leave(live);
         });
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -36,7 +36,7 @@
     static std::string sendRaw(const std::string& bytes, bool halfClose)
     {
         return testRuntime().call([&] {
-            boost::beast::tcp_stream stream(Common::FiberRuntime::here());
+            boost::beast::tcp_stream stream(Common::FiberRuntime::currentContext());
             stream.expires_after(std::chrono::seconds(3));
             auto endpoint = s_cluster->node("router-1").endpoint;
             asio::ip::tcp::endpoint target(asio::ip::make_address(endpoint.address), endpoint.port);
--- a/Source/UnitTests/ClassServing/Upstream/CancelledConnectTest.cpp
+++ b/Source/UnitTests/ClassServing/Upstream/CancelledConnectTest.cpp
@@ -41,7 +41,7 @@
 {
     auto status = testRuntime().call([&] {
         auto stream = std::make_shared<EngineStream>(endpoint(), "request-1");
-        Common::FiberRuntime::spawnHere([stream] { stream->cancel(); });
+        Common::FiberRuntime::spawnOnCurrentThread([stream] { stream->cancel(); });
         return stream->start("{}", 0, true, timeouts);
     });
     EXPECT_TRUE(isError(status));
@@ -52,7 +52,7 @@
 {
     auto answer = testRuntime().call([&] {
         auto call = std::make_shared<ServiceCall>(endpoint(), "request-1");
-        Common::FiberRuntime::spawnHere([call] { call->cancel(); });
+        Common::FiberRuntime::spawnOnCurrentThread([call] { call->cancel(); });
         return call->run({ boost::beast::http::verb::get, "/x", 11 }, "/x", true, timeouts);
     });
     EXPECT_TRUE(isError(answer));
--- a/Source/UnitTests/Inner/MeshTest.cpp
+++ b/Source/UnitTests/Inner/MeshTest.cpp
@@ -112,7 +112,7 @@
     for (const std::string& garbage : { std::string("GET / HTTP/1.1\r\n\r\n"), std::string(4096, '\xff'),
              std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\1\2\3\4\5\6\7\10\11") }) {
         auto closed = testRuntime().call([&] {
-            boost::beast::tcp_stream stream(Common::FiberRuntime::here());
+            boost::beast::tcp_stream stream(Common::FiberRuntime::currentContext());
             stream.expires_after(2s);
             Common::awaitIo([&](auto handler) {
                 stream.async_connect({ boost::asio::ip::address_v4::loopback(), receiver.port() }, std::move(handler));
