--- a/Source/Benchmarks/PathCost.cpp
+++ b/Source/Benchmarks/PathCost.cpp
@@ -48,7 +48,7 @@
         for (int index = 0; index < count; ++index) {
             auto start = Common::now();
             auto answer = connection.start(call);
-            if (isError(answer) || valueOf(answer).status != 200 || isError(connection.readRest(1 << 20)))
+            if (isError(answer) || valueOf(answer).status != 200 || isError(connection.readRemainingBody(1 << 20)))
                 std::cerr << "a call failed\n";
             latencies.seconds.push_back(Common::toSeconds(Common::now() - start));
         }
@@ -68,7 +68,7 @@
             connection.connect(endpoint, 1000ms);
             for (int done = 0; done < each; ++done) {
                 auto answer = connection.start(call);
-                if (isError(answer) || isError(connection.readRest(1 << 20)))
+                if (isError(answer) || isError(connection.readRemainingBody(1 << 20)))
                     std::cerr << "a call failed\n";
             }
             left.fetch_sub(1);
--- a/Source/ClassServing/Frontend/CallerEndpoint.cpp
+++ b/Source/ClassServing/Frontend/CallerEndpoint.cpp
@@ -83,7 +83,7 @@
         return refuse(exchange, errorOf(classified));
     auto& context = valueOf(classified);
     if (isDraining)
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     if (!isForPool(context, *target))
         return refuse(exchange, Common::makeError(ErrorKind::ForbiddenClass, "the class is for another pool"));
     RequestMetrics::arrived(*context.requestClass);
--- a/Source/ClassServing/Frontend/ClassRouterSettings.cpp
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.cpp
@@ -73,10 +73,10 @@
     result.threads = static_cast<unsigned>(settings.integer("/threads"));
     result.limits.headerBytes = static_cast<size_t>(settings.integer("/http/max_header_bytes"));
     result.limits.bodyBytes = static_cast<size_t>(settings.integer("/http/max_body_bytes"));
-    result.limits.connections = static_cast<size_t>(settings.integer("/http/max_connections"));
-    result.limits.idle = settings.milliseconds("/http/idle_ms");
-    result.limits.receive = settings.milliseconds("/http/receive_ms");
-    result.limits.send = settings.milliseconds("/http/send_ms");
+    result.limits.maxConnections = static_cast<size_t>(settings.integer("/http/max_connections"));
+    result.limits.idleTimeout = settings.milliseconds("/http/idle_ms");
+    result.limits.receiveTimeout = settings.milliseconds("/http/receive_ms");
+    result.limits.sendTimeout = settings.milliseconds("/http/send_ms");
     result.heartbeat = settings.milliseconds("/membership/heartbeat_ms");
     result.silence = settings.milliseconds("/membership/silence_ms");
     result.loadInterval = settings.milliseconds("/upstream/load_interval_ms");
--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -160,7 +160,7 @@
 void Generation::answerError(const Error& error)
 {
     if (error.kind == ErrorKind::CallerGone)
-        return m_context.exchange.closeAfterAnswer();
+        return m_context.exchange.closeAfterResponse();
     if (m_context.relayed) {
         // The response has begun: it ends with an explicit error, and without the end marker.
         m_context.exchange.write("event: error\ndata: " + Common::dumpJson(Common::errorJson(error)) + "\n\n");
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -102,12 +102,12 @@
                 return Common::makeError(ErrorKind::UpstreamBroken, "the engine gave the generation up");
             if (event->data == endMarker) {
                 // The last chunk still has to be read before the connection can carry another request.
-                m_finished = !isError(m_connection->readPiece()) && m_connection->isReusable();
+                m_finished = !isError(m_connection->readBodyChunk()) && m_connection->isReusable();
                 return EngineEvent { Finished {} };
             }
             return EngineEvent { Token { std::move(event->raw), std::move(event->data) } };
         }
-        auto piece = m_connection->readPiece();
+        auto piece = m_connection->readBodyChunk();
         if (isError(piece))
             return errorOf(piece);
         if (valueOf(piece).empty() || m_parser.unfinishedBytes() > maxEventBytes)
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -68,7 +68,7 @@
     auto answer = m_connection->start(call);
     if (isError(answer))
         return answer;
-    auto body = m_connection->readRest(Common::maxWholeResponseBytes);
+    auto body = m_connection->readRemainingBody(Common::maxBufferedResponseBytes);
     if (isError(body))
         return errorOf(body);
     if (valueOf(answer).header(ranHeader) == "no")
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -14,7 +14,7 @@
 using tcp = asio::ip::tcp;
 
 // Size of one piece of a relayed body. A token's event is 100 to 300 bytes; larger pieces cost memory for each stream.
-static constexpr size_t pieceBytes = 4096;
+static constexpr size_t bodyChunkBytes = 4096;
 static constexpr unsigned httpVersion = 11; // HTTP/1.1, as Beast writes it.
 
 std::string_view HttpClientResponse::header(std::string_view name) const
@@ -55,7 +55,7 @@
     return "none";
 }
 
-static ConnectionEnd endOf(const beast::error_code& error)
+static ConnectionEnd classifyConnectionEnd(const beast::error_code& error)
 {
     if (error == asio::error::connection_refused)
         return ConnectionEnd::Refused;
@@ -86,7 +86,7 @@
     auto result = awaitIo(
         [&](auto handler) { m_stream.async_connect(tcp::endpoint(address, endpoint.port), std::move(handler)); });
     if (!result.ok()) {
-        m_end = endOf(result.error);
+        m_end = classifyConnectionEnd(result.error);
         return makeError(
             ErrorKind::UpstreamConnect, "cannot connect to " + endpoint.text() + ": " + result.error.message());
     }
@@ -121,7 +121,7 @@
 Error HttpConnection::responseError(const beast::error_code& error)
 {
     m_broken = true;
-    m_end = endOf(error);
+    m_end = classifyConnectionEnd(error);
     auto kind = error == beast::error::timeout ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamBroken;
     return makeError(kind, "no whole answer from the upstream: " + error.message());
 }
@@ -165,31 +165,31 @@
     return answer;
 }
 
-Result<std::string_view> HttpConnection::readPiece()
+Result<std::string_view> HttpConnection::readBodyChunk()
 {
     if (m_parser->is_done())
         return std::string_view {};
-    m_piece.resize(pieceBytes);
+    m_bodyChunk.resize(bodyChunkBytes);
     while (true) {
         auto& body = m_parser->get().body();
-        body.data = m_piece.data();
-        body.size = m_piece.size();
+        body.data = m_bodyChunk.data();
+        body.size = m_bodyChunk.size();
         armTimeout();
         auto read
             = awaitIo([&](auto handler) { http::async_read_some(m_stream, m_buffer, *m_parser, std::move(handler)); });
         if (!read.ok() && read.error != http::error::need_buffer)
             return responseError(read.error);
-        size_t filled = m_piece.size() - body.size;
+        size_t filled = m_bodyChunk.size() - body.size;
         if (filled || m_parser->is_done())
-            return std::string_view(m_piece.data(), filled);
+            return std::string_view(m_bodyChunk.data(), filled);
     }
 }
 
-Result<std::string> HttpConnection::readRest(size_t limit)
+Result<std::string> HttpConnection::readRemainingBody(size_t limit)
 {
     std::string body;
     while (true) {
-        auto piece = readPiece();
+        auto piece = readBodyChunk();
         if (isError(piece))
             return errorOf(piece);
         if (valueOf(piece).empty())
@@ -233,7 +233,7 @@
     auto answer = connection.start(call);
     if (isError(answer))
         return answer;
-    auto body = connection.readRest(bodyLimit);
+    auto body = connection.readRemainingBody(bodyLimit);
     if (isError(body))
         return errorOf(body);
     valueOf(answer).body = std::move(valueOf(body));
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -9,7 +9,7 @@
 
 // Largest response that is held whole; streams are relayed as they come. Chosen, not measured: far above any plain
 // response, and it bounds what one faulty upstream can make a process hold.
-inline constexpr size_t maxWholeResponseBytes = 16 * 1024 * 1024;
+inline constexpr size_t maxBufferedResponseBytes = 16 * 1024 * 1024;
 
 // For callers that set no timeouts of their own, such as the operators' tool. Chosen, not measured.
 inline constexpr Milliseconds defaultConnectTimeout { 1000 };
@@ -58,9 +58,9 @@
     // Sends the request and reads the response head.
     Result<HttpClientResponse> start(const HttpClientRequest&);
     // Reads the next piece of the body; empty at the end. An end without the announced length is UpstreamBroken.
-    Result<std::string_view> readPiece();
+    Result<std::string_view> readBodyChunk();
     // The rest of the body.
-    Result<std::string> readRest(size_t limit);
+    Result<std::string> readRemainingBody(size_t limit);
 
     // May be called by another fiber of the same thread: the operation in progress fails at once.
     void close();
@@ -78,7 +78,7 @@
     boost::beast::flat_buffer m_buffer;
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
     std::optional<Parser> m_parser;
-    std::vector<char> m_piece;
+    std::vector<char> m_bodyChunk;
     void armTimeout();
     Error responseError(const boost::beast::error_code&);
 
@@ -93,6 +93,6 @@
 
 // Connects, sends, and reads the whole response: for short calls where a connection pool would not pay.
 Result<HttpClientResponse> callOnce(
-    const Endpoint&, const HttpClientRequest&, size_t bodyLimit = maxWholeResponseBytes);
+    const Endpoint&, const HttpClientRequest&, size_t bodyLimit = maxBufferedResponseBytes);
 
 } // namespace Brassladder::Common
--- a/Source/Common/HttpExchange.cpp
+++ b/Source/Common/HttpExchange.cpp
@@ -81,7 +81,7 @@
         bytes.insert(0, m_unsentHead);
         m_unsentHead.clear();
     }
-    m_stream.expires_after(m_limits.send);
+    m_stream.expires_after(m_limits.sendTimeout);
     auto result = awaitIo([&](auto handler) { asio::async_write(m_stream, asio::buffer(bytes), std::move(handler)); });
     m_stream.expires_never();
     if (!result.ok())
--- a/Source/Common/HttpExchange.h
+++ b/Source/Common/HttpExchange.h
@@ -22,16 +22,16 @@
 // Limits that keep one caller from hurting its neighbours. The defaults are for servers that nobody configures
 // (readiness, metrics, stand-ins); they were chosen, not measured.
 struct HttpLimits {
-    static constexpr size_t defaultConnections = 20'000;
-    static constexpr Milliseconds defaultIdle { 60'000 };
-    static constexpr Milliseconds defaultTransfer { 10'000 };
+    static constexpr size_t defaultMaxConnections = 20'000;
+    static constexpr Milliseconds defaultIdleTimeout { 60'000 };
+    static constexpr Milliseconds defaultTransferTimeout { 10'000 };
 
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 1024 * 1024 };
-    size_t connections { defaultConnections };
-    Milliseconds idle { defaultIdle }; // Between requests on one connection.
-    Milliseconds receive { defaultTransfer }; // For one whole request after its first byte.
-    Milliseconds send { defaultTransfer }; // For one write to the caller.
+    size_t maxConnections { defaultMaxConnections };
+    Milliseconds idleTimeout { defaultIdleTimeout }; // Between requests on one connection.
+    Milliseconds receiveTimeout { defaultTransferTimeout }; // For one whole request after its first byte.
+    Milliseconds sendTimeout { defaultTransferTimeout }; // For one write to the caller.
 };
 
 struct HttpHeader {
@@ -76,7 +76,7 @@
 
     bool isAnswered() const { return m_answered; }
     bool mayKeepAlive() const { return m_keepAlive && !m_streaming; }
-    void closeAfterAnswer() { m_keepAlive = false; }
+    void closeAfterResponse() { m_keepAlive = false; }
     // Closes the connection without a response, or without the end of one that has begun.
     void abandon()
     {
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -41,8 +41,8 @@
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     HttpExchange::Socket stream(std::move(socket));
-    if (m_connections.fetch_add(1) >= m_limits().connections) {
-        refuse(stream, ErrorKind::TooManyConnections, "too many connections");
+    if (m_connections.fetch_add(1) >= m_limits().maxConnections) {
+        sendError(stream, ErrorKind::TooManyConnections, "too many connections");
         m_connections.fetch_sub(1);
         return;
     }
@@ -85,7 +85,7 @@
 {
     if (buffer.size())
         return true;
-    stream.expires_after(m_limits().idle);
+    stream.expires_after(m_limits().idleTimeout);
     auto first = awaitFirstByte(stream, buffer);
     if (!first.ok())
         return false;
@@ -100,7 +100,7 @@
 
 struct ReadResult {
     beast::error_code error; // None: the request is whole.
-    bool isLate { false }; // The time for the request ran out.
+    bool hasTimedOut { false }; // The time for the request ran out.
 };
 
 // Why a request could not be read, for the response; none when the caller is gone.
@@ -110,31 +110,31 @@
 };
 
 // The time for one request to arrive. Not the stream's own timeout, which closes the socket: a slow caller gets a
-// response. Ends the read that is pending; between two reads there is none, so `isOver` is asked before each.
-class ArrivalTimer {
+// response. Ends the read that is pending; between two reads there is none, so `isExpired` is asked before each.
+class ReceiveTimer {
 public:
-    ArrivalTimer(HttpExchange::Socket& stream, Milliseconds limit)
+    ReceiveTimer(HttpExchange::Socket& stream, Milliseconds limit)
         : m_timer(FiberRuntime::currentContext(), limit)
     {
         m_timer.async_wait([state = m_state, &stream](beast::error_code error) {
             if (error || state->isDisarmed)
                 return;
-            state->isOver = true;
+            state->isExpired = true;
             beast::error_code ignored;
             stream.socket().cancel(ignored);
         });
     }
-    ~ArrivalTimer() { m_state->isDisarmed = true; }
-    ArrivalTimer(const ArrivalTimer&) = delete;
-    ArrivalTimer& operator=(const ArrivalTimer&) = delete;
+    ~ReceiveTimer() { m_state->isDisarmed = true; }
+    ReceiveTimer(const ReceiveTimer&) = delete;
+    ReceiveTimer& operator=(const ReceiveTimer&) = delete;
 
-    bool isOver() const { return m_state->isOver; }
+    bool isExpired() const { return m_state->isExpired; }
 
 private:
     // Shared with the handler, which may run after the end of the timer.
     struct State {
         bool isDisarmed { false };
-        bool isOver { false };
+        bool isExpired { false };
     };
 
     asio::steady_timer m_timer;
@@ -152,10 +152,10 @@
 }
 
 // The buffer holds the first bytes of the request.
-static ReadResult readWithin(
+static ReadResult readRequest(
     Milliseconds limit, HttpExchange::Socket& stream, beast::flat_buffer& buffer, RequestParser& parser)
 {
-    std::optional<ArrivalTimer> timer; // Most requests are there as a whole and need none.
+    std::optional<ReceiveTimer> timer; // Most requests are there as a whole and need none.
     parser.eager(true);
     while (true) {
         if (auto error = parseArrived(buffer, parser))
@@ -164,24 +164,24 @@
             return {};
         if (!timer)
             timer.emplace(stream, limit);
-        if (timer->isOver())
+        if (timer->isExpired())
             return { asio::error::operation_aborted, true };
         auto read
             = awaitIo([&](auto handler) { stream.async_read_some(buffer.prepare(readBytes), std::move(handler)); });
         if (!read.ok())
-            return { read.error, timer->isOver() };
+            return { read.error, timer->isExpired() };
         buffer.commit(read.bytes);
     }
 }
 
-static std::optional<ReadFailure> failureOf(const ReadResult& read)
+static std::optional<ReadFailure> readFailureFor(const ReadResult& read)
 {
     const auto& error = read.error;
     if (error == http::error::body_limit)
         return ReadFailure { ErrorKind::BodyTooLarge, "the body is larger than the limit" };
     if (error == http::error::header_limit)
         return ReadFailure { ErrorKind::HeadersTooLarge, "the headers are larger than the limit" };
-    if (read.isLate)
+    if (read.hasTimedOut)
         return ReadFailure { ErrorKind::RequestTimeout, "the request took too long to arrive" };
     if (error.category() == make_error_code(http::error::bad_method).category())
         return ReadFailure { ErrorKind::BadRequest, "not an HTTP/1.1 request: " + error.message() };
@@ -196,28 +196,28 @@
     RequestParser parser;
     parser.header_limit(static_cast<uint32_t>(limits.headerBytes));
     parser.body_limit(limits.bodyBytes);
-    auto read = readWithin(limits.receive, stream, buffer, parser);
+    auto read = readRequest(limits.receiveTimeout, stream, buffer, parser);
     if (read.error) {
-        if (auto failure = failureOf(read))
-            refuse(stream, failure->kind, failure->message);
+        if (auto failure = readFailureFor(read))
+            sendError(stream, failure->kind, failure->message);
         return Next::Close;
     }
     auto request = parser.release();
     HttpExchange exchange(stream, request, limits);
     if (m_stopping)
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     m_handler(exchange);
     if (!exchange.isAnswered())
         exchange.respond(errorResponse(makeError(ErrorKind::Internal, "the request was not answered")));
     return exchange.mayKeepAlive() ? Next::Request : Next::Close;
 }
 
-void HttpServer::refuse(HttpExchange::Socket& stream, ErrorKind kind, std::string_view message)
+void HttpServer::sendError(HttpExchange::Socket& stream, ErrorKind kind, std::string_view message)
 {
     HttpRequest none;
     auto limits = m_limits();
     HttpExchange exchange(stream, none, limits);
-    exchange.closeAfterAnswer();
+    exchange.closeAfterResponse();
     exchange.respond(errorResponse(makeError(kind, std::string(message))));
 }
 
--- a/Source/Common/HttpServer.h
+++ b/Source/Common/HttpServer.h
@@ -35,7 +35,7 @@
     // False when the connection ended, or was idle for too long, before the first byte of a request.
     bool awaitRequest(HttpExchange::Socket&, boost::beast::flat_buffer&);
     Next serveOne(HttpExchange::Socket&, boost::beast::flat_buffer&);
-    void refuse(HttpExchange::Socket&, ErrorKind, std::string_view message);
+    void sendError(HttpExchange::Socket&, ErrorKind, std::string_view message);
 
     std::function<HttpLimits()> m_limits;
     HttpHandler m_handler;
--- a/Source/RouteServing/Gateway/Gateway.cpp
+++ b/Source/RouteServing/Gateway/Gateway.cpp
@@ -98,13 +98,13 @@
 Common::HttpLimits Gateway::callerLimits() const
 {
     Common::HttpLimits limits;
-    limits.connections = m_settings.callerConnections;
+    limits.maxConnections = m_settings.callerConnections;
     if (auto configuration = m_watcher.configuration()) {
         const auto& configured = configuration->table.limits();
         limits.headerBytes = configured.headerBytes;
         limits.bodyBytes = configured.bodyBytes;
-        limits.receive = configured.receiveTimeout;
-        limits.idle = configured.idleTimeout;
+        limits.receiveTimeout = configured.receiveTimeout;
+        limits.idleTimeout = configured.idleTimeout;
     }
     return limits;
 }
@@ -203,13 +203,13 @@
 {
     m_inFlight.fetch_add(1);
     if (m_draining)
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     RequestServices services { m_headers, m_watcher, m_lease, m_registry, m_retries,
         { m_hasher, m_crashDetector, m_suspectGuard }, m_usage.get(), m_refusesNewRequests };
     RequestHandler(services, exchange).run();
     // A planned stop may have begun while the request was served.
     if (m_draining)
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     m_inFlight.fetch_sub(1);
 }
 
--- a/Source/RouteServing/Gateway/RequestHandler.cpp
+++ b/Source/RouteServing/Gateway/RequestHandler.cpp
@@ -238,7 +238,7 @@
 // Buffers a plain response until it is complete, so that an interrupted one can still be retried.
 RequestHandler::Next RequestHandler::relayWhole(UpstreamAttempt& attempt)
 {
-    auto body = attempt.readBody(Common::maxWholeResponseBytes);
+    auto body = attempt.readBody(Common::maxBufferedResponseBytes);
     if (isError(body)) {
         if (!isAbandoned())
             return onFailure(attempt);
--- a/Source/RouteServing/Gateway/StreamRelay.cpp
+++ b/Source/RouteServing/Gateway/StreamRelay.cpp
@@ -16,7 +16,7 @@
 StreamRelay::Result StreamRelay::relay(UpstreamAttempt& attempt)
 {
     while (true) {
-        auto piece = attempt.readPiece();
+        auto piece = attempt.readBodyChunk();
         if (m_exchange.callerGone())
             return Result::CallerGone;
         if (isError(piece))
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -129,9 +129,9 @@
     return m_outcome;
 }
 
-Common::Result<std::string_view> UpstreamAttempt::readPiece()
+Common::Result<std::string_view> UpstreamAttempt::readBodyChunk()
 {
-    auto piece = m_connection->readPiece();
+    auto piece = m_connection->readBodyChunk();
     if (isError(piece))
         interrupt(errorOf(piece).message);
     return piece;
@@ -139,7 +139,7 @@
 
 Common::Result<std::string> UpstreamAttempt::readBody(size_t limit)
 {
-    auto body = m_connection->readRest(limit);
+    auto body = m_connection->readRemainingBody(limit);
     if (isError(body))
         interrupt(errorOf(body).message);
     return body;
--- a/Source/RouteServing/Gateway/UpstreamAttempt.h
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.h
@@ -42,7 +42,7 @@
 
     // Returns the next piece of the body; empty at its end. If the body ends early, returns an error, and the outcome
     // is Interrupted, or CancelledAfterSending after `cancel`.
-    Common::Result<std::string_view> readPiece();
+    Common::Result<std::string_view> readBodyChunk();
     // Returns the whole body, up to `limit` bytes; errors as above.
     Common::Result<std::string> readBody(size_t limit);
     // Records that the first event has arrived, so the engine's prefill is done.
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -79,7 +79,7 @@
     ClassServing::Upstream::SseParser parser;
     auto last = start;
     while (true) {
-        auto piece = connection.readPiece();
+        auto piece = connection.readBodyChunk();
         if (isError(piece) || valueOf(piece).empty()) {
             record.refusal = record.refusal.empty() && !record.whole ? "stream_cut" : record.refusal;
             return;
@@ -151,7 +151,7 @@
     if (valueOf(answer).status == 200 && streamed) {
         readStream(connection, call, record, start);
     } else {
-        auto body = connection.readRest(maxAnswerBytes);
+        auto body = connection.readRemainingBody(maxAnswerBytes);
         if (isError(body)) {
             record.refusal = "answer_cut";
             record.ran = "maybe";
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -205,7 +205,7 @@
         connection.connect(s_cluster->node("router-1").endpoint, Common::Milliseconds(1000));
         connection.start({ "POST", "/v1/chat/completions", body,
             { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey } } });
-        connection.readPiece();
+        connection.readBodyChunk();
         connection.close();
         return true;
     });
--- a/Source/UnitTests/Common/HttpServerTest.cpp
+++ b/Source/UnitTests/Common/HttpServerTest.cpp
@@ -103,7 +103,7 @@
     HttpLimits limits;
     limits.headerBytes = 2'000;
     limits.bodyBytes = 100;
-    limits.receive = 30ms;
+    limits.receiveTimeout = 30ms;
     auto port = startServer(limits);
     struct Case {
         std::string request;
@@ -129,11 +129,11 @@
 {
     HttpLimits limits;
     limits.bodyBytes = size_t { 1 } << 30;
-    limits.receive = 30ms;
+    limits.receiveTimeout = 30ms;
     RawCaller caller(startServer(limits));
     ASSERT_TRUE(caller.write(post(900'000'000)));
     std::string piece(1 << 20, 'x');
-    auto stall = std::chrono::steady_clock::now() + 5 * limits.receive;
+    auto stall = std::chrono::steady_clock::now() + 5 * limits.receiveTimeout;
     bool isOpen = true;
     for (int pieces = 0; isOpen && pieces < 800 && std::chrono::steady_clock::now() < stall; ++pieces)
         isOpen = caller.write(piece);
