--- a/Source/Common/Log.cpp
+++ b/Source/Common/Log.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Log.h"
 
-#include "Common/LineBudget.h"
+#include "Common/LogRateLimiter.h"
 
 #include <atomic>
 #include <log4cplus/asyncappender.h>
@@ -17,14 +17,14 @@
 
 // Room of the queue to the writing thread. A writer of lines would have to wait when it is full, so lines are left out
 // from half of it on.
-static constexpr unsigned queueLines = 16384;
+static constexpr unsigned queueCapacityLines = 16384;
 // Lines that may wait for the writer.
-static constexpr uint64_t mostWaiting = queueLines / 2;
+static constexpr uint64_t maxPendingLines = queueCapacityLines / 2;
 
 static std::string s_instance;
-static std::atomic<uint64_t> s_handedOver { 0 };
-static std::atomic<uint64_t> s_written { 0 };
-static LineBudget s_budget(linesPerSecond);
+static std::atomic<uint64_t> s_enqueuedLines { 0 };
+static std::atomic<uint64_t> s_writtenLines { 0 };
+static LogRateLimiter s_rateLimiter(maxLogLinesPerSecond);
 
 namespace {
 
@@ -33,7 +33,7 @@
 public:
     void formatAndAppend(log4cplus::tostream& output, const log4cplus::spi::InternalLoggingEvent& event) override
     {
-        s_written.fetch_add(1, std::memory_order_relaxed);
+        s_writtenLines.fetch_add(1, std::memory_order_relaxed);
         Json line = parseJson(event.getMessage());
         line["time"] = log4cplus::helpers::getFormattedTime("%Y-%m-%dT%H:%M:%S.%qZ", event.getTimestamp(), true);
         line["level"] = log4cplus::getLogLevelManager().toString(event.getLogLevel());
@@ -60,20 +60,20 @@
     return log4cplus::INFO_LOG_LEVEL;
 }
 
-void startLogging(LogLevel least, std::string_view instance)
+void startLogging(LogLevel minimumLevel, std::string_view instance)
 {
     s_instance = instance;
     log4cplus::initialize();
     log4cplus::SharedAppenderPtr console(new log4cplus::ConsoleAppender(false, true));
     console->setLayout(std::make_unique<JsonLayout>());
     auto root = log4cplus::Logger::getRoot();
-    root.addAppender(log4cplus::SharedAppenderPtr(new log4cplus::AsyncAppender(console, queueLines)));
-    root.setLogLevel(toLibraryLevel(least));
+    root.addAppender(log4cplus::SharedAppenderPtr(new log4cplus::AsyncAppender(console, queueCapacityLines)));
+    root.setLogLevel(toLibraryLevel(minimumLevel));
 }
 
-static void hand(log4cplus::Logger& logger, log4cplus::LogLevel level, const Json& fields)
+static void enqueue(log4cplus::Logger& logger, log4cplus::LogLevel level, const Json& fields)
 {
-    s_handedOver.fetch_add(1, std::memory_order_relaxed);
+    s_enqueuedLines.fetch_add(1, std::memory_order_relaxed);
     logger.forcedLog(level, dumpJson(fields));
 }
 
@@ -83,14 +83,15 @@
     auto libraryLevel = toLibraryLevel(level);
     if (!logger.isEnabledFor(libraryLevel))
         return;
-    auto waiting = s_handedOver.load(std::memory_order_relaxed) - s_written.load(std::memory_order_relaxed);
-    bool hasRoom = waiting < mostWaiting;
-    if (!hasRoom || (!s_budget.take(now()) && level != LogLevel::Error))
-        return s_budget.leaveOut();
-    if (auto leftOut = s_budget.takeLeftOut())
-        hand(logger, log4cplus::WARN_LOG_LEVEL, { { "event", "log.left_out" }, { "lines", leftOut } });
+    auto pendingLines
+        = s_enqueuedLines.load(std::memory_order_relaxed) - s_writtenLines.load(std::memory_order_relaxed);
+    bool hasRoom = pendingLines < maxPendingLines;
+    if (!hasRoom || (!s_rateLimiter.tryAcquire(now()) && level != LogLevel::Error))
+        return s_rateLimiter.countSuppressed();
+    if (auto suppressed = s_rateLimiter.takeSuppressedCount())
+        enqueue(logger, log4cplus::WARN_LOG_LEVEL, { { "event", "log.left_out" }, { "lines", suppressed } });
     fields["event"] = event;
-    hand(logger, libraryLevel, fields);
+    enqueue(logger, libraryLevel, fields);
 }
 
 void stopLogging() { log4cplus::Logger::shutdown(); }
--- a/Source/Common/LineBudget.h
+++ b/Source/Common/LogRateLimiter.h
@@ -9,46 +9,46 @@
 namespace Brassladder::Common {
 
 // Bounds the log lines of a second, and counts those that were left out. Safe to use from several threads.
-class LineBudget {
+class LogRateLimiter {
 public:
-    explicit LineBudget(unsigned perSecond)
+    explicit LogRateLimiter(unsigned perSecond)
         : m_perSecond(perSecond)
     {
     }
 
     // Whether one more line may be written now.
-    bool take(TimePoint now)
+    bool tryAcquire(TimePoint now)
     {
         std::lock_guard lock(m_mutex);
-        if (now - m_secondBegan >= std::chrono::seconds(1)) {
-            m_secondBegan = now;
-            m_taken = 0;
+        if (now - m_windowStart >= std::chrono::seconds(1)) {
+            m_windowStart = now;
+            m_linesInWindow = 0;
         }
-        if (m_taken >= m_perSecond)
+        if (m_linesInWindow >= m_perSecond)
             return false;
-        ++m_taken;
+        ++m_linesInWindow;
         return true;
     }
 
-    void leaveOut()
+    void countSuppressed()
     {
         std::lock_guard lock(m_mutex);
-        ++m_leftOut;
+        ++m_suppressed;
     }
 
     // How many lines were left out since the last call.
-    uint64_t takeLeftOut()
+    uint64_t takeSuppressedCount()
     {
         std::lock_guard lock(m_mutex);
-        return std::exchange(m_leftOut, 0);
+        return std::exchange(m_suppressed, 0);
     }
 
 private:
     unsigned m_perSecond;
     std::mutex m_mutex;
-    TimePoint m_secondBegan {};
-    unsigned m_taken { 0 };
-    uint64_t m_leftOut { 0 };
+    TimePoint m_windowStart {};
+    unsigned m_linesInWindow { 0 };
+    uint64_t m_suppressed { 0 };
 };
 
 } // namespace Brassladder::Common
