--- a/Source/Benchmarks/ControlCost.cpp
+++ b/Source/Benchmarks/ControlCost.cpp
@@ -127,5 +127,5 @@
         if (routers > 0 && routers <= 100)
             measureSize(runtime, routers);
     }
-    Common::finish(Common::ExitCode::Success);
+    Common::exitProcess(Common::ExitCode::Success);
 }
--- a/Source/Benchmarks/PathCost.cpp
+++ b/Source/Benchmarks/PathCost.cpp
@@ -169,5 +169,5 @@
     auto& runtime = Common::FiberRuntime::start(2);
     measureLatency(runtime);
     measureIdleStreams(runtime);
-    Common::finish(Common::ExitCode::Success);
+    Common::exitProcess(Common::ExitCode::Success);
 }
--- a/Source/Common/Program.cpp
+++ b/Source/Common/Program.cpp
@@ -73,7 +73,7 @@
     return Done {};
 }
 
-std::variant<Settings, std::vector<Fault>> recheckSettings(std::span<const SettingSpec> table)
+std::variant<Settings, std::vector<Fault>> readSettings(std::span<const SettingSpec> table)
 {
     auto file = readSettingsFile();
     if (isError(file))
@@ -87,16 +87,16 @@
 {
     if (absl::GetFlag(FLAGS_describe_settings)) {
         std::cout << describe(table);
-        finish(ExitCode::Success);
+        exitProcess(ExitCode::Success);
     }
-    auto checked = recheckSettings(table);
+    auto checked = readSettings(table);
     if (const auto* faults = std::get_if<std::vector<Fault>>(&checked)) {
         std::cerr << describe(*faults);
-        finish(ExitCode::Usage);
+        exitProcess(ExitCode::Usage);
     }
     if (absl::GetFlag(FLAGS_check_settings)) {
         std::cout << "settings are valid\n";
-        finish(ExitCode::Success);
+        exitProcess(ExitCode::Success);
     }
     return std::get<Settings>(checked);
 }
@@ -107,7 +107,7 @@
     if (!isError(endpoint))
         return valueOf(endpoint);
     std::cerr << errorOf(endpoint).message << "\n";
-    finish(ExitCode::Usage);
+    exitProcess(ExitCode::Usage);
 }
 
 void writeReadyFile(const Json& json)
@@ -116,12 +116,12 @@
     if (path.empty())
         return;
     // Renamed into place, so that a reader never sees half of it.
-    auto draft = path + ".draft";
+    auto temporaryPath = path + ".draft";
     {
-        std::ofstream file(draft);
+        std::ofstream file(temporaryPath);
         file << dumpJson(json) << "\n";
     }
-    std::rename(draft.c_str(), path.c_str());
+    std::rename(temporaryPath.c_str(), path.c_str());
 }
 
 void startProgramLogging(std::string_view instance)
@@ -168,7 +168,7 @@
     }
 }
 
-void finish(ExitCode code)
+void exitProcess(ExitCode code)
 {
     std::cout.flush();
     std::cerr.flush();
--- a/Source/Common/Program.h
+++ b/Source/Common/Program.h
@@ -22,7 +22,7 @@
 Settings loadSettings(std::span<const SettingSpec>);
 
 // Reads and checks the same settings once more, while the program runs.
-std::variant<Settings, std::vector<Fault>> recheckSettings(std::span<const SettingSpec>);
+std::variant<Settings, std::vector<Fault>> readSettings(std::span<const SettingSpec>);
 
 // Reads ADDRESS:PORT off the command line; ends the process with Usage when it is none.
 Endpoint endpointOrExit(const std::string&);
@@ -40,6 +40,6 @@
 void waitForStopSignal(const std::function<void()>& onReload = nullptr);
 
 // Ends the process at once, without waiting for fibers that wait for peers.
-[[noreturn]] void finish(ExitCode);
+[[noreturn]] void exitProcess(ExitCode);
 
 } // namespace Brassladder::Common
--- a/Source/Common/Settings.cpp
+++ b/Source/Common/Settings.cpp
@@ -30,13 +30,13 @@
     return "";
 }
 
-static std::string expectation(const SettingSpec& spec)
+static std::string describeExpectedValue(const SettingSpec& spec)
 {
     std::string text = "expected " + std::string(typeName(spec.type));
     if (!spec.unit.empty())
         text += " in " + std::string(spec.unit);
     if (spec.type == SettingType::Integer || spec.type == SettingType::Number)
-        text += " from " + std::to_string(spec.least) + " to " + std::to_string(spec.most);
+        text += " from " + std::to_string(spec.minimum) + " to " + std::to_string(spec.maximum);
     for (const auto& choice : spec.choices)
         text.append(choice == spec.choices.front() ? ": one of " : ", ").append(choice);
     return text;
@@ -52,14 +52,15 @@
     return value.is_string() && !isError(parseListenEndpoint(value.get_ref<const std::string&>()));
 }
 
-static bool fits(const SettingSpec& spec, const Json& value)
+static bool isValidValue(const SettingSpec& spec, const Json& value)
 {
     switch (spec.type) {
     case SettingType::Integer:
-        return value.is_number_integer() && value.get<int64_t>() >= spec.least && value.get<int64_t>() <= spec.most;
+        return value.is_number_integer() && value.get<int64_t>() >= spec.minimum
+            && value.get<int64_t>() <= spec.maximum;
     case SettingType::Number:
-        return value.is_number() && value.get<double>() >= static_cast<double>(spec.least)
-            && value.get<double>() <= static_cast<double>(spec.most);
+        return value.is_number() && value.get<double>() >= static_cast<double>(spec.minimum)
+            && value.get<double>() <= static_cast<double>(spec.maximum);
     case SettingType::Boolean:
         return value.is_boolean();
     case SettingType::Text:
@@ -85,7 +86,7 @@
         table.begin(), table.end(), [&](const auto& spec) { return spec.pointer.starts_with(pointer + "/"); });
 }
 
-static void findUnknown(
+static void collectUnknownSettings(
     std::span<const SettingSpec> table, const Json& value, const std::string& pointer, std::vector<Fault>& faults)
 {
     auto known = std::any_of(table.begin(), table.end(), [&](const auto& spec) { return spec.pointer == pointer; });
@@ -96,7 +97,7 @@
         return;
     }
     for (const auto& [key, child] : value.items())
-        findUnknown(table, child, std::string(pointer).append("/").append(key), faults);
+        collectUnknownSettings(table, child, std::string(pointer).append("/").append(key), faults);
 }
 
 std::variant<Settings, std::vector<Fault>> Settings::check(std::span<const SettingSpec> table, const Json& file)
@@ -104,19 +105,20 @@
     std::vector<Fault> faults;
     if (!file.is_object())
         return std::vector<Fault> { { "", "expected an object" } };
-    findUnknown(table, file, "", faults);
+    collectUnknownSettings(table, file, "", faults);
     Json values = Json::object();
     for (const auto& spec : table) {
         Json::json_pointer pointer { std::string(spec.pointer) };
         if (!file.contains(pointer)) {
-            if (spec.fallback.is_null())
-                faults.push_back({ std::string(spec.pointer), "missing; " + expectation(spec) });
+            if (spec.defaultValue.is_null())
+                faults.push_back({ std::string(spec.pointer), "missing; " + describeExpectedValue(spec) });
             else
-                values[pointer] = spec.fallback;
+                values[pointer] = spec.defaultValue;
             continue;
         }
-        if (!fits(spec, file[pointer]))
-            faults.push_back({ std::string(spec.pointer), expectation(spec) + ", got " + dumpJson(file[pointer]) });
+        if (!isValidValue(spec, file[pointer]))
+            faults.push_back(
+                { std::string(spec.pointer), describeExpectedValue(spec) + ", got " + dumpJson(file[pointer]) });
         else
             values[pointer] = file[pointer];
     }
@@ -175,8 +177,8 @@
 {
     std::string text;
     for (const auto& spec : table) {
-        text += std::string(spec.pointer) + ": " + expectation(spec);
-        text += spec.fallback.is_null() ? ", must be given" : ", default " + dumpJson(spec.fallback);
+        text += std::string(spec.pointer) + ": " + describeExpectedValue(spec);
+        text += spec.defaultValue.is_null() ? ", must be given" : ", default " + dumpJson(spec.defaultValue);
         text += ". " + std::string(spec.help) + "\n";
     }
     return text;
--- a/Source/Common/Settings.h
+++ b/Source/Common/Settings.h
@@ -17,10 +17,10 @@
 struct SettingSpec {
     std::string_view pointer; // JSON pointer into the settings file.
     SettingType type;
-    Json fallback; // Null: the setting must be given.
+    Json defaultValue; // Null: the setting must be given.
     std::string_view unit;
-    int64_t least { 0 };
-    int64_t most { 0 };
+    int64_t minimum { 0 };
+    int64_t maximum { 0 };
     std::string_view help;
     std::vector<std::string_view> choices {}; // Of a text; empty: any.
 };
--- a/Source/Programs/Ctl/Main.cpp
+++ b/Source/Programs/Ctl/Main.cpp
@@ -48,7 +48,7 @@
         auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), version);
         if (digits.empty() || problem != std::errc {} || *end) {
             std::cerr << "--base takes NAME@VERSION, got " << item << "\n";
-            Common::finish(Common::ExitCode::Usage);
+            Common::exitProcess(Common::ExitCode::Usage);
         }
         bases[item.substr(0, at)] = version;
     }
@@ -73,5 +73,5 @@
     options.json = absl::GetFlag(FLAGS_json);
     auto& runtime = Common::FiberRuntime::start(1);
     auto exit = runtime.call([&] { return Operator::runCommand(words, options); });
-    Common::finish(static_cast<Common::ExitCode>(exit));
+    Common::exitProcess(static_cast<Common::ExitCode>(exit));
 }
--- a/Source/Programs/Demo/Main.cpp
+++ b/Source/Programs/Demo/Main.cpp
@@ -20,9 +20,9 @@
 };
 
 // A streamed, a whole and a plain call through every router, printed as they came back.
-static bool showCalls(Testing::Harness::Cluster& cluster, const Testing::Load::Plan& plan)
+static bool runSampleCalls(Testing::Harness::Cluster& cluster, const Testing::Load::Plan& plan)
 {
-    bool good = true;
+    bool success = true;
     for (const auto& router : plan.routers) {
         uint32_t number = 0;
         for (const auto& arrivals : plan.arrivals) {
@@ -34,13 +34,13 @@
                       << "  " << (record.whole ? "whole answer" : "NO WHOLE ANSWER " + record.refusal)
                       << "  first after " << static_cast<int>(record.firstSeconds * 1000) << " ms, " << record.tokens
                       << " tokens, request " << record.requestId << "\n";
-            good = good && record.whole && !record.wrong;
+            success = success && record.whole && !record.wrong;
         }
     }
-    return good;
+    return success;
 }
 
-static bool showSite(Common::FiberRuntime& runtime, const std::string& examples, const Site& site)
+static bool runSite(Common::FiberRuntime& runtime, const std::string& examples, const Site& site)
 {
     std::cout << "\n== " << site.folder << ": " << site.engines << " engines, " << site.services << " instances of "
               << site.service << ", 3 routers\n";
@@ -61,12 +61,12 @@
         cluster.addRouter("router-" + std::to_string(index), { { "/failure_domain", domain(index) } });
     cluster.publish(valueOf(files));
     plan.routers = cluster.routers();
-    bool good = showCalls(cluster, plan);
+    bool success = runSampleCalls(cluster, plan);
     auto report = Testing::Load::summarize(plan, Testing::Load::run(runtime, plan));
     std::cout << "\n" << Testing::Load::toTable(report);
     for (const auto& [name, each] : report)
-        good = good && !each.wrong && each.whole == each.requests;
-    return good;
+        success = success && !each.wrong && each.whole == each.requests;
+    return success;
 }
 
 int main(int argc, char** argv)
@@ -74,11 +74,11 @@
     auto words = Common::parseCommandLine(
         argc, argv, "Shows both example organisations at work.\n  brassladder-demo EXAMPLES-FOLDER");
     if (words.size() != 1)
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     auto& runtime = Common::FiberRuntime::start(2);
-    bool good = showSite(runtime, words[0], { "cantabrica", 9, "orders", 3, { "bilbao", "santander", "oviedo" } });
-    good = showSite(runtime, words[0], { "charge-trust", 12, "bays", 3, { "hobart-a", "hobart-b", "kingston" } })
-        && good;
-    std::cout << (good ? "\nevery answer was whole and its caller's own\n" : "\nSOMETHING WENT WRONG\n");
-    Common::finish(good ? Common::ExitCode::Success : Common::ExitCode::Failure);
+    bool success = runSite(runtime, words[0], { "cantabrica", 9, "orders", 3, { "bilbao", "santander", "oviedo" } });
+    success = runSite(runtime, words[0], { "charge-trust", 12, "bays", 3, { "hobart-a", "hobart-b", "kingston" } })
+        && success;
+    std::cout << (success ? "\nevery answer was whole and its caller's own\n" : "\nSOMETHING WENT WRONG\n");
+    Common::exitProcess(success ? Common::ExitCode::Success : Common::ExitCode::Failure);
 }
--- a/Source/Programs/Experiment/Main.cpp
+++ b/Source/Programs/Experiment/Main.cpp
@@ -14,7 +14,7 @@
 ABSL_FLAG(std::string, json, "", "File for the results");
 
 // Median, least and most over the seeds.
-static std::string spread(std::vector<double> values, double factor)
+static std::string formatSpread(std::vector<double> values, double factor)
 {
     std::sort(values.begin(), values.end());
     char text[64];
@@ -40,11 +40,11 @@
             longest[name].push_back(each.longestFirst);
         }
     }
-    std::cout << "  goodput, % of the bound   " << spread(goodput, 100) << "\n  finish, % of the bound    "
-              << spread(finish, 100) << "\n  wasted tokens, %          " << spread(wasted, 100) << "\n";
+    std::cout << "  goodput, % of the bound   " << formatSpread(goodput, 100) << "\n  finish, % of the bound    "
+              << formatSpread(finish, 100) << "\n  wasted tokens, %          " << formatSpread(wasted, 100) << "\n";
     for (const auto& [name, values] : attained)
         std::cout << "  " << name << std::string(name.size() < 16 ? 16 - name.size() : 1, ' ') << "attained % "
-                  << spread(values, 100) << "  longest first, s " << spread(longest[name], 1) << "\n";
+                  << formatSpread(values, 100) << "  longest first, s " << formatSpread(longest[name], 1) << "\n";
     std::cout << "  first seed:\n" << Testing::Load::toTable(outcomes.front().report);
 }
 
@@ -53,11 +53,11 @@
     auto words = Common::parseCommandLine(
         argc, argv, "Runs a scenario of class serving with several seeds.\n  brassladder-experiment FILE");
     if (words.size() != 1)
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     auto read = Testing::Harness::readScenario(words[0]);
     if (const auto* faults = std::get_if<std::vector<Common::Fault>>(&read)) {
         std::cerr << Common::describe(*faults);
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     const auto& scenario = std::get<Testing::Harness::Scenario>(read);
     auto& runtime = Common::FiberRuntime::start(2);
@@ -74,5 +74,5 @@
     printOutcomes(outcomes);
     if (auto file = absl::GetFlag(FLAGS_json); !file.empty())
         std::ofstream(file) << results.dump(2) << "\n";
-    Common::finish(Common::ExitCode::Success);
+    Common::exitProcess(Common::ExitCode::Success);
 }
--- a/Source/Programs/Fakes/Main.cpp
+++ b/Source/Programs/Fakes/Main.cpp
@@ -76,11 +76,11 @@
     auto server = Common::HttpServer::Builder(runtime).endpoint(listen).handler(makeRole(runtime, settings)).build();
     if (isError(server)) {
         std::cerr << errorOf(server).message << "\n";
-        Common::finish(Common::ExitCode::Failure);
+        Common::exitProcess(Common::ExitCode::Failure);
     }
     Common::Endpoint endpoint { listen.address, valueOf(server)->port() };
     Common::writeReadyFile({ { "id", settings.text("/id") }, { "role", settings.text("/pool") },
         { "endpoint", endpoint.text() }, { "failure_domain", settings.text("/failure_domain") }, { "state", "live" } });
     Common::waitForStopSignal();
-    Common::finish(Common::ExitCode::Success);
+    Common::exitProcess(Common::ExitCode::Success);
 }
--- a/Source/Programs/Load/Main.cpp
+++ b/Source/Programs/Load/Main.cpp
@@ -17,26 +17,26 @@
 {
     if (words.size() != 2 || words[0] != "run") {
         std::cerr << "see brassladder-load --help\n";
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     auto file = Common::readJsonFile(words[1]);
     if (isError(file)) {
         std::cerr << errorOf(file).message << "\n";
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     // A scenario of an experiment holds the plan as its part `load`.
     bool isScenario = valueOf(file).is_object() && valueOf(file).contains("load");
     auto parsed = Testing::Load::parsePlan(isScenario ? valueOf(file)["load"] : valueOf(file));
     if (const auto* faults = std::get_if<std::vector<Common::Fault>>(&parsed)) {
         std::cerr << Common::describe(*faults);
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     auto plan = std::get<Testing::Load::Plan>(parsed);
     for (const auto& router : absl::GetFlag(FLAGS_routers))
         plan.routers.push_back(Common::endpointOrExit(router));
     if (plan.routers.empty()) {
         std::cerr << "--routers names no router\n";
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     return plan;
 }
@@ -52,5 +52,5 @@
     std::cout << (absl::GetFlag(FLAGS_json) ? Common::dumpJson(Testing::Load::toJson(report)) + "\n"
                                             : Testing::Load::toTable(report));
     bool wrong = std::any_of(report.begin(), report.end(), [](const auto& item) { return item.second.wrong; });
-    Common::finish(wrong ? Common::ExitCode::Failure : Common::ExitCode::Success);
+    Common::exitProcess(wrong ? Common::ExitCode::Failure : Common::ExitCode::Success);
 }
--- a/Source/Programs/Router/Main.cpp
+++ b/Source/Programs/Router/Main.cpp
@@ -15,10 +15,10 @@
 
 using namespace Brassladder;
 
-[[noreturn]] static void failToStart(const Common::Error& error)
+[[noreturn]] static void exitOnStartupError(const Common::Error& error)
 {
     std::cerr << error.message << "\n";
-    Common::finish(Common::ExitCode::Failure);
+    Common::exitProcess(Common::ExitCode::Failure);
 }
 
 static void logListening(const Common::Endpoint& callers, const Common::Endpoint& inner)
@@ -37,7 +37,7 @@
     // Lives until the process ends: fibers refer to it.
     auto& router = *new ClassServing::Frontend::ClassRouter(runtime, settings);
     if (auto status = router.start(); isError(status))
-        failToStart(errorOf(status));
+        exitOnStartupError(errorOf(status));
     Common::Endpoint http { settings.http.address, router.httpPort() };
     Common::Endpoint inner { settings.inner.address, router.innerPort() };
     logListening(http, inner);
@@ -49,9 +49,9 @@
 
 // The settings in force are those of the start: what the file says now is checked and told, and holds from the next
 // start.
-static void noteReload()
+static void logSettingsReload()
 {
-    auto checked = Common::recheckSettings(RouteServing::Gateway::GatewaySettings::table());
+    auto checked = Common::readSettings(RouteServing::Gateway::GatewaySettings::table());
     const auto* faults = std::get_if<std::vector<Common::Fault>>(&checked);
     Common::log(Common::LogLevel::Info, "router", "settings.reread",
         { { "valid", !faults }, { "faults", faults ? Common::describe(*faults) : "" } });
@@ -68,13 +68,13 @@
     auto& gateway = *new RouteServing::Gateway::Gateway(
         runtime, settings, PlatformAdapter::headerScheme(), PlatformAdapter::sources(settings.store, duties));
     if (auto status = gateway.start(); isError(status))
-        failToStart(errorOf(status));
+        exitOnStartupError(errorOf(status));
     Common::Endpoint callers { settings.callers.address, gateway.callerPort() };
     Common::Endpoint readiness { settings.readiness.address, gateway.readinessPort() };
     logListening(callers, settings.inner);
     Common::writeReadyFile({ { "id", settings.id }, { "role", "gateway" }, { "endpoint", callers.text() },
         { "readiness", readiness.text() } });
-    Common::waitForStopSignal(noteReload);
+    Common::waitForStopSignal(logSettingsReload);
     gateway.drain();
 }
 
@@ -89,8 +89,8 @@
         serveRoutes();
     } else {
         std::cerr << "--serve takes classes or routes, got " << served << "\n";
-        Common::finish(Common::ExitCode::Usage);
+        Common::exitProcess(Common::ExitCode::Usage);
     }
     Common::stopLogging();
-    Common::finish(Common::ExitCode::Success);
+    Common::exitProcess(Common::ExitCode::Success);
 }
