--- a/Source/Operator/Commands.cpp
+++ b/Source/Operator/Commands.cpp
@@ -80,7 +80,7 @@
     if (auto faults = validate(files); !faults.empty())
         return printFaults(faults, options.json);
     auto published
-        = Publisher(ClassServing::BackingServices::httpLogService(*options.log)).publish(files, options.bases);
+        = Publisher(ClassServing::BackingServices::httpLogService(*options.log)).publish(files, options.baseVersions);
     if (isError(published))
         return fail(errorOf(published));
     auto exit = CtlExit::Success;
@@ -174,14 +174,14 @@
 {
     if (!json) {
         for (const auto& entry : entries)
-            std::cout << entry.time << "  " << entry.instance << "  " << (entry.ofRequest ? "" : "(knew) ")
+            std::cout << entry.time << "  " << entry.instance << "  " << (entry.isRequestLine ? "" : "(knew) ")
                       << entry.event << "  " << Common::dumpJson(entry.details) << "\n";
         return;
     }
     Json list = Json::array();
     for (const auto& entry : entries)
         list.push_back({ { "time", entry.time }, { "instance", entry.instance }, { "event", entry.event },
-            { "of_request", entry.ofRequest }, { "details", entry.details } });
+            { "of_request", entry.isRequestLine }, { "details", entry.details } });
     std::cout << Common::dumpJson(list) << "\n";
 }
 
@@ -216,7 +216,7 @@
     return CtlExit::Success;
 }
 
-static std::optional<RouterView> askMetrics(const Common::Endpoint& address)
+static std::optional<RouterView> fetchRouterView(const Common::Endpoint& address)
 {
     Common::HttpClientRequest call;
     call.target = "/metrics";
@@ -237,13 +237,13 @@
 {
     std::vector<RouterView> routers;
     for (const auto& address : options.metrics) {
-        if (auto view = askMetrics(address))
+        if (auto view = fetchRouterView(address))
             routers.push_back(*view);
     }
     bool isAnyBehind = routers.size() < options.metrics.size();
     Json list = Json::array();
     for (const auto& router : routers) {
-        auto behind = lag(router, routers, options.maxAge);
+        auto behind = staleReason(router, routers, options.maxAge);
         isAnyBehind |= !behind.empty();
         if (options.json)
             list.push_back(toJson(router, behind));
@@ -297,7 +297,7 @@
 // What a command needs, beside its name.
 struct CommandSpec {
     std::string_view name;
-    bool takesWord { false }; // A folder or a request id.
+    bool takesArgument { false }; // A folder or a request id.
     bool needsRouters { false };
     bool needsLog { false };
     bool needsMetrics { false };
@@ -318,7 +318,7 @@
 
 static CtlExit runOnFiles(std::string_view command, const std::string& folder, const CtlOptions& options)
 {
-    auto files = readFolder(folder);
+    auto files = readConfigurationFolder(folder);
     if (isError(files))
         return fail(errorOf(files));
     if (command == "validate")
@@ -331,7 +331,7 @@
     std::string name = words.empty() ? "" : words[0];
     const auto* command
         = std::find_if(s_commands.begin(), s_commands.end(), [&](const auto& each) { return each.name == name; });
-    if (command == s_commands.end() || words.size() != (command->takesWord ? 2U : 1U))
+    if (command == s_commands.end() || words.size() != (command->takesArgument ? 2U : 1U))
         return usageError("see brassladder-ctl --help");
     if (name == "explain" && !options.logFiles.empty())
         return explainFromLogs(words[1], options);
--- a/Source/Operator/Commands.h
+++ b/Source/Operator/Commands.h
@@ -26,7 +26,7 @@
     Common::Milliseconds maxAge { defaultMaxAge }; // State that is older is behind.
     std::vector<std::string> logFiles; // Of routers, for `explain`.
     std::string fleetKey;
-    std::map<std::string, uint64_t> bases;
+    std::map<std::string, uint64_t> baseVersions;
     bool json { false };
 };
 
--- a/Source/Operator/FleetReport.cpp
+++ b/Source/Operator/FleetReport.cpp
@@ -12,8 +12,8 @@
         { "configuration_version", router.configurationVersion },
         { "configuration_age_s", router.configurationAgeSeconds }, { "upstreams_age_s", router.upstreamsAgeSeconds },
         { "fleet_size", router.fleetSize }, { "store_calls", router.storeCalls },
-        { "resting_upstreams", router.restingUpstreams }, { "limited_upstreams", router.limitedUpstreams },
-        { "duties_token", router.dutiesToken }, { "usage_reported_before", router.usageReported },
+        { "resting_upstreams", router.upstreamsInCooldown }, { "limited_upstreams", router.limitedUpstreams },
+        { "duties_token", router.dutiesToken }, { "usage_reported_before", router.usageReportedBefore },
         { "behind", behind } };
 }
 
@@ -36,12 +36,12 @@
          << " configuration " << router.configurationVersion << ", " << std::fixed << std::setprecision(1)
          << router.configurationAgeSeconds << " s old, upstreams " << router.upstreamsAgeSeconds << " s old, knows "
          << router.fleetSize << ", store calls " << router.storeCalls;
-    if (router.restingUpstreams)
-        line << ", " << router.restingUpstreams << " upstreams have asked it for rest";
+    if (router.upstreamsInCooldown)
+        line << ", " << router.upstreamsInCooldown << " upstreams have asked it for rest";
     if (router.limitedUpstreams)
         line << ", " << router.limitedUpstreams << " upstreams have named a limit";
     if (router.dutiesToken)
-        line << ", token " << router.dutiesToken << ", usage reported before window " << router.usageReported;
+        line << ", token " << router.dutiesToken << ", usage reported before window " << router.usageReportedBefore;
     if (!behind.empty())
         line << "  BEHIND: " << behind;
     return line.str();
--- a/Source/Operator/FleetView.cpp
+++ b/Source/Operator/FleetView.cpp
@@ -14,7 +14,7 @@
 }
 
 // The sum of a metric over its labels; none when the text does not have it.
-static std::optional<double> metric(std::string_view text, std::string_view name)
+static std::optional<double> sumOfMetric(std::string_view text, std::string_view name)
 {
     std::optional<double> sum;
     std::istringstream lines { std::string(text) };
@@ -28,33 +28,33 @@
     return sum;
 }
 
-static uint64_t count(std::string_view text, std::string_view name)
+static uint64_t integerMetric(std::string_view text, std::string_view name)
 {
-    return static_cast<uint64_t>(metric(text, name).value_or(0));
+    return static_cast<uint64_t>(sumOfMetric(text, name).value_or(0));
 }
 
 std::optional<RouterView> parseRouterView(const Common::Endpoint& metrics, std::string_view text)
 {
-    auto isHub = metric(text, "brassladder_fleet_is_hub");
+    auto isHub = sumOfMetric(text, "brassladder_fleet_is_hub");
     if (!isHub)
         return std::nullopt;
     RouterView view;
     view.metrics = metrics;
     view.isHub = *isHub > 0;
-    view.readsStore = count(text, "brassladder_fleet_reads_store") > 0;
-    view.configurationVersion = count(text, "brassladder_configuration_version");
-    view.configurationAgeSeconds = metric(text, "brassladder_configuration_age_seconds").value_or(0);
-    view.upstreamsAgeSeconds = metric(text, "brassladder_upstreams_age_seconds").value_or(0);
-    view.fleetSize = count(text, "brassladder_fleet_size");
-    view.storeCalls = count(text, "brassladder_store_calls_total");
-    view.restingUpstreams = count(text, "brassladder_upstreams_resting");
-    view.limitedUpstreams = count(text, "brassladder_upstreams_limited");
-    view.dutiesToken = count(text, "brassladder_duties_token");
-    view.usageReported = count(text, "brassladder_usage_reported_before");
+    view.readsStore = integerMetric(text, "brassladder_fleet_reads_store") > 0;
+    view.configurationVersion = integerMetric(text, "brassladder_configuration_version");
+    view.configurationAgeSeconds = sumOfMetric(text, "brassladder_configuration_age_seconds").value_or(0);
+    view.upstreamsAgeSeconds = sumOfMetric(text, "brassladder_upstreams_age_seconds").value_or(0);
+    view.fleetSize = integerMetric(text, "brassladder_fleet_size");
+    view.storeCalls = integerMetric(text, "brassladder_store_calls_total");
+    view.upstreamsInCooldown = integerMetric(text, "brassladder_upstreams_resting");
+    view.limitedUpstreams = integerMetric(text, "brassladder_upstreams_limited");
+    view.dutiesToken = integerMetric(text, "brassladder_duties_token");
+    view.usageReportedBefore = integerMetric(text, "brassladder_usage_reported_before");
     return view;
 }
 
-std::string lag(const RouterView& router, std::span<const RouterView> fleet, Common::Milliseconds maxAge)
+std::string staleReason(const RouterView& router, std::span<const RouterView> fleet, Common::Milliseconds maxAge)
 {
     uint64_t newest = 0;
     for (const auto& other : fleet)
--- a/Source/Operator/FleetView.h
+++ b/Source/Operator/FleetView.h
@@ -24,10 +24,10 @@
     double upstreamsAgeSeconds { 0 };
     uint64_t fleetSize { 0 }; // Routers that it knows, itself included; 0 before it knows them.
     uint64_t storeCalls { 0 }; // Since its start.
-    uint64_t restingUpstreams { 0 }; // That have asked this router for rest.
+    uint64_t upstreamsInCooldown { 0 }; // That have asked this router for rest.
     uint64_t limitedUpstreams { 0 }; // That have named a limit for all routers together.
     uint64_t dutiesToken { 0 }; // The fencing token under which it does the fleet's duties; 0: it does not hold them.
-    uint64_t usageReported { 0 }; // Usage windows before this one are reported or given up, as far as it knows.
+    uint64_t usageReportedBefore { 0 }; // Usage windows before this one are reported or given up, as far as it knows.
 };
 
 // From a response in Prometheus' text format. None when it is of no router that serves routes.
@@ -35,6 +35,6 @@
 
 // Why a router is behind the others: an older configuration, or state that was confirmed longer ago than `maxAge`.
 // Empty when it is not.
-std::string lag(const RouterView&, std::span<const RouterView> fleet, Common::Milliseconds maxAge);
+std::string staleReason(const RouterView&, std::span<const RouterView> fleet, Common::Milliseconds maxAge);
 
 } // namespace Brassladder::Operator
--- a/Source/Operator/LogTimeline.cpp
+++ b/Source/Operator/LogTimeline.cpp
@@ -14,20 +14,21 @@
 using Common::member;
 
 // Changes this long before a request may still explain it.
-static constexpr absl::Duration contextBefore = absl::Seconds(5);
+static constexpr absl::Duration stateChangeLookback = absl::Seconds(5);
 
 // Events by which a router changes what it knows or may use, or loses or regains what it depends on.
-static constexpr std::array<std::string_view, 14> changeEvents { "configuration.adopted", "configuration.unreadable",
-    "dependency.lost", "dependency.regained", "hub.role", "hub.silent", "listening", "drain.start", "drain.end",
-    "suspect.lifted", "upstream.asked_rest", "upstream.limit_ended", "upstream.names_limit", "upstream.says_leaving" };
+static constexpr std::array<std::string_view, 14> stateChangeEvents { "configuration.adopted",
+    "configuration.unreadable", "dependency.lost", "dependency.regained", "hub.role", "hub.silent", "listening",
+    "drain.start", "drain.end", "suspect.lifted", "upstream.asked_rest", "upstream.limit_ended", "upstream.names_limit",
+    "upstream.says_leaving" };
 
-static bool isChange(std::string_view event)
+static bool isStateChange(std::string_view event)
 {
-    return std::find(changeEvents.begin(), changeEvents.end(), event) != changeEvents.end();
+    return std::find(stateChangeEvents.begin(), stateChangeEvents.end(), event) != stateChangeEvents.end();
 }
 
 // The line tells which requests were under way at an upstream that crashed.
-static bool namesRequest(const Json& line, const std::string& requestId)
+static bool listsRequest(const Json& line, const std::string& requestId)
 {
     auto requests = line.find("requests");
     if (requests == line.end() || !requests->is_array())
@@ -36,12 +37,12 @@
         [&](const Json& each) { return each.is_object() && member<std::string>(each, "request", "") == requestId; });
 }
 
-static LogTimeline::Entry entryOf(Json line, bool ofRequest)
+static LogTimeline::Entry makeEntry(Json line, bool isRequestLine)
 {
     LogTimeline::Entry entry { member<std::string>(line, "time", ""), member<std::string>(line, "instance", ""),
-        member<std::string>(line, "event", ""), ofRequest, {} };
-    for (const auto* told : { "time", "instance", "event", "level", "package", "request" })
-        line.erase(told);
+        member<std::string>(line, "event", ""), isRequestLine, {} };
+    for (const auto* commonField : { "time", "instance", "event", "level", "package", "request" })
+        line.erase(commonField);
     entry.details = std::move(line);
     return entry;
 }
@@ -51,18 +52,18 @@
     for (std::string text; std::getline(log, text);) {
         auto start = text.find('{');
         if (start == std::string::npos) {
-            m_unreadable += !text.empty();
+            m_unreadableLines += !text.empty();
             continue;
         }
         auto line = Common::parseJson(std::string_view(text).substr(start));
         if (!line.is_object() || !line.contains("event")) {
-            ++m_unreadable;
+            ++m_unreadableLines;
             continue;
         }
-        if (member<std::string>(line, "request", "") == m_requestId || namesRequest(line, m_requestId))
-            m_ofRequest.push_back(entryOf(std::move(line), true));
-        else if (isChange(member<std::string>(line, "event", "")))
-            m_changes.push_back(entryOf(std::move(line), false));
+        if (member<std::string>(line, "request", "") == m_requestId || listsRequest(line, m_requestId))
+            m_requestEntries.push_back(makeEntry(std::move(line), true));
+        else if (isStateChange(member<std::string>(line, "event", "")))
+            m_stateChanges.push_back(makeEntry(std::move(line), false));
     }
 }
 
@@ -76,33 +77,34 @@
 }
 
 // When a router had the request.
-struct Stay {
+struct RequestInterval {
     absl::Time from;
     absl::Time until;
 };
 
-static std::map<std::string, Stay> staysOf(const std::vector<LogTimeline::Entry>& entries)
+static std::map<std::string, RequestInterval> requestIntervalsOf(const std::vector<LogTimeline::Entry>& entries)
 {
-    std::map<std::string, Stay> stays;
+    std::map<std::string, RequestInterval> intervals;
     for (const auto& entry : entries) {
         auto until = timeOf(entry);
         // The last line of a request tells how long it was there.
         auto from = until - absl::Milliseconds(member<int64_t>(entry.details, "ms", 0));
-        auto [stay, isNew] = stays.try_emplace(entry.instance, Stay { from, until });
-        stay->second.from = std::min(stay->second.from, from);
-        stay->second.until = std::max(stay->second.until, until);
+        auto [interval, isNew] = intervals.try_emplace(entry.instance, RequestInterval { from, until });
+        interval->second.from = std::min(interval->second.from, from);
+        interval->second.until = std::max(interval->second.until, until);
     }
-    return stays;
+    return intervals;
 }
 
 std::vector<LogTimeline::Entry> LogTimeline::entries() const
 {
-    auto stays = staysOf(m_ofRequest);
-    auto entries = m_ofRequest;
-    std::copy_if(m_changes.begin(), m_changes.end(), std::back_inserter(entries), [&](const Entry& change) {
-        auto stay = stays.find(change.instance);
+    auto intervals = requestIntervalsOf(m_requestEntries);
+    auto entries = m_requestEntries;
+    std::copy_if(m_stateChanges.begin(), m_stateChanges.end(), std::back_inserter(entries), [&](const Entry& change) {
+        auto interval = intervals.find(change.instance);
         auto time = timeOf(change);
-        return stay != stays.end() && time >= stay->second.from - contextBefore && time <= stay->second.until;
+        return interval != intervals.end() && time >= interval->second.from - stateChangeLookback
+            && time <= interval->second.until;
     });
     std::stable_sort(entries.begin(), entries.end(), [](const Entry& a, const Entry& b) { return a.time < b.time; });
     return entries;
--- a/Source/Operator/LogTimeline.h
+++ b/Source/Operator/LogTimeline.h
@@ -19,7 +19,7 @@
         std::string time; // As logged: UTC, ISO 8601 with milliseconds, which sorts as text.
         std::string instance;
         std::string event;
-        bool ofRequest { false }; // Else a change of what the router knew.
+        bool isRequestLine { false }; // Else a change of what the router knew.
         Common::Json details; // The other fields of the line.
     };
 
@@ -34,13 +34,13 @@
     // In the order of time; empty when no log knows the request.
     std::vector<Entry> entries() const;
     // Lines that are no JSON object of ours.
-    size_t unreadableLines() const { return m_unreadable; }
+    size_t unreadableLines() const { return m_unreadableLines; }
 
 private:
     std::string m_requestId;
-    std::vector<Entry> m_ofRequest;
-    std::vector<Entry> m_changes;
-    size_t m_unreadable { 0 };
+    std::vector<Entry> m_requestEntries;
+    std::vector<Entry> m_stateChanges;
+    size_t m_unreadableLines { 0 };
 };
 
 } // namespace Brassladder::Operator
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -17,11 +17,11 @@
 using namespace std::chrono_literals;
 
 // How often an append whose fate is unknown is sent again, and the pause in between.
-static constexpr int publishTries = 20;
+static constexpr int maxPublishAttempts = 20;
 // Chosen, not measured.
-static constexpr Common::Milliseconds retryPause = 250ms;
+static constexpr Common::Milliseconds publishRetryDelay = 250ms;
 
-Result<FileSet> readFolder(const std::string& path)
+Result<FileSet> readConfigurationFolder(const std::string& path)
 {
     namespace fs = std::filesystem;
     FileSet files;
@@ -58,7 +58,7 @@
     return faults;
 }
 
-Result<ClassServing::Config::Fold> Publisher::inForce()
+Result<ClassServing::Config::Fold> Publisher::readFold()
 {
     ClassServing::Config::Fold fold;
     uint64_t next = 1;
@@ -78,7 +78,7 @@
 
 Result<std::vector<FileChange>> Publisher::diff(const FileSet& files)
 {
-    auto fold = inForce();
+    auto fold = readFold();
     if (isError(fold))
         return errorOf(fold);
     std::vector<FileChange> changes;
@@ -94,19 +94,21 @@
     return changes;
 }
 
-Result<std::vector<Published>> Publisher::publish(const FileSet& files, const std::map<std::string, uint64_t>& bases)
+Result<std::vector<PublishResult>> Publisher::publish(
+    const FileSet& files, const std::map<std::string, uint64_t>& baseVersions)
 {
     auto changes = diff(files);
     if (isError(changes))
         return errorOf(changes);
-    std::vector<Published> results;
+    std::vector<PublishResult> results;
     for (const auto& change : valueOf(changes)) {
         if (change.change == Change::Same)
             continue;
         const auto& content = files.at(change.file);
-        auto base = bases.find(change.file);
-        ClassServing::Config::PublishRecord record { change.file, base == bases.end() ? change.version : base->second,
-            Common::randomId(), Common::sha256Hex(content), content };
+        auto base = baseVersions.find(change.file);
+        ClassServing::Config::PublishRecord record { change.file,
+            base == baseVersions.end() ? change.version : base->second, Common::randomId(), Common::sha256Hex(content),
+            content };
         auto published = publishOne(record);
         if (isError(published))
             return errorOf(published);
@@ -115,13 +117,13 @@
     return results;
 }
 
-Result<Published> Publisher::publishOne(const ClassServing::Config::PublishRecord& record)
+Result<PublishResult> Publisher::publishOne(const ClassServing::Config::PublishRecord& record)
 {
     auto encoded = ClassServing::Config::encodeRecord(record);
     Common::Error last;
-    for (int attempt = 0; attempt < publishTries; ++attempt) {
+    for (int attempt = 0; attempt < maxPublishAttempts; ++attempt) {
         auto appended = m_log.append(ClassServing::BackingServices::configStream, encoded);
-        auto fold = inForce();
+        auto fold = readFold();
         if (isError(fold)) {
             last = errorOf(fold);
             last.ran = Common::Ran::Maybe;
@@ -129,14 +131,15 @@
             auto found = valueOf(fold).files().find(record.file);
             bool exists = found != valueOf(fold).files().end();
             if (exists && found->second.publishId == record.publishId)
-                return Published { record.file, ClassServing::Config::FoldVerdict::Accepted, found->second.version };
+                return PublishResult { record.file, ClassServing::Config::FoldVerdict::Accepted,
+                    found->second.version };
             // Another version stands where ours could have: ours was refused, or is now too late.
             if (!isError(appended) || valueOf(fold).versionOf(record.file) != record.base)
-                return Published { record.file, ClassServing::Config::FoldVerdict::Conflict,
+                return PublishResult { record.file, ClassServing::Config::FoldVerdict::Conflict,
                     valueOf(fold).versionOf(record.file) };
             last = errorOf(appended);
         }
-        Common::sleepFor(retryPause);
+        Common::sleepFor(publishRetryDelay);
     }
     return last;
 }
--- a/Source/Operator/Publisher.h
+++ b/Source/Operator/Publisher.h
@@ -17,7 +17,7 @@
 using FileSet = std::map<std::string, std::string>;
 
 // Reads a folder: `pools.json`, `classes.json`, `workspace/NAME.json`. BadRequest when it cannot be read.
-Common::Result<FileSet> readFolder(const std::string& path);
+Common::Result<FileSet> readConfigurationFolder(const std::string& path);
 
 // All faults of the files, each by itself and together; the pointer begins with the file's name.
 std::vector<Common::Fault> validate(const FileSet&);
@@ -30,7 +30,7 @@
     Common::Json patch; // JSON patch (RFC 6902) from what is in force.
 };
 
-struct Published {
+struct PublishResult {
     std::string file;
     ClassServing::Config::FoldVerdict verdict { ClassServing::Config::FoldVerdict::Conflict };
     uint64_t version { 0 }; // Of the accepted record, or of the one that won.
@@ -44,14 +44,15 @@
     }
 
     // What the log adds up to now.
-    Common::Result<ClassServing::Config::Fold> inForce();
+    Common::Result<ClassServing::Config::Fold> readFold();
     Common::Result<std::vector<FileChange>> diff(const FileSet&);
-    // Publishes what differs, each file against the version in force, or against `bases` where a version is given
-    // there. The verdict is read back from the log, so that an append whose answer was lost is settled too.
-    Common::Result<std::vector<Published>> publish(const FileSet&, const std::map<std::string, uint64_t>& bases = {});
+    // Publishes what differs, each file against the version in force, or against `baseVersions` where a version is
+    // given there. The verdict is read back from the log, so that an append whose answer was lost is settled too.
+    Common::Result<std::vector<PublishResult>> publish(
+        const FileSet&, const std::map<std::string, uint64_t>& baseVersions = {});
 
 private:
-    Common::Result<Published> publishOne(const ClassServing::Config::PublishRecord&);
+    Common::Result<PublishResult> publishOne(const ClassServing::Config::PublishRecord&);
 
     ClassServing::BackingServices::LogService m_log;
 };
--- a/Source/Operator/SuspectReport.cpp
+++ b/Source/Operator/SuspectReport.cpp
@@ -13,7 +13,7 @@
 
 static constexpr int64_t millisecondsPerSecond = 1000;
 
-static auto rankOf(const Json& suspect)
+static auto evidenceOf(const Json& suspect)
 {
     return std::tuple(member<uint64_t>(suspect, "in_turn", 0), member<uint64_t>(suspect, "crashes", 0),
         member<uint64_t>(suspect, "trials", 0));
@@ -25,7 +25,7 @@
     for (const auto& list : lists) {
         for (const auto& suspect : list) {
             auto& known = byIdentity[member<std::string>(suspect, "identity", "")];
-            if (known.is_null() || rankOf(known) < rankOf(suspect))
+            if (known.is_null() || evidenceOf(known) < evidenceOf(suspect))
                 known = suspect;
         }
     }
@@ -33,11 +33,12 @@
     sorted.reserve(byIdentity.size());
     for (auto& [identity, suspect] : byIdentity)
         sorted.push_back(std::move(suspect));
-    std::stable_sort(sorted.begin(), sorted.end(), [](const auto& a, const auto& b) { return rankOf(a) > rankOf(b); });
+    std::stable_sort(
+        sorted.begin(), sorted.end(), [](const auto& a, const auto& b) { return evidenceOf(a) > evidenceOf(b); });
     return sorted;
 }
 
-static std::string secondsOf(int64_t milliseconds)
+static std::string formatSeconds(int64_t milliseconds)
 {
     return std::to_string(milliseconds / millisecondsPerSecond) + " s";
 }
@@ -50,12 +51,13 @@
         + member<std::string>(suspect, "workspace", "") + "  " + member<std::string>(suspect, "target", "") + "  "
         + std::to_string(member<uint64_t>(suspect, "body_bytes", 0)) + " bytes";
     if (suspect.contains("next_trial_in_ms"))
-        text += "  next trial in " + secondsOf(member<int64_t>(suspect, "next_trial_in_ms", 0));
+        text += "  next trial in " + formatSeconds(member<int64_t>(suspect, "next_trial_in_ms", 0));
     text += "\n";
     for (const auto& run : suspect.value("runs", Json::array()))
         text += "    " + member<std::string>(run, "upstream", "?") + "  crashed "
-            + secondsOf(member<int64_t>(run, "ago_ms", 0)) + " ago, " + std::to_string(member<int64_t>(run, "ms", 0))
-            + " ms after request " + member<std::string>(run, "request", "?") + " was sent there\n";
+            + formatSeconds(member<int64_t>(run, "ago_ms", 0)) + " ago, "
+            + std::to_string(member<int64_t>(run, "ms", 0)) + " ms after request "
+            + member<std::string>(run, "request", "?") + " was sent there\n";
     return text;
 }
 
--- a/Source/Programs/Ctl/Main.cpp
+++ b/Source/Programs/Ctl/Main.cpp
@@ -38,9 +38,9 @@
 Exit codes: 0 done, 1 failed, 2 usage, 3 invalid files, 4 conflict, 5 files differ or
 routers are behind.)";
 
-static std::map<std::string, uint64_t> basesOrExit()
+static std::map<std::string, uint64_t> baseVersionsOrExit()
 {
-    std::map<std::string, uint64_t> bases;
+    std::map<std::string, uint64_t> baseVersions;
     for (const auto& item : absl::GetFlag(FLAGS_base)) {
         auto at = item.rfind('@');
         uint64_t version = 0;
@@ -50,9 +50,9 @@
             std::cerr << "--base takes NAME@VERSION, got " << item << "\n";
             Common::exitProcess(Common::ExitCode::Usage);
         }
-        bases[item.substr(0, at)] = version;
+        baseVersions[item.substr(0, at)] = version;
     }
-    return bases;
+    return baseVersions;
 }
 
 int main(int argc, char** argv)
@@ -69,7 +69,7 @@
     options.logFiles = absl::GetFlag(FLAGS_logs);
     if (const char* key = std::getenv("BRASSLADDER_FLEET_KEY"))
         options.fleetKey = key;
-    options.bases = basesOrExit();
+    options.baseVersions = baseVersionsOrExit();
     options.json = absl::GetFlag(FLAGS_json);
     auto& runtime = Common::FiberRuntime::start(1);
     auto exit = runtime.call([&] { return Operator::runCommand(words, options); });
--- a/Source/Programs/Demo/Main.cpp
+++ b/Source/Programs/Demo/Main.cpp
@@ -44,7 +44,7 @@
 {
     std::cout << "\n== " << site.folder << ": " << site.engines << " engines, " << site.services << " instances of "
               << site.service << ", 3 routers\n";
-    auto files = Operator::readFolder(examples + "/" + site.folder + "/config");
+    auto files = Operator::readConfigurationFolder(examples + "/" + site.folder + "/config");
     auto scenario = Common::readJsonFile(examples + "/" + site.folder + "/demo-load.json");
     if (isError(files) || isError(scenario)) {
         std::cerr << "the examples cannot be read\n";
--- a/Source/Testing/Harness/Cluster.cpp
+++ b/Source/Testing/Harness/Cluster.cpp
@@ -177,7 +177,7 @@
 
 bool Cluster::isComplete()
 {
-    auto fold = m_runtime.call([this] { return Operator::Publisher(log()).inForce(); });
+    auto fold = m_runtime.call([this] { return Operator::Publisher(log()).readFold(); });
     if (isError(fold))
         return false;
     size_t upstreams = 0;
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -70,7 +70,7 @@
     for (int index = 0; index < scenario.routers; ++index)
         cluster.addRouter(
             "router-" + std::to_string(index), { { "/failure_domain", domain(index) }, { "/threads", "1" } });
-    cluster.publish(valueOf(Operator::readFolder(scenario.configFolder)));
+    cluster.publish(valueOf(Operator::readConfigurationFolder(scenario.configFolder)));
 }
 
 static void apply(Cluster& cluster, const Event& event)
--- a/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
@@ -140,7 +140,7 @@
     auto version = valueOf(publish(scene, workspace(4))).front().version;
     // Longer than the retention: without snapshots the log would be empty by then, and all peers are replaced.
     std::this_thread::sleep_for(7s);
-    auto fold = testRuntime().call([&] { return Operator::Publisher(scene.log()).inForce(); });
+    auto fold = testRuntime().call([&] { return Operator::Publisher(scene.log()).readFold(); });
     ASSERT_FALSE(isError(fold));
     EXPECT_EQ(valueOf(fold).versionOf("workspace/east"), version);
     EXPECT_GT(valueOf(fold).versionOf("pools"), 0u);
--- a/Source/UnitTests/Operator/FleetViewTest.cpp
+++ b/Source/UnitTests/Operator/FleetViewTest.cpp
@@ -44,7 +44,7 @@
     RouteServing::Gateway::DutyMetrics::dutyState(12, 353'445'120);
     view = parseRouterView(s_address, Common::Metrics::expose());
     EXPECT_EQ(view->dutiesToken, 12U);
-    EXPECT_EQ(view->usageReported, 353'445'120U);
+    EXPECT_EQ(view->usageReportedBefore, 353'445'120U);
 }
 
 TEST(FleetViewTest, ALineShowsWhoHoldsTheDuties)
@@ -53,13 +53,13 @@
     view.readsStore = true;
     EXPECT_NE(toLine(view, "").find("reads store"), std::string::npos);
     view.dutiesToken = 12;
-    view.usageReported = 353;
+    view.usageReportedBefore = 353;
     EXPECT_NE(toLine(view, "").find("duties"), std::string::npos);
     EXPECT_NE(toLine(view, "").find("token 12, usage reported before window 353"), std::string::npos);
     EXPECT_NE(toLine(view, "old").find("BEHIND: old"), std::string::npos);
     EXPECT_EQ(toJson(view, "")["duties_token"], 12);
     EXPECT_EQ(toLine(view, "").find("rest"), std::string::npos);
-    view.restingUpstreams = 3;
+    view.upstreamsInCooldown = 3;
     EXPECT_NE(toLine(view, "").find("3 upstreams have asked it for rest"), std::string::npos);
     EXPECT_EQ(toJson(view, "")["resting_upstreams"], 3);
     view.limitedUpstreams = 2;
@@ -81,10 +81,10 @@
 TEST(FleetViewTest, ARouterWithAnOldConfigurationOrOldStateIsBehind)
 {
     std::vector<RouterView> fleet { router(7, 0.5, 0.5), router(6, 0.5, 0.5), router(7, 5, 0.5), router(7, 0.5, 5) };
-    EXPECT_EQ(lag(fleet[0], fleet, 4s), "");
-    EXPECT_EQ(lag(fleet[1], fleet, 4s), "configuration 7 is in force elsewhere");
-    EXPECT_EQ(lag(fleet[2], fleet, 4s), "configuration not confirmed");
-    EXPECT_EQ(lag(fleet[3], fleet, 4s), "upstreams not confirmed");
+    EXPECT_EQ(staleReason(fleet[0], fleet, 4s), "");
+    EXPECT_EQ(staleReason(fleet[1], fleet, 4s), "configuration 7 is in force elsewhere");
+    EXPECT_EQ(staleReason(fleet[2], fleet, 4s), "configuration not confirmed");
+    EXPECT_EQ(staleReason(fleet[3], fleet, 4s), "upstreams not confirmed");
 }
 
 } // namespace Brassladder::Operator
--- a/Source/UnitTests/Operator/LogTimelineTest.cpp
+++ b/Source/UnitTests/Operator/LogTimelineTest.cpp
@@ -44,7 +44,7 @@
         (std::vector<std::string> { "r1 configuration.adopted", "r1 try.failed", "r1 request.end" }));
     EXPECT_EQ(timeline.unreadableLines(), 1U);
     auto end = timeline.entries().back();
-    EXPECT_TRUE(end.ofRequest);
+    EXPECT_TRUE(end.isRequestLine);
     EXPECT_EQ(end.details, (Common::Json { { "ms", 1000 }, { "status", 502 } }));
 }
 
