--- a/Source/UnitTests/Common/CompressionTest.cpp
+++ b/Source/UnitTests/Common/CompressionTest.cpp
@@ -12,12 +12,12 @@
     return isError(inflated) ? errorOf(inflated).message : "none";
 }
 
-TEST(CompressionTest, BytesComeBackAsTheyWere)
+TEST(CompressionTest, InflateRestoresDeflatedBytes)
 {
-    std::string every(256, '\0');
-    for (size_t index = 0; index < every.size(); ++index)
-        every[index] = static_cast<char>(index);
-    for (const auto& bytes : { std::string(), std::string("a"), every, std::string(1'000'000, 'x') }) {
+    std::string allByteValues(256, '\0');
+    for (size_t index = 0; index < allByteValues.size(); ++index)
+        allByteValues[index] = static_cast<char>(index);
+    for (const auto& bytes : { std::string(), std::string("a"), allByteValues, std::string(1'000'000, 'x') }) {
         auto inflated = inflate(deflate(bytes), bytes.size());
         ASSERT_FALSE(isError(inflated)) << reasonOf(inflated);
         EXPECT_EQ(valueOf(inflated), bytes);
@@ -25,7 +25,7 @@
     EXPECT_LT(deflate(std::string(1'000'000, 'x')).size(), 10'000U);
 }
 
-TEST(CompressionTest, WhatIsTooLongOrDamagedIsRefusedWithAReason)
+TEST(CompressionTest, InflateRejectsOversizedOrCorruptInput)
 {
     auto deflated = deflate(std::string(1'000'000, 'x'));
     EXPECT_EQ(reasonOf(inflate(deflated, 999'999)), "longer than 999999 bytes");
--- a/Source/UnitTests/Common/FatalSignalTest.cpp
+++ b/Source/UnitTests/Common/FatalSignalTest.cpp
@@ -29,7 +29,7 @@
     }
 
     // The lines go to standard output; a death test reads standard error.
-    static void install()
+    static void installHandler()
     {
         dup2(STDERR_FILENO, STDOUT_FILENO);
         installFatalSignalHandler("router-1");
@@ -47,7 +47,7 @@
         return below + frame[0];
     }
 
-    static void readNothing()
+    static void readInvalidAddress()
     {
         // 16 is no address that a process may read.
         volatile uintptr_t address = 16;
@@ -68,12 +68,12 @@
 
     static void crashInTwoThreads()
     {
-        install();
+        installHandler();
         std::atomic<int> ready { 0 };
         auto crash = [&] {
             ++ready;
             while (ready < 2) { }
-            readNothing();
+            readInvalidAddress();
         };
         std::thread other(crash);
         crash();
@@ -83,7 +83,7 @@
     [[noreturn]] static void crashInAFiber()
     {
         auto& runtime = FiberRuntime::start(1);
-        runtime.spawn(readNothing);
+        runtime.spawn(readInvalidAddress);
         while (true)
             pause();
     }
@@ -95,7 +95,7 @@
 {
     EXPECT_EXIT(
         {
-            install();
+            installHandler();
             crashInAFiber();
         },
         testing::KilledBySignal(SIGSEGV),
@@ -107,18 +107,18 @@
 {
     EXPECT_EXIT(
         {
-            install();
+            installHandler();
             crashInAFiber();
         },
         testing::KilledBySignal(SIGSEGV),
         "\"event\":\"process.fatal_stack\".*\"frames\":\\[\"unit-tests.0x[^]]*\",\"unit-tests.0x[^]]*\"\\]\\}");
 }
 
-TEST_F(FatalSignalTest, AFiberThatOverflowsItsStackEndsTheProcessInsteadOfWritingIntoAnother)
+TEST_F(FatalSignalTest, FiberStackOverflowEndsTheProcess)
 {
     EXPECT_EXIT(
         {
-            install();
+            installHandler();
             auto& runtime = FiberRuntime::start(1);
             // Another fiber's stack is likely to be the next one.
             runtime.spawn([] { sleepFor(std::chrono::hours(1)); });
@@ -128,12 +128,12 @@
         testing::KilledBySignal(SIGSEGV), "\"event\":\"process.fatal_signal\".*\"signal\":\"SIGSEGV\"");
 }
 
-TEST_F(FatalSignalTest, AFullPipeDoesNotKeepTheProcessFromEnding)
+TEST_F(FatalSignalTest, FullPipeDoesNotBlockProcessExit)
 {
     EXPECT_EXIT(abortWithAFullPipe(), testing::KilledBySignal(SIGABRT), "");
 }
 
-TEST_F(FatalSignalTest, OneOfSeveralThreadsThatMeetAFaultAtOnceIsLogged)
+TEST_F(FatalSignalTest, ConcurrentFaultsInTwoThreadsAreLogged)
 {
     EXPECT_EXIT(crashInTwoThreads(), testing::KilledBySignal(SIGSEGV), "process.fatal_stack.*\\]\\}");
 }
@@ -142,7 +142,7 @@
 {
     EXPECT_EXIT(
         {
-            install();
+            installHandler();
             std::abort();
         },
         testing::KilledBySignal(SIGABRT), "\"signal\":\"SIGABRT\"");
@@ -159,7 +159,7 @@
     EXPECT_EQ(line.view(), "-42 0xdeadbeef 2025-12-02T18:05:09.007Z");
 }
 
-TEST(SignalSafeLineTest, CutsOffWhatExceedsItsRoom)
+TEST(SignalSafeLineTest, TruncatesAtItsCapacity)
 {
     SignalSafeLine line;
     for (int i = 0; i < 1000; ++i)
--- a/Source/UnitTests/Common/HttpServerTest.cpp
+++ b/Source/UnitTests/Common/HttpServerTest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Far above what any of the tests takes: a failure, not a measurement.
-constexpr auto forever = 10s;
+constexpr auto readTimeout = 10s;
 
 // Responds with the body that it got.
 uint16_t startServer(const HttpLimits& limits)
@@ -51,7 +51,7 @@
             boost::asio::read(m_socket, boost::asio::dynamic_buffer(received), error);
             return received;
         });
-        bool hasEnded = text.wait_for(forever) == std::future_status::ready;
+        bool hasEnded = text.wait_for(readTimeout) == std::future_status::ready;
         boost::system::error_code ignored;
         m_socket.shutdown(tcp::socket::shutdown_both, ignored);
         return hasEnded ? std::optional(text.get()) : std::nullopt;
@@ -83,7 +83,7 @@
     EXPECT_TRUE(response->ends_with("\r\n\r\n" + body));
 }
 
-TEST(HttpServerTest, RequestsThatArriveTogetherAreAllAnswered)
+TEST(HttpServerTest, PipelinedRequestsAreAnsweredInOrder)
 {
     RawCaller caller(startServer({}));
     ASSERT_TRUE(caller.write(post(3) + "one" + post(3) + "two"
@@ -98,7 +98,7 @@
     EXPECT_TRUE(response->ends_with("\r\n\r\nthree"));
 }
 
-TEST(HttpServerTest, ARequestThatCannotBeServedIsRefusedWithItsReason)
+TEST(HttpServerTest, InvalidRequestsAreRejectedWithMatchingStatus)
 {
     HttpLimits limits;
     limits.headerBytes = 2'000;
@@ -125,7 +125,7 @@
 }
 
 // The time runs out while bytes flow, when no read is pending that the timer could end; then the caller stalls.
-TEST(HttpServerTest, ARequestThatIsLateWhileItsBytesFlowIsRefused)
+TEST(HttpServerTest, ReceiveTimeoutAppliesWhileBytesArrive)
 {
     HttpLimits limits;
     limits.bodyBytes = size_t { 1 } << 30;
@@ -133,9 +133,9 @@
     RawCaller caller(startServer(limits));
     ASSERT_TRUE(caller.write(post(900'000'000)));
     std::string piece(1 << 20, 'x');
-    auto stall = std::chrono::steady_clock::now() + 5 * limits.receiveTimeout;
+    auto sendUntil = std::chrono::steady_clock::now() + 5 * limits.receiveTimeout;
     bool isOpen = true;
-    for (int pieces = 0; isOpen && pieces < 800 && std::chrono::steady_clock::now() < stall; ++pieces)
+    for (int pieces = 0; isOpen && pieces < 800 && std::chrono::steady_clock::now() < sendUntil; ++pieces)
         isOpen = caller.write(piece);
     EXPECT_TRUE(!isOpen || caller.readToEnd()) << "the server holds the connection without a limit";
 }
--- a/Source/UnitTests/Common/RetryAfterTest.cpp
+++ b/Source/UnitTests/Common/RetryAfterTest.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(parse("0.0001"), 1ms) << "rounded up: nobody comes back too early";
 }
 
-TEST(RetryAfterTest, ADateCountsFromTheResponsesOwnDate)
+TEST(RetryAfterTest, HttpDateIsRelativeToTheDateHeader)
 {
     EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT", "Sun, 06 Nov 1994 08:49:40 GMT"), 7000ms);
     EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT"), 10'000ms) << "without one, from now";
@@ -37,7 +37,7 @@
     EXPECT_EQ(parse("Sun, 06 Nov 1994 08:00:00 GMT"), 0ms) << "it is over";
 }
 
-TEST(RetryAfterTest, WhatCannotBeMeantIsBoundedOrNotRead)
+TEST(RetryAfterTest, OutOfRangeValuesAreClampedAndMalformedOnesRejected)
 {
     EXPECT_EQ(parse("-5"), 0ms);
     EXPECT_EQ(parse("1e18"), maxRetryAfter);
--- a/Source/UnitTests/Common/SettingsTest.cpp
+++ b/Source/UnitTests/Common/SettingsTest.cpp
@@ -14,7 +14,7 @@
         { "platform", { { "log", "127.0.0.1:1" }, { "instance_list", "127.0.0.1:2" } } } };
 }
 
-TEST(SettingsTest, DefaultsFillAValidFile)
+TEST(SettingsTest, OmittedSettingsGetTheirDefaults)
 {
     auto checked = Settings::check(ClassServing::Frontend::ClassRouterSettings::table(), validRouter());
     ASSERT_TRUE(std::holds_alternative<Settings>(checked));
@@ -23,7 +23,7 @@
     EXPECT_EQ(settings.log.port, 1);
 }
 
-TEST(SettingsTest, AllFaultsAreToldInOneGo)
+TEST(SettingsTest, CheckReportsAllFaults)
 {
     Json file = validRouter();
     file["threads"] = 0;
--- a/Source/UnitTests/Operator/FleetViewTest.cpp
+++ b/Source/UnitTests/Operator/FleetViewTest.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST(FleetViewTest, WhatARouterExposesIsRead)
+TEST(FleetViewTest, ExposedMetricsAreParsed)
 {
     RouteServing::Gateway::GatewayMetrics::fleetState({ true, false, 17, 1500ms, 300ms, 295 });
     auto view = parseRouterView(s_address, Common::Metrics::expose());
@@ -47,7 +47,7 @@
     EXPECT_EQ(view->usageReportedBefore, 353'445'120U);
 }
 
-TEST(FleetViewTest, ALineShowsWhoHoldsTheDuties)
+TEST(FleetViewTest, LineShowsRoleDutiesAndCooldowns)
 {
     auto view = router(7, 0.5, 0.5);
     view.readsStore = true;
@@ -66,7 +66,7 @@
     EXPECT_EQ(toJson(view, "")["limited_upstreams"], 2);
 }
 
-TEST(FleetViewTest, CallsToTheStoreAreAddedUp)
+TEST(FleetViewTest, StoreCallsAreSummedOverLabels)
 {
     auto view = parseRouterView(s_address, R"(brassladder_fleet_is_hub 0
 brassladder_store_calls_total{kind="append",outcome="done",topic="a"} 2
--- a/Source/UnitTests/Operator/LogTimelineTest.cpp
+++ b/Source/UnitTests/Operator/LogTimelineTest.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST(LogTimelineTest, ARequestsLinesAndWhatItsRouterLearnedThenAreToldInOrder)
+TEST(LogTimelineTest, RequestLinesAndStateChangesAreOrderedByTime)
 {
     LogTimeline timeline("a1");
     for (const auto* text : { s_first, s_second }) {
@@ -49,7 +49,7 @@
 }
 
 // From the id of a request that is held back to the crashes that led to it, and from there to what it ran beside.
-TEST(LogTimelineTest, ACrashBelongsToTheRequestsThatWereUnderWay)
+TEST(LogTimelineTest, CrashIsListedForTheRequestsInFlight)
 {
     LogTimeline timeline("a1");
     std::istringstream log(
@@ -61,7 +61,7 @@
     EXPECT_EQ(eventsOf(timeline), (std::vector<std::string> { "r1 try.failed", "r1 upstream.crashed" }));
 }
 
-TEST(LogTimelineTest, ARequestThatNoLogKnowsHasNoEntries)
+TEST(LogTimelineTest, UnknownRequestHasNoEntries)
 {
     LogTimeline timeline("a9");
     std::istringstream log(s_first);
--- a/Source/UnitTests/Operator/SuspectReportTest.cpp
+++ b/Source/UnitTests/Operator/SuspectReportTest.cpp
@@ -11,7 +11,7 @@
 using Common::Json;
 
 // A router knows its own crashes; of others, those of requests with two or more.
-TEST(SuspectReportTest, TheRouterThatKnowsMostOfARequestIsBelieved)
+TEST(SuspectReportTest, MergeKeepsTheEntryWithMostCrashes)
 {
     std::vector<Json> lists { Json::array({ { { "identity", "a" }, { "crashes", 1 }, { "in_turn", 1 } } }),
         Json::array({ { { "identity", "a" }, { "crashes", 3 }, { "in_turn", 3 }, { "state", "held" } },
@@ -23,7 +23,7 @@
     EXPECT_EQ(merged[1]["identity"], "b");
 }
 
-TEST(SuspectReportTest, ItTellsFromTheRequestToTheCrashes)
+TEST(SuspectReportTest, TextListsTheCrashesOfASuspect)
 {
     Json suspect { { "identity", "00ff" }, { "state", "held" }, { "workspace", "w" }, { "target", "/x" },
         { "body_bytes", 12 }, { "crashes", 4 }, { "in_turn", 3 }, { "next_trial_in_ms", 60'500 },
