--- a/Source/Testing/Fakes/FakePlatform.cpp
+++ b/Source/Testing/Fakes/FakePlatform.cpp
@@ -131,7 +131,7 @@
     exchange.respond(Common::jsonResponse(Json::object()));
 }
 
-static std::string readConfigurationFolder(const std::string& folder)
+static std::string readFolder(const std::string& folder)
 {
     Json instances = Json::array();
     std::error_code error;
@@ -151,7 +151,7 @@
 void FakeInstanceList::run()
 {
     while (true) {
-        auto body = readConfigurationFolder(m_folder);
+        auto body = readFolder(m_folder);
         {
             std::lock_guard lock(m_mutex);
             m_snapshots.push_back({ Common::now(), std::move(body) });
--- a/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
@@ -19,7 +19,7 @@
     return { { "workspace/east", Common::dumpJson(file) } };
 }
 
-Common::Result<std::vector<Operator::Published>> publish(
+Common::Result<std::vector<Operator::PublishResult>> publish(
     Scene& scene, const Operator::FileSet& files, const std::map<std::string, uint64_t>& bases = {})
 {
     return testRuntime().call([&] { return Operator::Publisher(scene.log()).publish(files, bases); });
