--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -21,7 +21,7 @@
 AttemptResult Generation::tryOn(const Membership::Upstream& upstream)
 {
     auto stream = std::make_shared<Upstream::EngineStream>(upstream.endpoint, m_context.requestId);
-    auto& io = Common::FiberRuntime::here();
+    auto& io = Common::FiberRuntime::currentContext();
     m_context.signal->setOnPreempt([&io, weak = std::weak_ptr(stream)] {
         boost::asio::post(io, [weak] {
             if (auto live = weak.lock())
@@ -160,7 +160,7 @@
 void Generation::answerError(const Error& error)
 {
     if (error.kind == ErrorKind::CallerGone)
-        return m_context.exchange.closeAfterAnswer();
+        return m_context.exchange.closeAfterResponse();
     if (m_context.relayed) {
         // The response has begun: it ends with an explicit error, and without the end marker.
         m_context.exchange.write("event: error\ndata: " + Common::dumpJson(Common::errorJson(error)) + "\n\n");
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -54,7 +54,7 @@
     call.headers.push_back({ std::string(requestIdHeader), m_requestId });
 
     if (mayRepeat) {
-        auto taken = Common::HttpConnectionPool::here().take(m_service, timeouts.connect);
+        auto taken = Common::HttpConnectionPool::forCurrentThread().acquire(m_service, timeouts.connect);
         if (isError(taken))
             return errorOf(taken);
         m_connection = std::move(valueOf(taken));
@@ -68,14 +68,14 @@
     auto answer = m_connection->start(call);
     if (isError(answer))
         return answer;
-    auto body = m_connection->readRest(Common::maxWholeResponseBytes);
+    auto body = m_connection->readRemainingBody(Common::maxBufferedResponseBytes);
     if (isError(body))
         return errorOf(body);
     if (valueOf(answer).header(ranHeader) == "no")
         return statusError(valueOf(answer));
     valueOf(answer).body = std::move(valueOf(body));
     if (mayRepeat)
-        Common::HttpConnectionPool::here().release(m_service, std::move(m_connection));
+        Common::HttpConnectionPool::forCurrentThread().release(m_service, std::move(m_connection));
     return answer;
 }
 
--- a/Source/RouteServing/Gateway/UpstreamAttempt.cpp
+++ b/Source/RouteServing/Gateway/UpstreamAttempt.cpp
@@ -24,7 +24,7 @@
 bool UpstreamAttempt::connect(const Options& options)
 {
     const auto& endpoint = m_placement.upstream.endpoint;
-    m_connection = Common::HttpConnectionPool::here().acquireIdle(endpoint, options.maxIdleTime);
+    m_connection = Common::HttpConnectionPool::forCurrentThread().acquireIdle(endpoint, options.maxIdleTime);
     if (m_connection)
         return true;
     m_connection = std::make_unique<Common::HttpConnection>();
@@ -129,9 +129,9 @@
     return m_outcome;
 }
 
-Common::Result<std::string_view> UpstreamAttempt::readPiece()
+Common::Result<std::string_view> UpstreamAttempt::readBodyChunk()
 {
-    auto piece = m_connection->readPiece();
+    auto piece = m_connection->readBodyChunk();
     if (isError(piece))
         interrupt(errorOf(piece).message);
     return piece;
@@ -139,7 +139,7 @@
 
 Common::Result<std::string> UpstreamAttempt::readBody(size_t limit)
 {
-    auto body = m_connection->readRest(limit);
+    auto body = m_connection->readRemainingBody(limit);
     if (isError(body))
         interrupt(errorOf(body).message);
     return body;
@@ -155,7 +155,7 @@
 
 void UpstreamAttempt::releaseConnection()
 {
-    Common::HttpConnectionPool::here().release(m_placement.upstream.endpoint, std::move(m_connection));
+    Common::HttpConnectionPool::forCurrentThread().release(m_placement.upstream.endpoint, std::move(m_connection));
 }
 
 void UpstreamAttempt::cancel()
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -36,7 +36,7 @@
     static std::string sendRaw(const std::string& bytes, bool halfClose)
     {
         return testRuntime().call([&] {
-            boost::beast::tcp_stream stream(Common::FiberRuntime::here());
+            boost::beast::tcp_stream stream(Common::FiberRuntime::currentContext());
             stream.expires_after(std::chrono::seconds(3));
             auto endpoint = s_cluster->node("router-1").endpoint;
             asio::ip::tcp::endpoint target(asio::ip::make_address(endpoint.address), endpoint.port);
@@ -205,7 +205,7 @@
         connection.connect(s_cluster->node("router-1").endpoint, Common::Milliseconds(1000));
         connection.start({ "POST", "/v1/chat/completions", body,
             { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey } } });
-        connection.readPiece();
+        connection.readBodyChunk();
         connection.close();
         return true;
     });
--- a/Source/UnitTests/Operator/LogTimelineTest.cpp
+++ b/Source/UnitTests/Operator/LogTimelineTest.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST(LogTimelineTest, ARequestsLinesAndWhatItsRouterLearnedThenAreToldInOrder)
+TEST(LogTimelineTest, RequestLinesAndStateChangesAreOrderedByTime)
 {
     LogTimeline timeline("a1");
     for (const auto* text : { s_first, s_second }) {
@@ -44,12 +44,12 @@
         (std::vector<std::string> { "r1 configuration.adopted", "r1 try.failed", "r1 request.end" }));
     EXPECT_EQ(timeline.unreadableLines(), 1U);
     auto end = timeline.entries().back();
-    EXPECT_TRUE(end.ofRequest);
+    EXPECT_TRUE(end.isRequestLine);
     EXPECT_EQ(end.details, (Common::Json { { "ms", 1000 }, { "status", 502 } }));
 }
 
 // From the id of a request that is held back to the crashes that led to it, and from there to what it ran beside.
-TEST(LogTimelineTest, ACrashBelongsToTheRequestsThatWereUnderWay)
+TEST(LogTimelineTest, CrashIsListedForTheRequestsInFlight)
 {
     LogTimeline timeline("a1");
     std::istringstream log(
@@ -61,7 +61,7 @@
     EXPECT_EQ(eventsOf(timeline), (std::vector<std::string> { "r1 try.failed", "r1 upstream.crashed" }));
 }
 
-TEST(LogTimelineTest, ARequestThatNoLogKnowsHasNoEntries)
+TEST(LogTimelineTest, UnknownRequestHasNoEntries)
 {
     LogTimeline timeline("a9");
     std::istringstream log(s_first);
