--- a/Source/ClassServing/Claims/ClaimClient.cpp
+++ b/Source/ClassServing/Claims/ClaimClient.cpp
@@ -31,7 +31,7 @@
         request.set_look_only(readOnly);
         m_hooks.send(m_hooks.claimRouterOf(request.partition()), std::move(item));
         std::unique_lock lock(waiter->mutex);
-        if (waiter->changed.wait_for(lock, m_options.resend, [&] { return waiter->verdict.has_value(); })) {
+        if (waiter->changed.wait_for(lock, m_options.resendInterval, [&] { return waiter->verdict.has_value(); })) {
             verdict = *waiter->verdict;
             break;
         }
--- a/Source/ClassServing/Claims/ClaimClient.h
+++ b/Source/ClassServing/Claims/ClaimClient.h
@@ -22,12 +22,12 @@
     // not measured.
     static constexpr Common::Milliseconds defaultTimeout { 2000 };
     // The claim router may be lost: asks the next one after this. Chosen, not measured: eight group commits.
-    static constexpr Common::Milliseconds defaultResend { 400 };
+    static constexpr Common::Milliseconds defaultResendInterval { 400 };
 
     struct Options {
         uint32_t partitions { 2 };
         Common::Milliseconds timeout { defaultTimeout };
-        Common::Milliseconds resend { defaultResend };
+        Common::Milliseconds resendInterval { defaultResendInterval };
     };
 
     ClaimClient(Hooks hooks, Options options)
@@ -39,9 +39,9 @@
     // Suspends the calling fiber until the verdict is known or the timeout is over. With `readOnly` nothing is claimed.
     Verdict claim(const KeyAndRequest&, bool readOnly);
     // The claimant withdraws its claim and will never send its request.
-    void free(const KeyAndRequest& what) { update(what, true); }
+    void reportFreed(const KeyAndRequest& what) { update(what, true); }
     // The claimant's request has run to its end.
-    void end(const KeyAndRequest& what) { update(what, false); }
+    void reportEnded(const KeyAndRequest& what) { update(what, false); }
 
     void onVerdict(const Inner::Wire::ClaimVerdict&);
     uint32_t partitionOf(std::string_view key) const;
--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -13,9 +13,9 @@
 using namespace std::chrono_literals;
 
 // A long poll of a claim stream. Chosen, not measured.
-static constexpr Common::Milliseconds readWait = 1s;
+static constexpr Common::Milliseconds longPollTimeout = 1s;
 // After a failed read. Chosen, not measured.
-static constexpr Common::Milliseconds retryPause = 100ms;
+static constexpr Common::Milliseconds readRetryDelay = 100ms;
 
 ClaimRouter::ClaimRouter(BackingServices::LogService log, Options options)
     : m_log(std::move(log))
@@ -23,7 +23,7 @@
 {
 }
 
-std::shared_ptr<ClaimRouter::Partition> ClaimRouter::use(uint32_t number)
+std::shared_ptr<ClaimRouter::Partition> ClaimRouter::openPartition(uint32_t number)
 {
     std::lock_guard lock(m_mutex);
     auto& slot = m_partitions[number];
@@ -31,15 +31,15 @@
         slot = std::make_shared<Partition>(m_options.horizon);
         slot->number = number;
         slot->lastUsed = Common::now();
-        Common::FiberRuntime::spawnHere([this, partition = slot] { follow(partition); });
-        Common::FiberRuntime::spawnHere([this, partition = slot] { write(partition); });
+        Common::FiberRuntime::spawnHere([this, partition = slot] { readLoop(partition); });
+        Common::FiberRuntime::spawnHere([this, partition = slot] { appendLoop(partition); });
     }
     return slot;
 }
 
-void ClaimRouter::request(uint32_t number, KeyAndRequest what, bool readOnly, const Answer& answer)
+void ClaimRouter::request(uint32_t number, KeyAndRequest what, bool readOnly, const VerdictHandler& answer)
 {
-    auto partition = use(number);
+    auto partition = openPartition(number);
     bool refuse = false;
     {
         std::lock_guard lock(partition->mutex);
@@ -51,37 +51,37 @@
     if (refuse)
         answer(Verdict::Unavailable);
     else
-        settle(*partition);
+        resolvePending(*partition);
 }
 
 void ClaimRouter::markFreed(uint32_t number, KeyAndRequest what)
 {
-    auto partition = use(number);
+    auto partition = openPartition(number);
     std::lock_guard lock(partition->mutex);
     partition->lastUsed = Common::now();
-    partition->freeing.insert(what.requestId);
+    partition->freeingRequests.insert(what.requestId);
     partition->updates.freed.push_back(std::move(what));
 }
 
 void ClaimRouter::markEnded(uint32_t number, KeyAndRequest what)
 {
-    auto partition = use(number);
+    auto partition = openPartition(number);
     std::lock_guard lock(partition->mutex);
     partition->lastUsed = Common::now();
     partition->updates.ended.push_back(std::move(what));
 }
 
 // Answers what the log has settled and what has waited too long.
-void ClaimRouter::settle(Partition& partition)
+void ClaimRouter::resolvePending(Partition& partition)
 {
-    std::vector<std::pair<Answer, Verdict>> answers;
+    std::vector<std::pair<VerdictHandler, Verdict>> answers;
     {
         std::lock_guard lock(partition.mutex);
         auto now = Common::now();
         std::erase_if(partition.pending, [&](const Pending& pending) {
             auto verdict = partition.caughtUp ? partition.fold.verdict(pending.what.key, pending.what.requestId)
                                               : Verdict::Unclaimed;
-            bool beingFreed = partition.freeing.contains(partition.fold.holder(pending.what.key));
+            bool beingFreed = partition.freeingRequests.contains(partition.fold.holder(pending.what.key));
             bool settled = partition.caughtUp && !beingFreed && (pending.readOnly || verdict != Verdict::Unclaimed);
             bool givenUp = !partition.reachable || now >= pending.deadline;
             if (settled || givenUp)
@@ -93,14 +93,14 @@
         answer(verdict);
 }
 
-void ClaimRouter::follow(const std::shared_ptr<Partition>& partition)
+void ClaimRouter::readLoop(const std::shared_ptr<Partition>& partition)
 {
     auto stream = BackingServices::claimStream(partition->number);
     while (true) {
-        auto page = m_log.read(stream, partition->next, partition->caughtUp ? readWait : 0ms);
+        auto page = m_log.read(stream, partition->nextOffset, partition->caughtUp ? longPollTimeout : 0ms);
         bool failed = isError(page);
         if (!failed)
-            take(*partition, valueOf(page));
+            applyPage(*partition, valueOf(page));
         {
             std::lock_guard lock(partition->mutex);
             if (partition->reachable == failed)
@@ -108,9 +108,9 @@
                     { { "stream", stream } });
             partition->reachable = !failed;
         }
-        settle(*partition);
+        resolvePending(*partition);
         if (failed)
-            Common::sleepFor(retryPause);
+            Common::sleepFor(readRetryDelay);
         std::lock_guard lock(m_mutex);
         std::lock_guard partitionLock(partition->mutex);
         bool idle = partition->pending.empty() && partition->updates.isEmpty() && !partition->appending
@@ -122,42 +122,42 @@
     }
 }
 
-void ClaimRouter::take(Partition& partition, const BackingServices::LogPage& page)
+void ClaimRouter::applyPage(Partition& partition, const BackingServices::LogPage& page)
 {
     std::lock_guard lock(partition.mutex);
     // A log that keeps less than the horizon could forget a claim that still holds, and one whose offsets went back
     // has forgotten some: no claim is settled on either.
-    bool forgetful = page.retentionMs && page.retentionMs < m_options.horizon.count();
-    if (forgetful || page.next < partition.next) {
+    bool retentionTooShort = page.retentionMs && page.retentionMs < m_options.horizon.count();
+    if (retentionTooShort || page.next < partition.nextOffset) {
         partition.caughtUp = false;
         Common::log(LogLevel::Error, "claims", "log.unfit",
             { { "partition", partition.number }, { "retention_ms", page.retentionMs }, { "next", page.next },
-                { "expected", partition.next } });
+                { "expected", partition.nextOffset } });
         return;
     }
     for (const auto& record : page.records) {
-        if (record.offset < partition.next)
+        if (record.offset < partition.nextOffset)
             continue;
-        partition.next = record.offset + 1;
+        partition.nextOffset = record.offset + 1;
         auto batch = decodeBatch(record.data);
         partition.fold.apply(record.timeMs, batch);
         for (const auto& freed : batch.freed)
-            partition.freeing.erase(freed.requestId);
+            partition.freeingRequests.erase(freed.requestId);
     }
-    partition.next = std::max(partition.next, page.first);
+    partition.nextOffset = std::max(partition.nextOffset, page.first);
     partition.fold.expire(page.nowMs);
-    partition.caughtUp = partition.next >= page.next;
+    partition.caughtUp = partition.nextOffset >= page.next;
 }
 
 // Writes what is pending, once an interval, until the log shows it.
-void ClaimRouter::write(const std::shared_ptr<Partition>& partition)
+void ClaimRouter::appendLoop(const std::shared_ptr<Partition>& partition)
 {
     static auto& s_appends
         = Common::Metrics::counter("brassladder_claim_appends_total", "Records appended to claim streams");
     auto stream = BackingServices::claimStream(partition->number);
     while (true) {
         Common::sleepFor(m_options.interval);
-        settle(*partition);
+        resolvePending(*partition);
         ClaimBatch batch;
         {
             std::lock_guard lock(partition->mutex);
--- a/Source/ClassServing/Claims/ClaimRouter.h
+++ b/Source/ClassServing/Claims/ClaimRouter.h
@@ -15,7 +15,7 @@
 // that was stopped and goes on, cannot give different verdicts. Safe to use from several threads.
 class ClaimRouter {
 public:
-    using Answer = std::function<void(Verdict)>;
+    using VerdictHandler = std::function<void(Verdict)>;
     // How long a key holds: a day, in which callers repeat what they heard nothing of.
     static constexpr Common::Milliseconds defaultHorizon = std::chrono::hours(24);
     // Between two appends to one partition: at most 20 a second, of the log's hundred (brief).
@@ -36,7 +36,7 @@
     ClaimRouter(BackingServices::LogService, Options);
 
     // Calls the hook at once, or later from another fiber. With `readOnly` nothing is claimed.
-    void request(uint32_t partition, KeyAndRequest, bool readOnly, const Answer&);
+    void request(uint32_t partition, KeyAndRequest, bool readOnly, const VerdictHandler&);
     void markFreed(uint32_t partition, KeyAndRequest);
     void markEnded(uint32_t partition, KeyAndRequest);
 
@@ -45,20 +45,20 @@
         KeyAndRequest what;
         bool readOnly { false };
         Common::TimePoint deadline;
-        Answer answer;
+        VerdictHandler answer;
     };
     struct Partition {
         uint32_t number { 0 };
         std::mutex mutex;
         ClaimFold fold;
-        uint64_t next { 1 };
+        uint64_t nextOffset { 1 };
         bool caughtUp { false };
         bool reachable { true };
         std::vector<Pending> pending;
         ClaimBatch updates; // Freed and ended, to go out with the next append.
         bool appending { false }; // Updates of a failed append come back.
         // Requests whose claims are being freed: until the log shows it, their keys are neither theirs nor taken.
-        std::unordered_set<std::string> freeing;
+        std::unordered_set<std::string> freeingRequests;
         Common::TimePoint lastUsed;
         explicit Partition(Common::Milliseconds horizon)
             : fold(horizon)
@@ -66,11 +66,11 @@
         }
     };
 
-    std::shared_ptr<Partition> use(uint32_t partition);
-    void follow(const std::shared_ptr<Partition>&);
-    void write(const std::shared_ptr<Partition>&);
-    void take(Partition&, const BackingServices::LogPage&);
-    void settle(Partition&);
+    std::shared_ptr<Partition> openPartition(uint32_t partition);
+    void readLoop(const std::shared_ptr<Partition>&);
+    void appendLoop(const std::shared_ptr<Partition>&);
+    void applyPage(Partition&, const BackingServices::LogPage&);
+    void resolvePending(Partition&);
 
     BackingServices::LogService m_log;
     Options m_options;
--- a/Source/ClassServing/Frontend/ClaimGate.cpp
+++ b/Source/ClassServing/Frontend/ClaimGate.cpp
@@ -46,7 +46,7 @@
     }
     // The claim may yet take effect; freed, it does not stand in the way of the caller's next attempt.
     if (verdict == Claims::Verdict::Unavailable)
-        m_claims.free(what);
+        m_claims.reportFreed(what);
     return refusal(verdict);
 }
 
@@ -56,9 +56,9 @@
         return;
     Claims::KeyAndRequest what { *context.claimKey, context.requestId };
     if (!isError(status))
-        m_claims.end(what);
+        m_claims.reportEnded(what);
     else if (errorOf(status).ran == Ran::No)
-        m_claims.free(what);
+        m_claims.reportFreed(what);
 }
 
 bool ClaimGate::isTooOld(const RequestContext& context, Common::TimePoint now) const
