--- a/Source/ClassServing/Config/Model.cpp
+++ b/Source/ClassServing/Config/Model.cpp
@@ -11,8 +11,8 @@
 using Common::Milliseconds;
 
 // Bounds: a day is the longest that an overnight class may wait; claims are kept for longer than that.
-static constexpr int64_t dayMs = 24 * 3600 * 1000;
-static constexpr size_t digestDigits = 64; // SHA-256 in hexadecimal.
+static constexpr int64_t maxDurationMs = 24 * 3600 * 1000;
+static constexpr size_t digestHexLength = 64; // SHA-256 in hexadecimal.
 // A class may use guaranteed slots after this long without a slot, unless its file says otherwise. Chosen, not
 // measured.
 static constexpr int64_t defaultGuaranteeAfterMs = 30'000;
@@ -33,7 +33,7 @@
 
     std::string text(std::string_view key)
     {
-        const Json* value = take(key, true);
+        const Json* value = findMember(key, true);
         if (!value)
             return {};
         if (!value->is_string() || value->get_ref<const std::string&>().empty())
@@ -49,23 +49,23 @@
         return value;
     }
 
-    int64_t integer(
-        std::string_view key, std::string_view unit, int64_t least, int64_t most, std::optional<int64_t> fallback = {})
+    int64_t integer(std::string_view key, std::string_view unit, int64_t minimum, int64_t maximum,
+        std::optional<int64_t> fallback = {})
     {
-        const Json* value = take(key, !fallback);
+        const Json* value = findMember(key, !fallback);
         if (!value)
-            return fallback.value_or(least);
-        if (value->is_number_integer() && value->get<int64_t>() >= least && value->get<int64_t>() <= most)
+            return fallback.value_or(minimum);
+        if (value->is_number_integer() && value->get<int64_t>() >= minimum && value->get<int64_t>() <= maximum)
             return value->get<int64_t>();
         fault(key,
-            "expected integer in " + std::string(unit) + " from " + std::to_string(least) + " to "
-                + std::to_string(most));
-        return least;
+            "expected integer in " + std::string(unit) + " from " + std::to_string(minimum) + " to "
+                + std::to_string(maximum));
+        return minimum;
     }
 
     bool boolean(std::string_view key)
     {
-        const Json* value = take(key, false);
+        const Json* value = findMember(key, false);
         if (!value)
             return false;
         if (!value->is_boolean())
@@ -76,7 +76,7 @@
     std::vector<std::string> texts(std::string_view key)
     {
         std::vector<std::string> list;
-        const Json* value = take(key, true);
+        const Json* value = findMember(key, true);
         if (!value)
             return list;
         bool fits = value->is_array() && !value->empty();
@@ -88,7 +88,7 @@
 
     std::vector<Json> objects(std::string_view key)
     {
-        const Json* value = take(key, true);
+        const Json* value = findMember(key, true);
         if (!value)
             return {};
         if (!value->is_array())
@@ -97,7 +97,7 @@
     }
 
     // To be called last: members that were not read by then are unknown.
-    void finish()
+    void rejectUnknownMembers()
     {
         if (!m_object.is_object())
             return;
@@ -113,7 +113,7 @@
     }
 
 private:
-    const Json* take(std::string_view key, bool required)
+    const Json* findMember(std::string_view key, bool required)
     {
         m_known.emplace(key);
         if (!m_object.is_object())
@@ -144,7 +144,7 @@
     pool.slotsPerUpstream = static_cast<uint32_t>(reader.integer("slots_per_worker", "requests", 1, 4096));
     pool.shardSize = static_cast<uint32_t>(reader.integer("shard_size", "workers", 1, 256, 16));
     pool.guaranteedSlots = static_cast<uint32_t>(reader.integer("guaranteed_slots", "requests", 0, 64, 1));
-    reader.finish();
+    reader.rejectUnknownMembers();
     return pool;
 }
 
@@ -156,15 +156,15 @@
     result.pool = reader.text("pool");
     result.policy.tier
         = static_cast<Scheduling::Tier>(reader.integer("tier", "tiers, 0 the highest", 0, Scheduling::tierCount - 1));
-    result.policy.target = Milliseconds(reader.integer("target_ms", "ms", 1, dayMs));
-    result.policy.maxWait = Milliseconds(reader.integer("max_wait_ms", "ms", 1, dayMs));
+    result.policy.target = Milliseconds(reader.integer("target_ms", "ms", 1, maxDurationMs));
+    result.policy.maxWait = Milliseconds(reader.integer("max_wait_ms", "ms", 1, maxDurationMs));
     result.policy.guaranteeAfter
-        = Milliseconds(reader.integer("guarantee_after_ms", "ms", 1, dayMs, defaultGuaranteeAfterMs));
+        = Milliseconds(reader.integer("guarantee_after_ms", "ms", 1, maxDurationMs, defaultGuaranteeAfterMs));
     result.policy.preemptible = reader.boolean("preemptible");
     result.noRepeat = reader.boolean("no_repeat");
     result.vouchedAttempts = reader.boolean("vouched_attempts");
     result.maxAttempts = static_cast<uint32_t>(reader.integer("max_attempts", "tries", 1, 10, 3));
-    reader.finish();
+    reader.rejectUnknownMembers();
     if (result.noRepeat && result.policy.preemptible)
         reader.fault("preemptible", "a request that may not be repeated is never preempted");
     if (result.vouchedAttempts && !result.noRepeat)
@@ -182,11 +182,11 @@
     workspace.defaultClass = reader.text("default_class");
     workspace.classes = reader.texts("classes");
     workspace.weight = static_cast<double>(reader.integer("weight", "shares", 1, 1000, 1));
-    reader.finish();
+    reader.rejectUnknownMembers();
     if (std::string(workspacePrefix) + workspace.name != name)
         reader.fault("name", "differs from the file's name");
     for (const auto& digest : workspace.keyDigests) {
-        if (digest.size() != digestDigits || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
+        if (digest.size() != digestHexLength || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
             reader.fault("key_digests", "expected SHA-256 digests in lower-case hexadecimal");
     }
     if (std::find(workspace.classes.begin(), workspace.classes.end(), workspace.defaultClass)
@@ -204,7 +204,7 @@
         auto pointer = "/" + std::string(key) + "/" + std::to_string(list.size());
         list.push_back(read(item, pointer, faults));
     }
-    reader.finish();
+    reader.rejectUnknownMembers();
     return list;
 }
 
@@ -283,7 +283,7 @@
     }
 }
 
-std::vector<Fault> checkTogether(const std::map<std::string, File>& files)
+std::vector<Fault> checkCrossReferences(const std::map<std::string, File>& files)
 {
     auto known = knownNames(files);
     std::vector<Fault> faults;
--- a/Source/ClassServing/Config/Model.h
+++ b/Source/ClassServing/Config/Model.h
@@ -61,6 +61,6 @@
 std::variant<File, std::vector<Common::Fault>> parseFile(std::string_view name, const Common::Json&);
 
 // Checks that the files agree: classes name pools that exist, workspaces name classes that exist.
-std::vector<Common::Fault> checkTogether(const std::map<std::string, File>&);
+std::vector<Common::Fault> checkCrossReferences(const std::map<std::string, File>&);
 
 } // namespace Brassladder::ClassServing::Config
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -14,12 +14,12 @@
 
 // A long poll of the configuration stream: an idle router reads four times a minute, and notices a dead connection.
 // Chosen, not measured.
-static constexpr Common::Milliseconds readWait = 15s;
+static constexpr Common::Milliseconds longPollTimeout = 15s;
 // A snapshot is due at half of the retention, so a read never waits for more than this part of it. Chosen, not
 // measured.
 static constexpr int readsPerRetention = 8;
 // After a failed read. Chosen, not measured.
-static constexpr Common::Milliseconds retryPause = 250ms;
+static constexpr Common::Milliseconds readRetryDelay = 250ms;
 // How long a new instance waits for its peers before it trusts the log alone, and how often it checks meanwhile.
 // Chosen, not measured: the default silence after which a peer counts as gone.
 static constexpr Common::Milliseconds peerTimeout = 1500ms;
@@ -40,24 +40,24 @@
             requestFrom(peer);
         Common::sleepFor(peerPollInterval);
     }
-    auto wait = readWait;
+    auto wait = longPollTimeout;
     while (true) {
         auto page = m_log.read(BackingServices::configStream, m_next, wait);
         if (isError(page)) {
             if (m_logReachable.exchange(false))
                 Common::log(LogLevel::Warning, "config", "log.unreachable", { { "message", errorOf(page).message } });
-            Common::sleepFor(retryPause);
+            Common::sleepFor(readRetryDelay);
             continue;
         }
         m_logReachable = true;
         if (auto retention = valueOf(page).retentionMs)
-            wait = std::min(readWait, Common::Milliseconds(retention / readsPerRetention));
-        take(valueOf(page));
+            wait = std::min(longPollTimeout, Common::Milliseconds(retention / readsPerRetention));
+        applyPage(valueOf(page));
         writeDueSnapshots(valueOf(page));
     }
 }
 
-void Store::take(const BackingServices::LogPage& page)
+void Store::applyPage(const BackingServices::LogPage& page)
 {
     {
         std::lock_guard lock(m_mutex);
@@ -125,7 +125,7 @@
     return m_fold.digest();
 }
 
-void Store::compare(const std::string& peer, uint64_t theirs)
+void Store::requestIfDifferent(const std::string& peer, uint64_t theirs)
 {
     if (theirs != digest())
         requestFrom(peer);
--- a/Source/ClassServing/Config/Store.h
+++ b/Source/ClassServing/Config/Store.h
@@ -32,12 +32,12 @@
     Common::Json status() const;
 
     // A peer's heartbeat shows another set of versions: requests from it what differs.
-    void compare(const std::string& peer, uint64_t digest);
+    void requestIfDifferent(const std::string& peer, uint64_t digest);
     void onRequest(const std::string& peer, const Inner::Wire::ConfigRequest&);
     void onState(const Inner::Wire::ConfigState&);
 
 private:
-    void take(const BackingServices::LogPage&);
+    void applyPage(const BackingServices::LogPage&);
     void compileLocked();
     void writeDueSnapshots(const BackingServices::LogPage&);
     void requestFrom(const std::string& peer);
--- a/Source/ClassServing/Config/Table.cpp
+++ b/Source/ClassServing/Config/Table.cpp
@@ -26,42 +26,42 @@
     return found->second;
 }
 
-Compiler::GoodFile Compiler::accept(uint64_t version, File file)
+Compiler::ValidFile Compiler::makeValidFile(uint64_t version, File file)
 {
-    GoodFile good { version, std::move(file), {} };
-    if (const auto* classes = std::get_if<ClassesFile>(&good.file)) {
+    ValidFile valid { version, std::move(file), {} };
+    if (const auto* classes = std::get_if<ClassesFile>(&valid.file)) {
         for (const auto& each : classes->classes)
-            good.classes.push_back(std::make_shared<RequestClass>(each));
+            valid.classes.push_back(std::make_shared<RequestClass>(each));
     }
-    return good;
+    return valid;
 }
 
-Compilation Compiler::compile(const Fold& fold)
+CompileResult Compiler::compile(const Fold& fold)
 {
-    Compilation result;
+    CompileResult result;
     for (const auto& [name, accepted] : fold.files()) {
-        auto& good = m_good[name];
-        if (good.version == accepted.version)
+        auto& valid = m_validFiles[name];
+        if (valid.version == accepted.version)
             continue;
         auto parsed = parseFile(name, Common::parseJson(accepted.content));
         if (auto* faults = std::get_if<std::vector<Common::Fault>>(&parsed)) {
             result.heldBack[name] = std::move(*faults);
             continue;
         }
-        good = accept(accepted.version, std::move(std::get<File>(parsed)));
+        valid = makeValidFile(accepted.version, std::move(std::get<File>(parsed)));
     }
     auto table = std::make_shared<Table>();
-    for (const auto& [name, good] : m_good) {
-        if (!good.version)
+    for (const auto& [name, valid] : m_validFiles) {
+        if (!valid.version)
             continue;
-        table->versions[name] = good.version;
-        if (const auto* pools = std::get_if<PoolsFile>(&good.file)) {
+        table->versions[name] = valid.version;
+        if (const auto* pools = std::get_if<PoolsFile>(&valid.file)) {
             for (const auto& pool : pools->pools)
                 table->pools[pool.name] = pool;
         }
-        if (const auto* file = std::get_if<WorkspaceFile>(&good.file))
+        if (const auto* file = std::get_if<WorkspaceFile>(&valid.file))
             table->workspaces[file->workspace.name] = file->workspace;
-        for (const auto& each : good.classes)
+        for (const auto& each : valid.classes)
             table->classes[each->policy.name] = each;
     }
     for (const auto& [name, workspace] : table->workspaces) {
--- a/Source/ClassServing/Config/Table.h
+++ b/Source/ClassServing/Config/Table.h
@@ -25,7 +25,7 @@
 };
 
 // The outcome of compiling: files that do not compile are held back, with the last good content in their place.
-struct Compilation {
+struct CompileResult {
     std::shared_ptr<const Table> table;
     std::map<std::string, std::vector<Common::Fault>> heldBack;
 };
@@ -33,17 +33,17 @@
 // Compiles files one by one and remembers the last good one of each.
 class Compiler {
 public:
-    Compilation compile(const Fold&);
+    CompileResult compile(const Fold&);
 
 private:
-    struct GoodFile {
+    struct ValidFile {
         uint64_t version { 0 };
         File file;
         // Kept from one table to the next while the file stays, since schedulers compare and hold policies by address.
         std::vector<std::shared_ptr<const RequestClass>> classes;
     };
-    static GoodFile accept(uint64_t version, File);
-    std::map<std::string, GoodFile> m_good;
+    static ValidFile makeValidFile(uint64_t version, File);
+    std::map<std::string, ValidFile> m_validFiles;
 };
 
 } // namespace Brassladder::ClassServing::Config
--- a/Source/ClassServing/Frontend/MessageDispatcher.cpp
+++ b/Source/ClassServing/Frontend/MessageDispatcher.cpp
@@ -99,7 +99,7 @@
     }
     for (const auto& upstream : heartbeat.leaving_upstreams())
         m_parts.membership.setUpstreamLeaving(upstream, now);
-    m_parts.config.compare(sender.id, heartbeat.config_digest());
+    m_parts.config.requestIfDifferent(sender.id, heartbeat.config_digest());
 }
 
 void MessageDispatcher::onSilentHome(const std::string& home)
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -53,7 +53,7 @@
             files[name] = std::move(std::get<ClassServing::Config::File>(parsed));
         }
     }
-    auto together = ClassServing::Config::checkTogether(files);
+    auto together = ClassServing::Config::checkCrossReferences(files);
     faults.insert(faults.end(), together.begin(), together.end());
     return faults;
 }
