--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -10,18 +10,18 @@
 
 // A request of the highest tier suspects its home after this long without a response. Chosen, not measured: two
 // heartbeats.
-static constexpr Common::Milliseconds silentHome = 500ms;
+static constexpr Common::Milliseconds homeResponseTimeout = 500ms;
 // A home answers every request by its deadline; this long after it, no home is there to answer. Chosen, not measured: a
 // lost home is replaced within about two seconds.
-static constexpr Common::Milliseconds lastResort = 2s;
+static constexpr Common::Milliseconds homeReplacementGrace = 2s;
 // A request that waits is sent to its home again after this, in case the home forgot this router. Chosen, not measured.
-static constexpr Common::Duration repeatInterval = 2s;
+static constexpr Common::Duration waitingResendInterval = 2s;
 
 void RequestSignal::setOnPreempt(std::function<void()> hook)
 {
     std::lock_guard lock(m_mutex);
     m_onPreempt = std::move(hook);
-    if (m_onPreempt && std::exchange(m_preempted, false))
+    if (m_onPreempt && std::exchange(m_preemptionPending, false))
         m_onPreempt();
 }
 
@@ -34,16 +34,16 @@
     if (m_onPreempt)
         m_onPreempt();
     else
-        m_preempted = true;
+        m_preemptionPending = true;
 }
 
-void RequestSignal::begin(uint64_t sequence)
+void RequestSignal::beginWait(uint64_t sequence)
 {
     std::lock_guard lock(m_mutex);
     m_outcome.reset();
     m_queued = false;
     m_sequence = sequence;
-    m_preempted = false;
+    m_preemptionPending = false;
 }
 
 void RequestSignal::cancel()
@@ -98,20 +98,20 @@
 
 Result<Slot> GrantClient::acquire(const SlotRequest& request, const std::shared_ptr<RequestSignal>& signal)
 {
-    uint64_t sequence = ask(request, signal);
-    auto outcome = await(sequence, request, *signal);
+    uint64_t sequence = sendAsk(request, signal);
+    auto outcome = awaitOutcome(sequence, request, *signal);
     if (isError(outcome))
         withdraw(sequence);
     return outcome;
 }
 
-uint64_t GrantClient::ask(const SlotRequest& request, const std::shared_ptr<RequestSignal>& signal)
+uint64_t GrantClient::sendAsk(const SlotRequest& request, const std::shared_ptr<RequestSignal>& signal)
 {
     auto now = Common::now();
     uint64_t sequence = 0;
     std::string home;
     Item item;
-    std::lock_guard telling(m_tellMutex);
+    std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
         // Under the lock: a view that changes now either is the one read here or finds this request.
@@ -123,20 +123,20 @@
         item = askItem(sequence, pending, now);
     }
     // Before any home can have heard of it.
-    signal->begin(sequence);
+    signal->beginWait(sequence);
     m_hooks.send(home, std::move(item));
     return sequence;
 }
 
-Result<Slot> GrantClient::await(uint64_t sequence, const SlotRequest& request, RequestSignal& signal)
+Result<Slot> GrantClient::awaitOutcome(uint64_t sequence, const SlotRequest& request, RequestSignal& signal)
 {
     const auto& policy = request.requestClass->policy;
-    auto deadline = std::max(request.arrived + policy.maxWait, Common::now()) + lastResort;
+    auto deadline = std::max(request.arrived + policy.maxWait, Common::now()) + homeReplacementGrace;
     auto settled = [&] { return signal.m_outcome.has_value() || signal.m_cancelled; };
     std::unique_lock lock(signal.m_mutex);
     bool urgent = policy.tier == 0;
     while (!settled()) {
-        auto timeout = urgent && !signal.m_queued ? Common::now() + silentHome : deadline;
+        auto timeout = urgent && !signal.m_queued ? Common::now() + homeResponseTimeout : deadline;
         if (signal.m_changed.wait_until(lock, timeout, settled))
             break;
         if (Common::now() < deadline) {
@@ -144,13 +144,13 @@
             if (signal.m_queued)
                 continue;
             lock.unlock();
-            m_hooks.onSilentHome(homeOfPending(sequence));
+            m_hooks.onHomeUnresponsive(homeOfPending(sequence));
             lock.lock();
             continue;
         }
         // Paused work has no deadline: it waits as long as its home answers for the upstream.
         if (!request.pinned.empty()) {
-            deadline = Common::now() + lastResort;
+            deadline = Common::now() + homeReplacementGrace;
             continue;
         }
         return Common::makeError(ErrorKind::WaitExpired, "no slot came free in time");
@@ -170,7 +170,7 @@
 {
     std::string home;
     ShardKey shard;
-    std::lock_guard telling(m_tellMutex);
+    std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(sequence);
@@ -187,7 +187,7 @@
 void GrantClient::release(const Slot& slot, const ShardKey& shard, const Scheduling::Release& release)
 {
     std::string home = slot.home;
-    std::lock_guard telling(m_tellMutex);
+    std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(slot.sequence);
@@ -200,7 +200,7 @@
     m_hooks.send(home, releaseItem(slot.sequence, shard, release));
 }
 
-void GrantClient::finish(const std::shared_ptr<RequestSignal>& signal, Result<Slot> outcome)
+void GrantClient::deliverOutcome(const std::shared_ptr<RequestSignal>& signal, Result<Slot> outcome)
 {
     std::lock_guard lock(signal->m_mutex);
     signal->m_outcome = std::move(outcome);
@@ -222,7 +222,7 @@
         found->second.guaranteed = grant.guaranteed();
         signal = found->second.signal;
     }
-    finish(signal, Slot { grant.sequence(), grant.worker(), home, grant.guaranteed() });
+    deliverOutcome(signal, Slot { grant.sequence(), grant.worker(), home, grant.guaranteed() });
 }
 
 void GrantClient::onRefusal(const std::string& home, const Inner::Wire::Refusal& refusal)
@@ -239,7 +239,7 @@
         return;
     auto error = Common::makeError(static_cast<ErrorKind>(refusal.kind()), "refused by the scheduler");
     error.retryAfter = Common::Milliseconds(refusal.retry_after_ms());
-    finish(signal, std::move(error));
+    deliverOutcome(signal, std::move(error));
 }
 
 void GrantClient::onPreemption(const std::string& home, const Inner::Wire::Preemption& preemption)
@@ -271,16 +271,16 @@
 
 void GrantClient::onViewChanged(const Membership::View& view)
 {
-    std::vector<std::pair<std::string, Item>> told;
+    std::vector<std::pair<std::string, Item>> messages;
     auto now = Common::now();
-    std::lock_guard telling(m_tellMutex);
+    std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
         std::map<ShardKey, std::string> moved;
         for (const auto& [sequence, pending] : m_pending) {
             auto home = homeOf(view, pending.request.shard);
             if (home != pending.home && moved.try_emplace(pending.request.shard, home).second)
-                told.emplace_back(home, resetItem(pending.request.shard));
+                messages.emplace_back(home, resetItem(pending.request.shard));
         }
         for (auto& [sequence, pending] : m_pending) {
             auto place = moved.find(pending.request.shard);
@@ -288,23 +288,23 @@
                 continue;
             // The old home, if it is alive, forgets the request; the new one gets it.
             if (pending.home != place->second)
-                told.emplace_back(pending.home,
+                messages.emplace_back(pending.home,
                     releaseItem(sequence, pending.request.shard, { {}, Scheduling::SlotOutcome::Cancelled, 0, {} }));
             pending.home = place->second;
             pending.lastSent = now;
-            told.emplace_back(pending.home, askItem(sequence, pending, now));
+            messages.emplace_back(pending.home, askItem(sequence, pending, now));
         }
     }
-    for (auto& [peer, item] : told)
+    for (auto& [peer, item] : messages)
         m_hooks.send(peer, std::move(item));
 }
 
 // One request at a time, so that those that begin and end meanwhile wait for one message only.
-void GrantClient::askAgain(const std::string& home, uint64_t sequence)
+void GrantClient::resendAsk(const std::string& home, uint64_t sequence)
 {
     auto now = Common::now();
     Item item;
-    std::lock_guard telling(m_tellMutex);
+    std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(sequence);
@@ -319,7 +319,7 @@
 void GrantClient::onConnected(const std::string& home)
 {
     {
-        std::lock_guard telling(m_tellMutex);
+        std::lock_guard sendOrderLock(m_sendOrderMutex);
         Item reset;
         reset.mutable_reset();
         m_hooks.send(home, std::move(reset));
@@ -334,22 +334,22 @@
         }
     }
     for (uint64_t sequence : sequences)
-        askAgain(home, sequence);
+        resendAsk(home, sequence);
 }
 
-void GrantClient::repeatWaiting()
+void GrantClient::resendWaiting()
 {
     auto now = Common::now();
     std::vector<std::pair<uint64_t, std::string>> due;
     {
         std::lock_guard lock(m_mutex);
         for (const auto& [sequence, pending] : m_pending) {
-            if (pending.upstream.empty() && now - pending.lastSent >= repeatInterval)
+            if (pending.upstream.empty() && now - pending.lastSent >= waitingResendInterval)
                 due.emplace_back(sequence, pending.home);
         }
     }
     for (const auto& [sequence, home] : due)
-        askAgain(home, sequence);
+        resendAsk(home, sequence);
 }
 
 size_t GrantClient::outstanding(const ShardKey& shard) const
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -45,7 +45,7 @@
 private:
     friend class GrantClient;
     // Forgets what an earlier wait of the same request left.
-    void begin(uint64_t sequence);
+    void beginWait(uint64_t sequence);
 
     // A thread mutex, not a fiber mutex: homes call with their own locks held and must not be suspended.
     std::mutex m_mutex;
@@ -53,7 +53,7 @@
     std::optional<Common::Result<Slot>> m_outcome;
     bool m_queued { false };
     uint64_t m_sequence { 0 }; // Of the wait, and of the slot that came of it.
-    bool m_preempted { false }; // And nobody was told yet.
+    bool m_preemptionPending { false }; // And nobody was told yet.
     std::atomic<bool> m_cancelled { false };
     std::function<void()> m_onPreempt;
 };
@@ -66,7 +66,7 @@
         std::function<void(const std::string& peer, Inner::Wire::Item)> send;
         std::function<std::shared_ptr<const Membership::View>()> view;
         // A home did not answer the highest tier and sends nothing else either.
-        std::function<void(const std::string& home)> onSilentHome;
+        std::function<void(const std::string& home)> onHomeUnresponsive;
     };
 
     explicit GrantClient(Hooks hooks)
@@ -87,7 +87,7 @@
     // A new connection to a home is open: sends everything again.
     void onConnected(const std::string& home);
     // Sends requests that have waited long again, in case the home forgot this router while it was silent.
-    void repeatWaiting();
+    void resendWaiting();
 
     size_t outstanding(const ShardKey&) const;
 
@@ -102,19 +102,19 @@
     };
 
     Inner::Wire::Item askItem(uint64_t sequence, const Pending&, Common::TimePoint now) const;
-    uint64_t ask(const SlotRequest&, const std::shared_ptr<RequestSignal>&);
+    uint64_t sendAsk(const SlotRequest&, const std::shared_ptr<RequestSignal>&);
     // Nothing is sent for a request that has ended or whose home has changed.
-    void askAgain(const std::string& home, uint64_t sequence);
-    Common::Result<Slot> await(uint64_t sequence, const SlotRequest&, RequestSignal&);
+    void resendAsk(const std::string& home, uint64_t sequence);
+    Common::Result<Slot> awaitOutcome(uint64_t sequence, const SlotRequest&, RequestSignal&);
     std::string homeOfPending(uint64_t sequence) const;
     void withdraw(uint64_t sequence);
-    void finish(const std::shared_ptr<RequestSignal>&, Common::Result<Slot>);
+    void deliverOutcome(const std::shared_ptr<RequestSignal>&, Common::Result<Slot>);
 
     Hooks m_hooks;
     // Held over each change and the message that tells a home of it, so that messages leave in the order of the
     // changes: a home that heard of a request after its release would hold a slot for nobody. Locked before m_mutex;
     // sending does not suspend, and what a home does at once in response takes only the locks below.
-    std::mutex m_tellMutex;
+    std::mutex m_sendOrderMutex;
     mutable std::mutex m_mutex;
     std::map<uint64_t, Pending> m_pending;
     std::map<ShardKey, size_t> m_outstanding;
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -35,7 +35,7 @@
     return found == m_entries.end() ? std::string() : found->second;
 }
 
-std::shared_ptr<Home::Shard> Home::find(const ShardKey& key) const
+std::shared_ptr<Home::Shard> Home::findShard(const ShardKey& key) const
 {
     std::lock_guard lock(m_mutex);
     auto found = m_shards.find(key);
@@ -51,9 +51,9 @@
     return list;
 }
 
-std::shared_ptr<Home::Shard> Home::shard(const ShardKey& key)
+std::shared_ptr<Home::Shard> Home::findOrOpenShard(const ShardKey& key)
 {
-    if (auto existing = find(key))
+    if (auto existing = findShard(key))
         return existing;
     auto table = m_hooks.table();
     const auto* pool = table->pool(key.pool);
@@ -61,7 +61,7 @@
         return nullptr;
     auto fresh = std::make_shared<Shard>(Scheduling::ShardOptions { .guaranteedSlots = pool->guaranteedSlots });
     fresh->key = key;
-    fresh->scheduler.collectUntil(Common::now() + collectTime);
+    fresh->scheduler.collectUntil(Common::now() + collectionTime);
     // Locked before others can find it, and filled once they can: a change of the view is either seen here or finds it.
     std::lock_guard filling(fresh->mutex);
     {
@@ -96,7 +96,7 @@
 {
     auto table = m_hooks.table();
     auto requestClass = table->requestClass(message.request_class());
-    auto shard = this->shard({ message.pool(), message.shard() });
+    auto shard = this->findOrOpenShard({ message.pool(), message.shard() });
     if (!requestClass || !shard)
         return refuse(sender.id, message.sequence(), ErrorKind::NotReady);
     auto now = Common::now();
@@ -132,7 +132,7 @@
 
 void Home::onRelease(const Inner::Mesh::Sender& sender, const Inner::Wire::Release& message)
 {
-    auto shard = find({ message.pool(), message.shard() });
+    auto shard = findShard({ message.pool(), message.shard() });
     if (!shard)
         return;
     Scheduling::Release release;
@@ -166,11 +166,11 @@
         if (!reset.pool().empty() && shard->key != ShardKey { reset.pool(), reset.shard() })
             continue;
         std::lock_guard lock(shard->mutex);
-        forgetLocked(*shard, gone);
+        dropEntriesLocked(*shard, gone);
     }
 }
 
-void Home::forgetLocked(Shard& shard, const std::set<uint64_t>& entries)
+void Home::dropEntriesLocked(Shard& shard, const std::set<uint64_t>& entries)
 {
     for (uint64_t entry : entries)
         shard.scheduler.forgetEntry(entry, Common::now());
@@ -209,14 +209,14 @@
         // Under the lock: of two changes on two threads, the one that is applied last has read the later view.
         shard->scheduler.setUpstreams(upstreamsOf(shard->key));
         if (owned.contains(shard->key) && !before.contains(shard->key))
-            shard->scheduler.collectUntil(Common::now() + collectTime);
+            shard->scheduler.collectUntil(Common::now() + collectionTime);
         // Requests of an entry that is no longer alive run on by themselves; their slots are free for others.
         std::set<uint64_t> dead;
         for (const auto& [id, granted] : shard->granted) {
             if (granted.entry != m_self && !std::binary_search(view.routers.begin(), view.routers.end(), granted.entry))
                 dead.insert(id.entry);
         }
-        forgetLocked(*shard, dead);
+        dropEntriesLocked(*shard, dead);
         Scheduling::ShardScheduler::Decisions decisions;
         decideLocked(*shard, decisions);
     }
@@ -224,7 +224,7 @@
 
 void Home::report(const ShardKey& key, std::string_view upstream, const Scheduling::LoadReport& load)
 {
-    auto shard = find(key);
+    auto shard = findShard(key);
     if (!shard)
         return;
     std::lock_guard lock(shard->mutex);
@@ -245,10 +245,10 @@
 void Home::decideLocked(Shard& shard, Scheduling::ShardScheduler::Decisions& decisions)
 {
     shard.scheduler.decide(Common::now(), decisions);
-    emitLocked(shard, decisions);
+    sendDecisionsLocked(shard, decisions);
 }
 
-void Home::emitLocked(Shard& shard, const Scheduling::ShardScheduler::Decisions& decisions)
+void Home::sendDecisionsLocked(Shard& shard, const Scheduling::ShardScheduler::Decisions& decisions)
 {
     for (const auto& decision : decisions) {
         Item item;
--- a/Source/ClassServing/Dispatch/Home.h
+++ b/Source/ClassServing/Dispatch/Home.h
@@ -24,7 +24,7 @@
     };
     // After a shard moved here, lower tiers wait this long for the entries to report what runs. Chosen, not measured:
     // one heartbeat and a round trip.
-    static constexpr Common::Milliseconds collectTime { 300 };
+    static constexpr Common::Milliseconds collectionTime { 300 };
 
     Home(std::string self, Hooks);
 
@@ -43,7 +43,7 @@
     Common::Json status() const;
 
 private:
-    struct Granted {
+    struct GrantedSlot {
         std::string entry;
         uint64_t sequence { 0 };
         std::string upstream;
@@ -53,7 +53,7 @@
         ShardKey key;
         std::mutex mutex;
         Scheduling::ShardScheduler scheduler;
-        std::unordered_map<Scheduling::AskId, Granted> granted;
+        std::unordered_map<Scheduling::AskId, GrantedSlot> granted;
         // Policies that the scheduler still refers to; cleared when it holds nothing.
         std::set<std::shared_ptr<const Config::RequestClass>> policies;
         explicit Shard(Scheduling::ShardOptions options)
@@ -62,13 +62,13 @@
         }
     };
 
-    std::shared_ptr<Shard> shard(const ShardKey&);
-    std::shared_ptr<Shard> find(const ShardKey&) const;
+    std::shared_ptr<Shard> findOrOpenShard(const ShardKey&);
+    std::shared_ptr<Shard> findShard(const ShardKey&) const;
     std::vector<std::shared_ptr<Shard>> shards() const;
     std::vector<Scheduling::UpstreamInfo> upstreamsOf(const ShardKey&) const;
-    static void forgetLocked(Shard&, const std::set<uint64_t>& entries);
+    static void dropEntriesLocked(Shard&, const std::set<uint64_t>& entries);
     void decideLocked(Shard&, Scheduling::ShardScheduler::Decisions&);
-    void emitLocked(Shard&, const Scheduling::ShardScheduler::Decisions&);
+    void sendDecisionsLocked(Shard&, const Scheduling::ShardScheduler::Decisions&);
     void refuse(const std::string& entry, uint64_t sequence, Common::ErrorKind);
     uint64_t entryNumber(const Inner::Mesh::Sender&);
     std::string entryName(uint64_t number) const;
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -40,7 +40,7 @@
     every(runtime, settings.loadInterval, [this] { readLoads(); });
     every(runtime, schedulerTick, [this] { m_parts.home.tick(); });
     every(runtime, membershipTick, [this] { m_parts.membership.tick(Common::now()); });
-    every(runtime, repeatTick, [this] { m_parts.grants.repeatWaiting(); });
+    every(runtime, repeatTick, [this] { m_parts.grants.resendWaiting(); });
 }
 
 void PeriodicWork::followConfiguration()
