--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -61,7 +61,7 @@
         return nullptr;
     auto fresh = std::make_shared<Shard>(Scheduling::ShardOptions { .guaranteedSlots = pool->guaranteedSlots });
     fresh->key = key;
-    fresh->scheduler.collectUntil(Common::now() + collectionTime);
+    fresh->scheduler.setCollectionEnd(Common::now() + collectionTime);
     // Locked before others can find it, and filled once they can: a change of the view is either seen here or finds it.
     std::lock_guard filling(fresh->mutex);
     {
@@ -173,7 +173,7 @@
 void Home::dropEntriesLocked(Shard& shard, const std::set<uint64_t>& entries)
 {
     for (uint64_t entry : entries)
-        shard.scheduler.forgetEntry(entry, Common::now());
+        shard.scheduler.dropEntry(entry, Common::now());
     std::erase_if(shard.granted, [&](const auto& item) { return entries.contains(item.first.entry); });
 }
 
@@ -209,7 +209,7 @@
         // Under the lock: of two changes on two threads, the one that is applied last has read the later view.
         shard->scheduler.setUpstreams(upstreamsOf(shard->key));
         if (owned.contains(shard->key) && !before.contains(shard->key))
-            shard->scheduler.collectUntil(Common::now() + collectionTime);
+            shard->scheduler.setCollectionEnd(Common::now() + collectionTime);
         // Requests of an entry that is no longer alive run on by themselves; their slots are free for others.
         std::set<uint64_t> dead;
         for (const auto& [id, granted] : shard->granted) {
--- a/Source/ClassServing/Scheduling/FairQueue.cpp
+++ b/Source/ClassServing/Scheduling/FairQueue.cpp
@@ -9,11 +9,11 @@
 
 // Flows that have nothing waiting are kept, so that their charge is not forgotten, until there are more than this.
 // Chosen, not measured: twice the workspaces of the two-year target.
-static constexpr size_t idleFlowsKept = 8192;
+static constexpr size_t maxIdleFlows = 8192;
 
 uint64_t FairQueue::flowKey(const Ask& ask) { return Common::stableHash(ask.policy->name, ask.workspace); }
 
-void FairQueue::push(Waiting& waiting)
+void FairQueue::push(WaitingRequest& waiting)
 {
     uint64_t key = waiting.flowKey;
     auto [place, isNew] = m_flows.try_emplace(key);
@@ -27,30 +27,30 @@
     }
     waiting.flow = &flow;
     waiting.inFlow = flow.queue.insert(flow.queue.end(), &waiting);
-    m_work += waiting.work;
+    m_slotSeconds += waiting.slotSeconds;
     ++m_size;
-    if (m_flows.size() > m_active.size() + idleFlowsKept)
-        forgetIdleFlows();
+    if (m_flows.size() > m_active.size() + maxIdleFlows)
+        evictIdleFlows();
 }
 
-void FairQueue::remove(Waiting& waiting)
+void FairQueue::remove(WaitingRequest& waiting)
 {
     Flow& flow = *waiting.flow;
     flow.queue.erase(waiting.inFlow);
-    m_work = std::max(0.0, m_work - waiting.work);
+    m_slotSeconds = std::max(0.0, m_slotSeconds - waiting.slotSeconds);
     --m_size;
     if (flow.queue.empty())
         m_active.erase({ flow.virtualTime, flow.key });
 }
 
-Waiting* FairQueue::front() const
+WaitingRequest* FairQueue::front() const
 {
     if (m_active.empty())
         return nullptr;
     return m_flows.at(m_active.begin()->second).queue.front();
 }
 
-Waiting* FairQueue::heaviestTail() const
+WaitingRequest* FairQueue::lastOfLongestFlow() const
 {
     const Flow* heaviest = nullptr;
     for (const auto& [time, key] : m_active) {
@@ -61,19 +61,19 @@
     return heaviest ? heaviest->queue.back() : nullptr;
 }
 
-void FairQueue::serve(Waiting& waiting)
+void FairQueue::serve(WaitingRequest& waiting)
 {
     Flow& flow = *waiting.flow;
     m_virtualNow = std::max(m_virtualNow, flow.virtualTime);
     remove(waiting);
     if (!flow.queue.empty())
         m_active.erase({ flow.virtualTime, flow.key });
-    flow.virtualTime += waiting.work / flow.weight;
+    flow.virtualTime += waiting.slotSeconds / flow.weight;
     if (!flow.queue.empty())
         m_active.insert({ flow.virtualTime, flow.key });
 }
 
-void FairQueue::correct(uint64_t key, double workDifference)
+void FairQueue::adjustCharge(uint64_t key, double slotSecondsDifference)
 {
     auto found = m_flows.find(key);
     if (found == m_flows.end())
@@ -82,7 +82,7 @@
     bool active = !flow.queue.empty();
     if (active)
         m_active.erase({ flow.virtualTime, key });
-    flow.virtualTime += workDifference / flow.weight;
+    flow.virtualTime += slotSecondsDifference / flow.weight;
     if (active)
         m_active.insert({ flow.virtualTime, key });
 }
@@ -93,7 +93,7 @@
     return found == m_flows.end() ? 0 : found->second.queue.size();
 }
 
-void FairQueue::forgetIdleFlows()
+void FairQueue::evictIdleFlows()
 {
     std::erase_if(m_flows,
         [&](const auto& item) { return item.second.queue.empty() && item.second.virtualTime <= m_virtualNow; });
--- a/Source/ClassServing/Scheduling/RetryBudget.cpp
+++ b/Source/ClassServing/Scheduling/RetryBudget.cpp
@@ -8,7 +8,7 @@
 void RetryBudget::deposit()
 {
     std::lock_guard lock(m_mutex);
-    m_balance = std::min(maxSaved, m_balance + retriesPerRequest);
+    m_balance = std::min(maxSavedRetries, m_balance + retriesPerRequest);
 }
 
 bool RetryBudget::withdraw(Common::TimePoint now)
@@ -16,7 +16,7 @@
     std::lock_guard lock(m_mutex);
     if (m_updated != Common::TimePoint {}) {
         double elapsed = std::max(0.0, Common::toSeconds(now - m_updated));
-        m_balance = std::min(maxSaved, m_balance + elapsed * retriesPerSecond);
+        m_balance = std::min(maxSavedRetries, m_balance + elapsed * retriesPerSecond);
     }
     m_updated = now;
     if (m_balance < 1)
--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -20,7 +20,7 @@
     static constexpr double retriesPerSecond = 1;
     // The most retries that are saved up: ten seconds of the trickle, or what a hundred requests earn. Chosen, not
     // measured.
-    static constexpr double maxSaved = 10;
+    static constexpr double maxSavedRetries = 10;
 
     void deposit();
     // True when a retry may be made now; it is paid for.
@@ -28,7 +28,7 @@
 
 private:
     std::mutex m_mutex;
-    double m_balance { maxSaved };
+    double m_balance { maxSavedRetries };
     Common::TimePoint m_updated {};
 };
 
--- a/Source/ClassServing/Scheduling/RetryRule.h
+++ b/Source/ClassServing/Scheduling/RetryRule.h
@@ -11,7 +11,7 @@
     const Common::Error& error;
     bool callerGone { false };
     bool hasRelayed { false }; // Something of a response has gone to the caller.
-    bool mustRunOnce { false }; // The class allows no repeat.
+    bool mustNotRepeat { false }; // The class allows no repeat.
 };
 
 // A request is tried again only when it provably did not run, or when its class allows repeats; and only while the
@@ -20,7 +20,7 @@
 {
     if (attempt.callerGone || attempt.error.kind == Common::ErrorKind::CallerGone || attempt.hasRelayed)
         return false;
-    return attempt.error.ran == Common::Ran::No || !attempt.mustRunOnce;
+    return attempt.error.ran == Common::Ran::No || !attempt.mustNotRepeat;
 }
 
 // Whether only the chosen upstream is to blame, so that another one may do.
--- a/Source/ClassServing/Scheduling/ShardScheduler.cpp
+++ b/Source/ClassServing/Scheduling/ShardScheduler.cpp
@@ -34,24 +34,25 @@
         decisions.push_back(Refusal { ask.id, ErrorKind::UpstreamLostState, Milliseconds(0) });
         return;
     }
-    double work = m_estimator.work(policy);
+    double slotSeconds = m_estimator.expectedSlotSeconds(policy);
     uint64_t flowKey = FairQueue::flowKey(ask);
-    m_estimator.arrived(policy.tier, work, now);
-    auto wait = std::min(m_estimator.wait(m_tiers, policy.tier, flowKey, work, m_ledger.capacity(now), now),
-        guaranteedWait(policy, work));
+    m_estimator.recordArrival(policy.tier, slotSeconds, now);
+    auto wait
+        = std::min(m_estimator.expectedWait(m_tiers, policy.tier, flowKey, slotSeconds, m_ledger.capacity(now), now),
+            guaranteedWait(policy, slotSeconds));
     // What was paused has been accepted before: it waits on, and is not judged again.
     if (ask.pinned.empty() && now + wait > ask.arrived + policy.maxWait) {
-        decisions.push_back(Refusal { ask.id, ErrorKind::DeadlineUnreachable, comeBackAfter(wait, policy) });
+        decisions.push_back(Refusal { ask.id, ErrorKind::DeadlineUnreachable, retryAfterFor(wait, policy) });
         return;
     }
-    if (m_waiting.size() >= m_options.maxWaiting && !makeRoom(policy.tier, decisions)) {
-        decisions.push_back(Refusal { ask.id, ErrorKind::QueueFull, comeBackAfter(wait, policy) });
+    if (m_waiting.size() >= m_options.maxWaiting && !refuseLowerTier(policy.tier, decisions)) {
+        decisions.push_back(Refusal { ask.id, ErrorKind::QueueFull, retryAfterFor(wait, policy) });
         return;
     }
-    enqueue(ask, flowKey, work);
+    enqueue(ask, flowKey, slotSeconds);
 }
 
-Duration ShardScheduler::guaranteedWait(const ClassPolicy& policy, double work) const
+Duration ShardScheduler::guaranteedWait(const ClassPolicy& policy, double slotSeconds) const
 {
     if (!policy.tier || !m_options.guaranteedSlots)
         return Duration::max();
@@ -65,25 +66,25 @@
             ++classes;
     }
     size_t turns = (classes + m_options.guaranteedSlots - 1) / m_options.guaranteedSlots;
-    auto turnsTime = std::chrono::duration<double>(static_cast<double>(ahead * turns) * work);
+    auto turnsTime = std::chrono::duration<double>(static_cast<double>(ahead * turns) * slotSeconds);
     return policy.guaranteeAfter + std::chrono::duration_cast<Duration>(turnsTime);
 }
 
 // A full queue gives up the lowest waiting request, if that is lower than the one that comes.
-bool ShardScheduler::makeRoom(Tier tier, Decisions& decisions)
+bool ShardScheduler::refuseLowerTier(Tier tier, Decisions& decisions)
 {
     for (Tier lowest = tierCount - 1; lowest > tier; --lowest) {
-        Waiting* last = m_tiers[lowest].heaviestTail();
+        WaitingRequest* last = m_tiers[lowest].lastOfLongestFlow();
         if (!last)
             continue;
-        decisions.push_back(Refusal { last->ask.id, ErrorKind::QueueFull, comeBackAfter(0s, *last->ask.policy) });
+        decisions.push_back(Refusal { last->ask.id, ErrorKind::QueueFull, retryAfterFor(0s, *last->ask.policy) });
         dequeue(*last);
         return true;
     }
     return false;
 }
 
-Milliseconds ShardScheduler::comeBackAfter(Duration wait, const ClassPolicy& policy) const
+Milliseconds ShardScheduler::retryAfterFor(Duration wait, const ClassPolicy& policy) const
 {
     // When the queue has shrunk to what the class can wait for.
     auto excess = std::chrono::duration_cast<Milliseconds>(wait - policy.maxWait);
@@ -97,11 +98,11 @@
     return queue;
 }
 
-void ShardScheduler::enqueue(const Ask& ask, uint64_t flowKey, double work)
+void ShardScheduler::enqueue(const Ask& ask, uint64_t flowKey, double slotSeconds)
 {
     auto& waiting = m_waiting[ask.id];
     waiting.ask = ask;
-    waiting.work = work;
+    waiting.slotSeconds = slotSeconds;
     waiting.flowKey = flowKey;
     waiting.deadline = ask.arrived + ask.policy->maxWait;
     if (!ask.pinned.empty()) {
@@ -115,7 +116,7 @@
     waiting.inClass = queue.waiting.insert(queue.waiting.end(), &waiting);
 }
 
-void ShardScheduler::dequeue(Waiting& waiting)
+void ShardScheduler::dequeue(WaitingRequest& waiting)
 {
     AskId id = waiting.ask.id;
     if (waiting.flow) {
@@ -133,14 +134,14 @@
         dequeue(waiting->second);
     if (m_running.contains(ask.id))
         return;
-    run(ask, FairQueue::flowKey(ask), m_estimator.work(*ask.policy), upstream, guaranteed, now);
+    run(ask, FairQueue::flowKey(ask), m_estimator.expectedSlotSeconds(*ask.policy), upstream, guaranteed, now);
 }
 
 void ShardScheduler::run(
-    const Ask& ask, uint64_t flowKey, double work, std::string_view upstream, bool guaranteed, TimePoint now)
+    const Ask& ask, uint64_t flowKey, double slotSeconds, std::string_view upstream, bool guaranteed, TimePoint now)
 {
     auto& queue = classQueue(*ask.policy);
-    Running running { ask.policy, &queue, std::string(upstream), now, flowKey, work, guaranteed, false };
+    RunningRequest running { ask.policy, &queue, std::string(upstream), now, flowKey, slotSeconds, guaranteed, false };
     m_ledger.start(upstream);
     ++m_runningByTier[ask.policy->tier];
     if (ask.policy->preemptible && !guaranteed)
@@ -161,7 +162,7 @@
     auto found = m_running.find(release.id);
     if (found == m_running.end())
         return;
-    Running& running = found->second;
+    RunningRequest& running = found->second;
     const auto& policy = *running.policy;
     auto held = now - running.started;
     m_ledger.finish(running.upstream, release, now);
@@ -173,7 +174,7 @@
         --m_guaranteedInUse;
         --running.classQueue->runningGuaranteed;
     }
-    m_tiers[policy.tier].correct(running.flowKey, Common::toSeconds(held) - running.work);
+    m_tiers[policy.tier].adjustCharge(running.flowKey, Common::toSeconds(held) - running.slotSeconds);
     if (release.outcome == SlotOutcome::Completed)
         m_estimator.observe(policy, held);
     m_running.erase(found);
@@ -184,7 +185,7 @@
     expire(now, decisions);
     if (m_waiting.empty())
         return;
-    if (now >= m_collectUntil)
+    if (now >= m_collectionEnd)
         grantGuaranteed(now, decisions);
     for (Tier tier = 0; tier < tierCount; ++tier) {
         if (!mayGrant(tier, now))
@@ -202,7 +203,7 @@
 void ShardScheduler::expire(TimePoint now, Decisions& decisions)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
-        Waiting& late = *m_deadlines.begin()->second;
+        WaitingRequest& late = *m_deadlines.begin()->second;
         decisions.push_back(
             Refusal { late.ask.id, ErrorKind::WaitExpired, Common::traits(ErrorKind::WaitExpired).retryAfter });
         dequeue(late);
@@ -211,13 +212,13 @@
 
 // The longest wait among the classes that may use a guaranteed slot now: those below the highest tier that have waited
 // past their bound and hold none yet. Null when there is none.
-Waiting* ShardScheduler::longestGuaranteed(TimePoint now)
+WaitingRequest* ShardScheduler::longestWaitPastBound(TimePoint now)
 {
-    Waiting* longest = nullptr;
+    WaitingRequest* longest = nullptr;
     for (auto& [name, classQueue] : m_classes) {
         if (classQueue.waiting.empty() || classQueue.runningGuaranteed || !classQueue.policy->tier)
             continue;
-        Waiting* first = classQueue.waiting.front();
+        WaitingRequest* first = classQueue.waiting.front();
         if (now - first->ask.arrived < classQueue.policy->guaranteeAfter)
             continue;
         if (!longest || first->ask.arrived < longest->ask.arrived)
@@ -230,7 +231,7 @@
 void ShardScheduler::grantGuaranteed(TimePoint now, Decisions& decisions)
 {
     while (m_guaranteedInUse < m_options.guaranteedSlots) {
-        Waiting* longest = longestGuaranteed(now);
+        WaitingRequest* longest = longestWaitPastBound(now);
         if (!longest)
             return;
         std::string upstream = longest->ask.pinned.empty() ? m_ledger.pick(longest->ask, now) : longest->ask.pinned;
@@ -246,7 +247,7 @@
 {
     auto& pinned = m_pinned[tier];
     for (auto place = pinned.begin(); place != pinned.end();) {
-        Waiting& waiting = **place++;
+        WaitingRequest& waiting = **place++;
         std::string upstream = waiting.ask.pinned;
         if (!m_ledger.isKnown(upstream)) {
             decisions.push_back(Refusal { waiting.ask.id, ErrorKind::UpstreamLostState, Milliseconds(0) });
@@ -260,7 +261,7 @@
 
 void ShardScheduler::grantTier(Tier tier, TimePoint now, Decisions& decisions)
 {
-    while (Waiting* next = m_tiers[tier].front()) {
+    while (WaitingRequest* next = m_tiers[tier].front()) {
         std::string upstream = m_ledger.pick(next->ask, now);
         if (upstream.empty())
             return;
@@ -269,11 +270,11 @@
 }
 
 void ShardScheduler::grant(
-    Waiting& waiting, const std::string& upstream, bool guaranteed, TimePoint now, Decisions& decisions)
+    WaitingRequest& waiting, const std::string& upstream, bool guaranteed, TimePoint now, Decisions& decisions)
 {
     Ask ask = waiting.ask;
     uint64_t flowKey = waiting.flowKey;
-    double work = waiting.work;
+    double slotSeconds = waiting.slotSeconds;
     if (waiting.flow) {
         m_tiers[ask.policy->tier].serve(waiting);
         m_deadlines.erase(waiting.inDeadlines);
@@ -283,7 +284,7 @@
         dequeue(waiting);
     }
     m_ledger.rememberPrefix(ask.prefix, upstream);
-    run(ask, flowKey, work, upstream, guaranteed, now);
+    run(ask, flowKey, slotSeconds, upstream, guaranteed, now);
     decisions.push_back(Grant { ask.id, upstream, guaranteed });
 }
 
@@ -295,7 +296,7 @@
     for (Tier tier = 0; tier + 1u < tierCount; ++tier) {
         if (!mayGrant(tier, now))
             return;
-        Waiting* next = m_tiers[tier].front();
+        WaitingRequest* next = m_tiers[tier].front();
         if (!next || now - next->ask.arrived < next->ask.policy->target / preemptionDivisor)
             continue;
         wanted += static_cast<uint32_t>(m_tiers[tier].size());
@@ -317,14 +318,14 @@
     for (Tier lowest = tierCount - 1; lowest > above; --lowest) {
         const auto& candidates = m_preemptible[lowest];
         auto found = std::find_if(candidates.rbegin(), candidates.rend(),
-            [&](const RunningKey& key) { return m_ledger.takesWork(m_running.at(key.second).upstream, now); });
+            [&](const RunningKey& key) { return m_ledger.acceptsNewRequests(m_running.at(key.second).upstream, now); });
         if (found != candidates.rend())
             return &found->second;
     }
     return nullptr;
 }
 
-void ShardScheduler::forgetEntry(uint64_t entry, TimePoint now)
+void ShardScheduler::dropEntry(uint64_t entry, TimePoint now)
 {
     std::vector<AskId> gone;
     for (const auto& [id, waiting] : m_waiting) {
--- a/Source/ClassServing/Scheduling/ShardScheduler.h
+++ b/Source/ClassServing/Scheduling/ShardScheduler.h
@@ -51,13 +51,13 @@
     // A slot is given back, or a waiting request is withdrawn.
     void release(const Release&, TimePoint now);
     // Until this time only tier 0 is granted: the other entries are still telling what runs.
-    void collectUntil(TimePoint time) { m_collectUntil = time; }
+    void setCollectionEnd(TimePoint time) { m_collectionEnd = time; }
 
     // Grants, refuses and preempts until nothing more can be decided at this time.
     void decide(TimePoint now, Decisions&);
 
     // All requests of an entry that is gone.
-    void forgetEntry(uint64_t entry, TimePoint now);
+    void dropEntry(uint64_t entry, TimePoint now);
 
     bool isIdle() const { return m_waiting.empty(); }
     size_t waitingCount() const { return m_waiting.size(); }
@@ -69,55 +69,56 @@
 private:
     struct ClassQueue {
         const ClassPolicy* policy { nullptr };
-        std::list<Waiting*> waiting; // In order of arrival here.
+        std::list<WaitingRequest*> waiting; // In order of arrival here.
         uint32_t runningGuaranteed { 0 };
     };
-    struct Running {
+    struct RunningRequest {
         const ClassPolicy* policy { nullptr };
         ClassQueue* classQueue { nullptr };
         std::string upstream;
         TimePoint started;
         uint64_t flowKey { 0 };
-        double work { 0 };
+        double slotSeconds { 0 };
         bool guaranteed { false };
         bool preempting { false };
     };
     using RunningKey = std::pair<TimePoint, AskId>;
 
-    bool makeRoom(Tier, Decisions&);
+    bool refuseLowerTier(Tier, Decisions&);
     ClassQueue& classQueue(const ClassPolicy&);
-    void enqueue(const Ask&, uint64_t flowKey, double work);
-    void run(const Ask&, uint64_t flowKey, double work, std::string_view upstream, bool guaranteed, TimePoint now);
-    void dequeue(Waiting&);
+    void enqueue(const Ask&, uint64_t flowKey, double slotSeconds);
+    void run(
+        const Ask&, uint64_t flowKey, double slotSeconds, std::string_view upstream, bool guaranteed, TimePoint now);
+    void dequeue(WaitingRequest&);
     void expire(TimePoint now, Decisions&);
-    Waiting* longestGuaranteed(TimePoint now);
+    WaitingRequest* longestWaitPastBound(TimePoint now);
     void grantGuaranteed(TimePoint now, Decisions&);
     void grantPinned(Tier, TimePoint now, Decisions&);
     void grantTier(Tier, TimePoint now, Decisions&);
-    void grant(Waiting&, const std::string& upstream, bool guaranteed, TimePoint now, Decisions&);
+    void grant(WaitingRequest&, const std::string& upstream, bool guaranteed, TimePoint now, Decisions&);
     void preempt(TimePoint now, Decisions&);
     const AskId* victim(Tier above, TimePoint now) const;
-    bool mayGrant(Tier tier, TimePoint now) const { return tier == 0 || now >= m_collectUntil; }
-    Common::Milliseconds comeBackAfter(Duration wait, const ClassPolicy&) const;
+    bool mayGrant(Tier tier, TimePoint now) const { return tier == 0 || now >= m_collectionEnd; }
+    Common::Milliseconds retryAfterFor(Duration wait, const ClassPolicy&) const;
     // How long a new request of the class waits until its guaranteed slot serves it, whatever higher tiers ask for.
-    // `work`: of one request, in seconds of a slot.
-    Duration guaranteedWait(const ClassPolicy&, double work) const;
+    // `slotSeconds`: of one request, in seconds of a slot.
+    Duration guaranteedWait(const ClassPolicy&, double slotSeconds) const;
 
     ShardOptions m_options;
     UpstreamLedger m_ledger;
     WaitEstimator m_estimator;
     std::array<FairQueue, tierCount> m_tiers;
-    std::array<std::list<Waiting*>, tierCount> m_pinned;
-    std::unordered_map<AskId, Waiting> m_waiting;
-    std::multimap<TimePoint, Waiting*> m_deadlines;
+    std::array<std::list<WaitingRequest*>, tierCount> m_pinned;
+    std::unordered_map<AskId, WaitingRequest> m_waiting;
+    std::multimap<TimePoint, WaitingRequest*> m_deadlines;
     std::map<std::string, ClassQueue, std::less<>> m_classes;
-    std::unordered_map<AskId, Running> m_running;
+    std::unordered_map<AskId, RunningRequest> m_running;
     // Requests that may be paused, by start: the one that started last has the least to lose.
     std::array<std::set<RunningKey>, tierCount> m_preemptible;
     std::array<size_t, tierCount> m_runningByTier {};
     uint32_t m_guaranteedInUse { 0 };
     uint32_t m_preempting { 0 };
-    TimePoint m_collectUntil {};
+    TimePoint m_collectionEnd {};
 };
 
 } // namespace Brassladder::ClassServing::Scheduling
--- a/Source/ClassServing/Scheduling/UpstreamLedger.cpp
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.cpp
@@ -12,8 +12,8 @@
 static constexpr double slowFactor = 2.0;
 // A slow upstream's limit shrinks by this factor, at most once an interval (additive increase, multiplicative
 // decrease). Chosen, not measured.
-static constexpr double shrinkFactor = 0.8;
-static constexpr Duration limitInterval = 500ms;
+static constexpr double limitDecreaseFactor = 0.8;
+static constexpr Duration limitDecreaseInterval = 500ms;
 // Weight of the newest sample in an upstream's time for a token: about the last ten responses count. Chosen, not
 // measured.
 static constexpr double sampleWeight = 0.2;
@@ -75,8 +75,8 @@
     // others, and it never takes the last slot: a false report must not close an upstream.
     uint32_t reported = load.running + load.waiting;
     uint32_t surplus = reported > upstream.running ? reported - upstream.running : 0;
-    uint32_t smoothed = std::min(surplus, upstream.foreign + 1);
-    upstream.foreign = std::min(smoothed, upstream.info.slots > 1 ? upstream.info.slots - 1 : 0);
+    uint32_t smoothed = std::min(surplus, upstream.externalLoad + 1);
+    upstream.externalLoad = std::min(smoothed, upstream.info.slots > 1 ? upstream.info.slots - 1 : 0);
 }
 
 void UpstreamLedger::start(std::string_view id)
@@ -103,33 +103,34 @@
     case SlotOutcome::RefusedByUpstream:
     case SlotOutcome::ConnectFailed:
     case SlotOutcome::Broken: {
-        auto exclusion = initialEjection * (1u << std::min(upstream.failures, maxEjectionDoublings));
-        upstream.ejectedUntil = now + std::min<Duration>(exclusion, maxEjection);
+        auto ejection = initialEjection * (1u << std::min(upstream.failures, maxEjectionDoublings));
+        upstream.ejectedUntil = now + std::min<Duration>(ejection, maxEjection);
         ++upstream.failures;
         return;
     }
     }
     if (release.perToken > Duration::zero()) {
         double seconds = Common::toSeconds(release.perToken);
-        upstream.perToken
-            = upstream.perToken ? upstream.perToken + sampleWeight * (seconds - upstream.perToken) : seconds;
-        if (!m_medianPerToken || ++m_samplesSinceMedian >= samplesPerMedian)
+        upstream.secondsPerToken = upstream.secondsPerToken
+            ? upstream.secondsPerToken + sampleWeight * (seconds - upstream.secondsPerToken)
+            : seconds;
+        if (!m_medianSecondsPerToken || ++m_samplesSinceMedian >= samplesPerMedian)
             refreshMedian();
-        adapt(upstream, now);
+        adaptLimit(upstream, now);
     }
 }
 
-void UpstreamLedger::adapt(LedgerEntry& upstream, TimePoint now)
+void UpstreamLedger::adaptLimit(LedgerEntry& upstream, TimePoint now)
 {
-    bool slow = m_medianPerToken > 0 && upstream.perToken > slowFactor * m_medianPerToken;
+    bool slow = m_medianSecondsPerToken > 0 && upstream.secondsPerToken > slowFactor * m_medianSecondsPerToken;
     if (!slow) {
         upstream.limit = std::min<double>(upstream.info.slots, upstream.limit + 1 / upstream.limit);
         return;
     }
-    if (now - upstream.limitChanged < limitInterval)
+    if (now - upstream.limitChanged < limitDecreaseInterval)
         return;
     upstream.limitChanged = now;
-    upstream.limit = std::max(1.0, upstream.limit * shrinkFactor);
+    upstream.limit = std::max(1.0, upstream.limit * limitDecreaseFactor);
 }
 
 void UpstreamLedger::refreshMedian()
@@ -138,30 +139,30 @@
     std::vector<double> samples;
     samples.reserve(m_upstreams.size());
     for (const auto& [id, upstream] : m_upstreams) {
-        if (upstream.perToken > 0)
-            samples.push_back(upstream.perToken);
+        if (upstream.secondsPerToken > 0)
+            samples.push_back(upstream.secondsPerToken);
     }
     if (samples.empty()) {
-        m_medianPerToken = 0;
+        m_medianSecondsPerToken = 0;
         return;
     }
     auto middle = samples.begin() + static_cast<ptrdiff_t>((samples.size() - 1) / 2);
     std::nth_element(samples.begin(), middle, samples.end());
-    m_medianPerToken = *middle;
+    m_medianSecondsPerToken = *middle;
 }
 
-bool UpstreamLedger::takesWork(const LedgerEntry& upstream, TimePoint now)
+bool UpstreamLedger::acceptsNewRequests(const LedgerEntry& upstream, TimePoint now)
 {
     return !upstream.info.leaving && now >= upstream.ejectedUntil;
 }
 
-bool UpstreamLedger::roomOn(const LedgerEntry& upstream, TimePoint now)
+bool UpstreamLedger::hasRoom(const LedgerEntry& upstream, TimePoint now)
 {
-    if (!takesWork(upstream, now))
+    if (!acceptsNewRequests(upstream, now))
         return false;
     // After a failure one request tries the upstream before it gets its full share again.
     double limit = upstream.failures ? 1 : std::floor(upstream.limit);
-    return upstream.running + upstream.foreign < limit;
+    return upstream.running + upstream.externalLoad < limit;
 }
 
 bool UpstreamLedger::hasRoomToResume(std::string_view id, TimePoint now) const
@@ -172,17 +173,18 @@
     return found->second.running < found->second.info.slots;
 }
 
-bool UpstreamLedger::takesWork(std::string_view id, TimePoint now) const
+bool UpstreamLedger::acceptsNewRequests(std::string_view id, TimePoint now) const
 {
     auto found = m_upstreams.find(std::string(id));
-    return found != m_upstreams.end() && takesWork(found->second, now);
+    return found != m_upstreams.end() && acceptsNewRequests(found->second, now);
 }
 
 // Expected time for a token, times the load.
 double UpstreamLedger::costOf(const LedgerEntry& upstream) const
 {
-    double perToken = upstream.perToken > 0 ? upstream.perToken : m_medianPerToken;
-    return (perToken > 0 ? perToken : 1) * (1 + (upstream.running + upstream.foreign) / upstream.limit);
+    double secondsPerToken = upstream.secondsPerToken > 0 ? upstream.secondsPerToken : m_medianSecondsPerToken;
+    return (secondsPerToken > 0 ? secondsPerToken : 1)
+        * (1 + (upstream.running + upstream.externalLoad) / upstream.limit);
 }
 
 std::string UpstreamLedger::pick(const Ask& ask, TimePoint now) const
@@ -193,7 +195,7 @@
     double cachedCost = 0;
     const PrefixSlot* slot = ask.prefix && !m_prefixes.empty() ? &m_prefixes[ask.prefix % prefixSlots] : nullptr;
     for (const auto& [id, upstream] : m_upstreams) {
-        if (!roomOn(upstream, now))
+        if (!hasRoom(upstream, now))
             continue;
         double cost = costOf(upstream);
         if (id == ask.avoid)
@@ -226,7 +228,7 @@
 {
     double sum = 0;
     for (const auto& [id, upstream] : m_upstreams) {
-        if (takesWork(upstream, now))
+        if (acceptsNewRequests(upstream, now))
             sum += std::floor(upstream.limit);
     }
     return sum;
--- a/Source/ClassServing/Scheduling/UpstreamLedger.h
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.h
@@ -46,7 +46,7 @@
     // Room to go on with a paused request: also on an upstream that is leaving, since it is no new work.
     bool hasRoomToResume(std::string_view upstream, TimePoint now) const;
     // Whether a slot freed there could be used by another request.
-    bool takesWork(std::string_view upstream, TimePoint now) const;
+    bool acceptsNewRequests(std::string_view upstream, TimePoint now) const;
     bool isKnown(std::string_view upstream) const { return m_upstreams.contains(std::string(upstream)); }
     // Where the request's prefix was sent last; the caches' own events come late and with gaps.
     void rememberPrefix(uint64_t prefix, std::string_view upstream);
@@ -62,21 +62,21 @@
         UpstreamInfo info;
         double limit { 1 };
         uint32_t running { 0 };
-        uint32_t foreign { 0 }; // Reported load that is not ours.
-        double perToken { 0 }; // Seconds, moving average; 0: unknown.
+        uint32_t externalLoad { 0 }; // Reported load that is not ours.
+        double secondsPerToken { 0 }; // Seconds, moving average; 0: unknown.
         uint32_t failures { 0 };
         TimePoint ejectedUntil {};
         TimePoint limitChanged {};
     };
 
-    static bool takesWork(const LedgerEntry&, TimePoint now);
-    static bool roomOn(const LedgerEntry&, TimePoint now);
+    static bool acceptsNewRequests(const LedgerEntry&, TimePoint now);
+    static bool hasRoom(const LedgerEntry&, TimePoint now);
     double costOf(const LedgerEntry&) const;
-    void adapt(LedgerEntry&, TimePoint now);
+    void adaptLimit(LedgerEntry&, TimePoint now);
     void refreshMedian();
 
     std::unordered_map<std::string, LedgerEntry> m_upstreams;
-    double m_medianPerToken { 0 };
+    double m_medianSecondsPerToken { 0 };
     uint32_t m_samplesSinceMedian { 0 };
     // A direct-mapped table: old prefixes give way to new ones, and memory is bounded.
     static constexpr size_t prefixSlots = 4096;
--- a/Source/ClassServing/Scheduling/WaitEstimator.cpp
+++ b/Source/ClassServing/Scheduling/WaitEstimator.cpp
@@ -7,26 +7,26 @@
 namespace Brassladder::ClassServing::Scheduling {
 
 // Expected slot time of a class before its first response. It only affects the first decisions. Chosen, not measured.
-static constexpr double firstGuessSeconds = 0.25;
+static constexpr double initialSlotSeconds = 0.25;
 // Weight of the newest response in the mean of its class: about the last twenty count. Chosen, not measured.
 static constexpr double sampleWeight = 0.1;
 // Time constant of the arrival rate: shorter than a burst, longer than the gap between two requests. Chosen, not
 // measured.
-static constexpr double rateMemorySeconds = 5;
+static constexpr double arrivalTimeConstantSeconds = 5;
 // Higher tiers are assumed to use at most this share of the capacity: otherwise a lower tier would refuse everything in
 // a short burst. Chosen, not measured.
-static constexpr double highestShare = 0.9;
+static constexpr double maxHigherTierShare = 0.9;
 
-double WaitEstimator::work(const ClassPolicy& policy) const
+double WaitEstimator::expectedSlotSeconds(const ClassPolicy& policy) const
 {
-    auto found = m_meanHeld.find(policy.name);
-    return found == m_meanHeld.end() ? firstGuessSeconds : found->second;
+    auto found = m_meanSlotSeconds.find(policy.name);
+    return found == m_meanSlotSeconds.end() ? initialSlotSeconds : found->second;
 }
 
 void WaitEstimator::observe(const ClassPolicy& policy, Duration held)
 {
     double seconds = Common::toSeconds(held);
-    auto [place, isNew] = m_meanHeld.try_emplace(policy.name, seconds);
+    auto [place, isNew] = m_meanSlotSeconds.try_emplace(policy.name, seconds);
     if (!isNew)
         place->second += sampleWeight * (seconds - place->second);
 }
@@ -34,31 +34,31 @@
 double WaitEstimator::decayed(const Rate& rate, TimePoint now) const
 {
     double age = std::max(0.0, Common::toSeconds(now - rate.updated));
-    return rate.perSecond * std::exp(-age / rateMemorySeconds);
+    return rate.perSecond * std::exp(-age / arrivalTimeConstantSeconds);
 }
 
-void WaitEstimator::arrived(Tier tier, double work, TimePoint now)
+void WaitEstimator::recordArrival(Tier tier, double slotSeconds, TimePoint now)
 {
     Rate& rate = m_arrivals[tier];
-    rate.perSecond = decayed(rate, now) + work / rateMemorySeconds;
+    rate.perSecond = decayed(rate, now) + slotSeconds / arrivalTimeConstantSeconds;
     rate.updated = now;
 }
 
-Duration WaitEstimator::wait(const std::array<FairQueue, tierCount>& tiers, Tier tier, uint64_t flowKey,
-    double workEach, double capacity, TimePoint now) const
+Duration WaitEstimator::expectedWait(const std::array<FairQueue, tierCount>& tiers, Tier tier, uint64_t flowKey,
+    double slotSecondsEach, double capacity, TimePoint now) const
 {
     double ahead = 0;
     double higherRate = 0;
     for (Tier higher = 0; higher < tier; ++higher) {
-        ahead += tiers[higher].work();
+        ahead += tiers[higher].slotSeconds();
         higherRate += decayed(m_arrivals[higher], now);
     }
     const FairQueue& own = tiers[tier];
-    double flowWork = static_cast<double>(own.flowLength(flowKey)) * workEach;
-    ahead += std::min(own.work(), flowWork * static_cast<double>(std::max<size_t>(1, own.activeFlows())));
+    double flowSlotSeconds = static_cast<double>(own.flowLength(flowKey)) * slotSecondsEach;
+    ahead += std::min(own.slotSeconds(), flowSlotSeconds * static_cast<double>(std::max<size_t>(1, own.activeFlows())));
     if (capacity < 1)
         capacity = 1;
-    double share = 1 - std::min(highestShare, higherRate / capacity);
+    double share = 1 - std::min(maxHigherTierShare, higherRate / capacity);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(ahead / (capacity * share)));
 }
 
--- a/Source/ClassServing/Scheduling/WaitEstimator.h
+++ b/Source/ClassServing/Scheduling/WaitEstimator.h
@@ -15,15 +15,15 @@
 class WaitEstimator {
 public:
     // Expected slot-seconds of a request of the class.
-    double work(const ClassPolicy&) const;
+    double expectedSlotSeconds(const ClassPolicy&) const;
     void observe(const ClassPolicy&, Duration held);
 
     // Counts work that arrives in a tier, for the share that higher tiers will go on taking.
-    void arrived(Tier, double work, TimePoint now);
+    void recordArrival(Tier, double slotSeconds, TimePoint now);
 
     // The time that a request of the flow would wait behind what stands in `tiers`, given `capacity` slots. Within its
     // tier a flow waits for the smaller of the whole queue and its own queue times the number of flows that share.
-    Duration wait(const std::array<FairQueue, tierCount>& tiers, Tier, uint64_t flowKey, double workEach,
+    Duration expectedWait(const std::array<FairQueue, tierCount>& tiers, Tier, uint64_t flowKey, double slotSecondsEach,
         double capacity, TimePoint now) const;
 
 private:
@@ -33,7 +33,7 @@
     };
     double decayed(const Rate&, TimePoint now) const;
 
-    std::unordered_map<std::string, double> m_meanHeld;
+    std::unordered_map<std::string, double> m_meanSlotSeconds;
     std::array<Rate, tierCount> m_arrivals;
 };
 
--- a/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
@@ -47,7 +47,7 @@
         ClassPolicy policy;
         policy.name = "class";
         FairQueue queue;
-        std::list<Waiting> storage;
+        std::list<WaitingRequest> storage;
         static constexpr int each = 200;
         for (size_t flow = 0; flow < weights.size(); ++flow) {
             for (int index = 0; index < each; ++index) {
@@ -55,7 +55,7 @@
                 waiting.ask.policy = &policy;
                 waiting.ask.workspace = flow + 1;
                 waiting.ask.weight = weights[flow];
-                waiting.work = 1;
+                waiting.slotSeconds = 1;
                 waiting.flowKey = flow + 1;
                 queue.push(waiting);
             }
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -299,7 +299,7 @@
 TEST_F(ShardSchedulerTest, NewHomeServesOnlyTheHighestTierWhileItCollects)
 {
     useWorkers(1, 4);
-    m_shard.collectUntil(m_now + 300ms);
+    m_shard.setCollectionEnd(m_now + 300ms);
     auto low = ask(2);
     auto high = ask(0);
     EXPECT_EQ(only<Grant>(decide()).at(0).id, high);
@@ -339,7 +339,7 @@
     ask(1);
     ask(1);
     decide();
-    m_shard.forgetEntry(7, m_now);
+    m_shard.dropEntry(7, m_now);
     EXPECT_EQ(m_shard.runningCount(), 0u);
     EXPECT_EQ(m_shard.waitingCount(), 0u);
 }
