--- a/Source/UnitTests/ClassServing/Claims/ClaimFoldTest.cpp
+++ b/Source/UnitTests/ClassServing/Claims/ClaimFoldTest.cpp
@@ -19,7 +19,7 @@
     EXPECT_EQ(fold.verdict("other", "x"), Verdict::Unclaimed);
 }
 
-TEST(ClaimFoldTest, EndedClaimIsToldApart)
+TEST(ClaimFoldTest, EndedClaimHasItsOwnVerdict)
 {
     ClaimFold fold(1h);
     fold.apply(0, { { { "k", "first" } }, {}, {} });
@@ -39,7 +39,7 @@
     EXPECT_EQ(fold.verdict("k", "second"), Verdict::Won);
 }
 
-TEST(ClaimFoldTest, FreeByAnotherThanTheClaimantChangesNothing)
+TEST(ClaimFoldTest, FreeByAnotherRequestHasNoEffect)
 {
     ClaimFold fold(1h);
     fold.apply(0, { { { "k", "first" } }, {}, {} });
@@ -57,7 +57,7 @@
     EXPECT_EQ(fold.verdict("k", "second"), Verdict::Unclaimed);
 }
 
-TEST(ClaimFoldTest, BatchesSurviveTheWire)
+TEST(ClaimFoldTest, BatchesAreDecodedAndMalformedTextIsEmpty)
 {
     ClaimBatch batch { { { "a", "b" } }, { { "c", "d" } }, { { "e", "f" } } };
     auto decoded = decodeBatch(encodeBatch(batch));
--- a/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
+++ b/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
@@ -14,7 +14,7 @@
 
 // While a withdrawal is being appended, its partition is in use however long that takes: when the append fails, the
 // withdrawal goes out again.
-TEST(ClaimRouterTest, WithdrawalWhoseAppendFailsIsWrittenLater)
+TEST(ClaimRouterTest, WithdrawalIsAppendedAgainAfterAFailedAppend)
 {
     // Fibers of the router outlive the test.
     struct Log {
--- a/Source/UnitTests/ClassServing/Config/FoldTest.cpp
+++ b/Source/UnitTests/ClassServing/Config/FoldTest.cpp
@@ -15,7 +15,7 @@
     return encodeRecord(PublishRecord { file, base, id, Common::sha256Hex(content), content });
 }
 
-TEST(FoldTest, FirstOfTwoOperatorsWins)
+TEST(FoldTest, FirstOfTwoConcurrentPublishesWins)
 {
     Fold fold;
     EXPECT_EQ(fold.apply(1, 0, publish("pools", 0, "a", "first")), FoldVerdict::Accepted);
@@ -25,7 +25,7 @@
     EXPECT_EQ(fold.versionOf("pools"), 2u);
 }
 
-TEST(FoldTest, ResendOfAnAcceptedPublishIsHarmless)
+TEST(FoldTest, ResendOfAnAcceptedPublishHasNoEffect)
 {
     Fold fold;
     fold.apply(1, 0, publish("pools", 0, "a", "first"));
@@ -33,7 +33,7 @@
     EXPECT_EQ(fold.versionOf("pools"), 1u);
 }
 
-TEST(FoldTest, SnapshotNeverMovesBack)
+TEST(FoldTest, OlderSnapshotDoesNotReplaceANewerFile)
 {
     Fold fold;
     fold.apply(1, 0, publish("pools", 0, "a", "first"));
@@ -43,7 +43,7 @@
     EXPECT_EQ(fold.files().at("pools").content, "second");
 }
 
-TEST(FoldTest, PeerWithAWrongDigestIsNotBelieved)
+TEST(FoldTest, FileWithAWrongDigestIsNotMerged)
 {
     Fold fold;
     EXPECT_FALSE(fold.merge("pools", { 9, "x", "not the digest", "content", 0 }));
@@ -51,7 +51,7 @@
     EXPECT_FALSE(fold.merge("pools", { 8, "y", Common::sha256Hex("older"), "older", 0 }));
 }
 
-TEST(FoldTest, MalformedRecordsArePassedOver)
+TEST(FoldTest, MalformedRecordsAreSkipped)
 {
     Fold fold;
     for (const auto* text :
@@ -61,7 +61,7 @@
 
 // Any history of publishes and snapshots: versions only rise, and a reader that begins with a peer's state and reads
 // the log from any offset on ends where one ends that has read it all.
-TEST(FoldTest, VersionsOnlyRiseAndLateReadersAgree)
+TEST(FoldTest, VersionsIncreaseAndLateReadersConverge)
 {
     bool holds = rc::check("fold", [] {
         struct Step {
@@ -98,7 +98,7 @@
     EXPECT_TRUE(holds);
 }
 
-TEST(CompilerTest, FileThatDoesNotCompileLeavesTheLastGoodOneInForce)
+TEST(CompilerTest, InvalidFileKeepsTheLastValidVersionInForce)
 {
     Fold fold;
     Compiler compiler;
--- a/Source/UnitTests/ClassServing/Config/ModelTest.cpp
+++ b/Source/UnitTests/ClassServing/Config/ModelTest.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-struct BadFile {
+struct InvalidFile {
     const char* name;
     const char* text;
     std::vector<std::string> pointers; // All that must be named, in one go.
 };
 
-class BadFileTest : public testing::TestWithParam<BadFile> { };
+class InvalidFileTest : public testing::TestWithParam<InvalidFile> { };
 
 } // namespace
 
-TEST_P(BadFileTest, NamesEachFault)
+TEST_P(InvalidFileTest, ReportsEachFault)
 {
     auto parsed = parseFile(GetParam().name, Common::parseJson(GetParam().text));
     const auto* faults = std::get_if<std::vector<Common::Fault>>(&parsed);
@@ -31,21 +31,21 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Files, BadFileTest,
-    testing::Values(BadFile { "pools", "[]", { "" } },
-        BadFile { "pools", R"({"pools":[{}]})", { "/pools/0/name", "/pools/0/kind" } },
-        BadFile { "pools", R"({"pools":[{"name":"a","kind":"engine","slots_per_worker":0,"extra":1}]})",
+INSTANTIATE_TEST_SUITE_P(Files, InvalidFileTest,
+    testing::Values(InvalidFile { "pools", "[]", { "" } },
+        InvalidFile { "pools", R"({"pools":[{}]})", { "/pools/0/name", "/pools/0/kind" } },
+        InvalidFile { "pools", R"({"pools":[{"name":"a","kind":"engine","slots_per_worker":0,"extra":1}]})",
             { "/pools/0/slots_per_worker", "/pools/0/extra" } },
-        BadFile { "pools",
+        InvalidFile { "pools",
             R"({"pools":[{"name":"a","kind":"engine","slots_per_worker":1},{"name":"a","kind":"engine","slots_per_worker":1}]})",
             { "/pools" } },
-        BadFile { "classes", R"({"classes":[{"name":"a","pool":"p","tier":9,"target_ms":-1,"max_wait_ms":1.5}]})",
+        InvalidFile { "classes", R"({"classes":[{"name":"a","pool":"p","tier":9,"target_ms":-1,"max_wait_ms":1.5}]})",
             { "/classes/0/tier", "/classes/0/target_ms", "/classes/0/max_wait_ms" } },
-        BadFile { "classes",
+        InvalidFile { "classes",
             R"({"classes":[{"name":"a","pool":"p","tier":0,"target_ms":1,"max_wait_ms":1,"no_repeat":true,"preemptible":true}]})",
             { "/classes/0/preemptible" } },
-        BadFile { "workspace/a", R"({"name":"b","key_digests":["x"],"default_class":"c","classes":["d"]})",
+        InvalidFile { "workspace/a", R"({"name":"b","key_digests":["x"],"default_class":"c","classes":["d"]})",
             { "/name", "/key_digests", "/default_class" } },
-        BadFile { "elsewhere", "{}", { "" } }));
+        InvalidFile { "elsewhere", "{}", { "" } }));
 
 } // namespace Brassladder::ClassServing::Config
--- a/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
@@ -17,8 +17,8 @@
 class GrantClientTest : public testing::Test {
 protected:
     GrantClientTest()
-        : m_client({ [this](const std::string& peer, const Item& item) { note(peer, item); },
-            [this] { return m_view.load(); }, [this](const std::string&) { ++m_silent; } })
+        : m_client({ [this](const std::string& peer, const Item& item) { recordSent(peer, item); },
+            [this] { return m_view.load(); }, [this](const std::string&) { ++m_unresponsiveReports; } })
     {
         auto requestClass = std::make_shared<Config::RequestClass>();
         requestClass->policy.name = "urgent";
@@ -36,7 +36,7 @@
         m_view.store(view);
     }
 
-    void note(const std::string& peer, const Item& item)
+    void recordSent(const std::string& peer, const Item& item)
     {
         std::function<void()> then;
         {
@@ -78,7 +78,7 @@
     std::mutex m_mutex;
     std::vector<std::pair<std::string, Item>> m_sent;
     std::function<void()> m_onReset;
-    std::atomic<int> m_silent { 0 };
+    std::atomic<int> m_unresponsiveReports { 0 };
     Common::RcuCell<Membership::View> m_view { std::make_shared<Membership::View>() };
     SlotRequest m_request;
     std::shared_ptr<RequestSignal> m_signal { std::make_shared<RequestSignal>() };
@@ -88,7 +88,7 @@
 } // namespace
 
 // Word that the request is queued may come while the wait for a silent home runs: the request waits on.
-TEST_F(GrantClientTest, QueuedRequestIsNotGivenUpWhenItsHomeAnswersLate)
+TEST_F(GrantClientTest, QueuedRequestKeepsWaitingForALateGrant)
 {
     auto slot = acquire();
     awaitSent(1);
@@ -100,10 +100,10 @@
     EXPECT_FALSE(isError(slot.get()));
 }
 
-TEST_F(GrantClientTest, SilentHomeIsReportedAndTheNextOneIsToldOfEverything)
+TEST_F(GrantClientTest, UnresponsiveHomeIsReportedAndTheNextHomeReceivesTheRequest)
 {
     auto slot = acquire();
-    while (!m_silent)
+    while (!m_unresponsiveReports)
         std::this_thread::sleep_for(1ms);
     setRouters({ "r2" });
     m_client.onViewChanged(*m_view.load());
@@ -121,7 +121,7 @@
     EXPECT_FALSE(isError(slot.get()));
 }
 
-TEST_F(GrantClientTest, CallerThatGoesAwayEndsTheWait)
+TEST_F(GrantClientTest, CancelledRequestStopsWaiting)
 {
     auto slot = acquire();
     awaitSent(1);
@@ -133,7 +133,7 @@
 }
 
 // A request that arrived after the time at which a change of home was noticed has waited for nothing, not for weeks.
-TEST_F(GrantClientTest, AgeIsNeverNegative)
+TEST_F(GrantClientTest, WaitedTimeIsNeverNegative)
 {
     m_request.arrived = Common::now() + 1h;
     auto slot = acquire();
@@ -144,7 +144,7 @@
 }
 
 // The home grants, and at once wants the slot back for a higher tier, before the request's fiber has run.
-TEST_F(GrantClientTest, PreemptionThatComesBeforeTheAttemptBeginsIsNotLost)
+TEST_F(GrantClientTest, PreemptionBeforeTheAttemptStartsIsDelivered)
 {
     auto slot = acquire();
     awaitSent(1);
@@ -153,14 +153,14 @@
     preemption.set_sequence(1);
     m_client.onPreemption("r1", preemption);
     ASSERT_FALSE(isError(slot.get()));
-    bool told = false;
-    m_signal->setOnPreempt([&] { told = true; });
-    EXPECT_TRUE(told) << "the home counts on this slot and preempts nobody else";
+    bool notified = false;
+    m_signal->setOnPreempt([&] { notified = true; });
+    EXPECT_TRUE(notified) << "the home counts on this slot and preempts nobody else";
 }
 
 // What a home hears last of a request must be its release: asked for again after that, it is granted for nobody, and
 // the slot never comes back. Here the caller leaves while the entry tells a home everything again.
-TEST_F(GrantClientTest, RequestThatEndsWhileItIsToldAgainIsNotAskedForAfterItsRelease)
+TEST_F(GrantClientTest, NoAskIsSentAfterTheReleaseOfARequest)
 {
     auto slot = acquire();
     awaitSent(1);
--- a/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
@@ -84,7 +84,7 @@
     }
 
     // On another thread. Returns once that has ended, or has to wait for this one.
-    std::future<void> changeViewElsewhere(const std::vector<std::string>& engines)
+    std::future<void> changeViewOnAnotherThread(const std::vector<std::string>& engines)
     {
         auto done = std::async(std::launch::async, [this, engines] {
             setView(engines);
@@ -131,7 +131,7 @@
 }
 
 // Between the look at the view and the entry into the map of shards the view changes, on another thread.
-TEST_F(HomeTest, ShardThatIsOpenedWhileTheViewChangesHasTheNewUpstreams)
+TEST_F(HomeTest, ShardOpenedDuringAViewChangeHasTheNewUpstreams)
 {
     setView({ "e1" });
     std::atomic<int> tables { 0 };
@@ -140,7 +140,7 @@
     m_onTable = [&] {
         if (++tables != 3)
             return;
-        other = changeViewElsewhere({ "e2" });
+        other = changeViewOnAnotherThread({ "e2" });
     };
     ask(9, "urgent");
     other.wait();
@@ -160,7 +160,7 @@
     m_onTable = [&] {
         if (++tables != 2)
             return;
-        other = changeViewElsewhere({ "e2" });
+        other = changeViewOnAnotherThread({ "e2" });
     };
     m_home.onViewChanged(*m_view.load());
     other.wait();
--- a/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(RetryBudgetTest, FailingPoolSeesABoundedShareOfRetries)
+TEST(RetryBudgetTest, RetriesAgainstAFailingPoolAreBounded)
 {
     RetryBudget budget;
     Common::TimePoint now(1h);
--- a/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
@@ -9,7 +9,7 @@
 
 using Common::ErrorKind;
 
-TEST(RetryRuleTest, OnlyWhatDidNotRunOrMayRepeatIsTriedAgain)
+TEST(RetryRuleTest, OnlyUnexecutedOrRepeatableRequestsAreRetried)
 {
     for (const auto& row : Common::errorTable()) {
         auto error = Common::makeError(row.kind, "");
@@ -21,7 +21,7 @@
     }
 }
 
-TEST(RetryRuleTest, AnUpstreamThatIsLeavingIsReplacedByAnother)
+TEST(RetryRuleTest, LeavingUpstreamIsReplacedByAnother)
 {
     EXPECT_TRUE(isUpstreamGone(Common::makeError(ErrorKind::UpstreamRefused, "")));
     EXPECT_TRUE(isUpstreamGone(Common::makeError(ErrorKind::UpstreamLostState, "")));
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -28,7 +28,7 @@
         }
     }
 
-    void useWorkers(uint32_t count, uint32_t slots)
+    void useUpstreams(uint32_t count, uint32_t slots)
     {
         std::vector<UpstreamInfo> upstreams;
         for (uint32_t index = 0; index < count; ++index)
@@ -82,7 +82,7 @@
 
 TEST_F(ShardSchedulerTest, FreeSlotGoesToTheHighestTier)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     auto first = ask(3);
     EXPECT_EQ(only<Grant>(decide()).at(0).id, first);
     ask(3);
@@ -93,9 +93,9 @@
     EXPECT_EQ(only<Grant>(decide()).at(0).id, highest);
 }
 
-TEST_F(ShardSchedulerTest, NothingLowerIsGrantedWhileAHigherTierWaits)
+TEST_F(ShardSchedulerTest, LowerTiersGetNoSlotWhileAHigherTierWaits)
 {
-    useWorkers(1, 2);
+    useUpstreams(1, 2);
     for (int index = 0; index < 4; ++index)
         ask(0);
     ask(1);
@@ -109,9 +109,9 @@
     EXPECT_EQ(m_shard.waitingCount(1), 1u);
 }
 
-TEST_F(ShardSchedulerTest, HigherTierPausesTheLowestRunningAfterItsPatience)
+TEST_F(ShardSchedulerTest, HigherTierPreemptsTheLowestRunningRequestAfterADelay)
 {
-    useWorkers(1, 2);
+    useUpstreams(1, 2);
     auto middle = ask(2);
     auto lowest = ask(3);
     decide();
@@ -126,9 +126,9 @@
     (void)middle;
 }
 
-TEST_F(ShardSchedulerTest, NeverPausesAnEqualOrHigherTier)
+TEST_F(ShardSchedulerTest, NeverPreemptsAnEqualOrHigherTier)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     ask(1);
     decide();
     ask(1);
@@ -137,9 +137,9 @@
     EXPECT_TRUE(only<Preemption>(decide(5s)).empty());
 }
 
-TEST_F(ShardSchedulerTest, PausedRequestGoesOnWhereItsStateLies)
+TEST_F(ShardSchedulerTest, PausedRequestResumesOnItsUpstream)
 {
-    useWorkers(2, 1);
+    useUpstreams(2, 1);
     auto resumed = ask(3, 1, "w1");
     auto grants = only<Grant>(decide());
     ASSERT_EQ(grants.size(), 1u);
@@ -147,9 +147,9 @@
     EXPECT_EQ(grants[0].upstream, "w1");
 }
 
-TEST_F(ShardSchedulerTest, PausedRequestOnAWorkerThatIsGoneIsToldSo)
+TEST_F(ShardSchedulerTest, PausedRequestIsRefusedWhenItsUpstreamIsGone)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     ask(3, 1, "w9");
     auto refusals = only<Refusal>(decide());
     ASSERT_EQ(refusals.size(), 1u);
@@ -157,9 +157,9 @@
 }
 
 // Every class gets work done through a burst that never ends: the highest tier always waits for every slot.
-TEST_F(ShardSchedulerTest, GuaranteedSlotServesTheLowestClassThroughAnEndlessBurst)
+TEST_F(ShardSchedulerTest, GuaranteedSlotServesTheLowestClassDuringAnEndlessBurst)
 {
-    useWorkers(1, 4);
+    useUpstreams(1, 4);
     auto low = ask(3);
     std::vector<AskId> running;
     bool served = false;
@@ -177,9 +177,9 @@
     EXPECT_TRUE(m_now - TimePoint(1h) < 6s) << "just past the bound of the class";
 }
 
-TEST_F(ShardSchedulerTest, GuaranteedRequestIsNotPaused)
+TEST_F(ShardSchedulerTest, GuaranteedRequestIsNotPreempted)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     auto first = ask(0);
     decide();
     auto low = ask(3);
@@ -194,9 +194,9 @@
     EXPECT_TRUE(only<Preemption>(decide(1s)).empty());
 }
 
-TEST_F(ShardSchedulerTest, RefusesAtOnceWhatCannotBeServedInTime)
+TEST_F(ShardSchedulerTest, RequestThatCannotMeetItsDeadlineIsRefusedOnArrival)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     std::vector<Refusal> refusals;
     // The first guess is a quarter of a second for each, so 40 fill the ten seconds that tier 1 may wait.
     for (int index = 0; index < 60; ++index)
@@ -212,9 +212,9 @@
 
 // Found by StarvationTest beside load: higher tiers ask for more than there is, so that the estimate in tier order
 // passed the longest wait, and a request that its guaranteed slot would have served was refused.
-TEST_F(ShardSchedulerTest, WhatAGuaranteedSlotServesInTimeIsNotRefusedForHigherTiers)
+TEST_F(ShardSchedulerTest, RequestThatAGuaranteedSlotServesInTimeIsAccepted)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     m_policies[2].guaranteeAfter = 1s;
     m_policies[2].maxWait = 4s;
     for (int index = 0; index < 30; ++index)
@@ -231,9 +231,9 @@
         EXPECT_NE(refusal.id, low);
 }
 
-TEST_F(ShardSchedulerTest, LightWorkspaceIsNotRefusedForAHeavyOne)
+TEST_F(ShardSchedulerTest, BacklogOfOneWorkspaceDoesNotRefuseAnother)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     for (int index = 0; index < 60; ++index)
         ask(1, 1);
     decide();
@@ -241,9 +241,9 @@
     EXPECT_TRUE(only<Refusal>(decide()).empty());
 }
 
-TEST_F(ShardSchedulerTest, WorkspacesOfATierTakeTurns)
+TEST_F(ShardSchedulerTest, WorkspacesOfATierShareSlotsFairly)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     auto first = ask(1, 1);
     decide();
     for (int index = 0; index < 5; ++index)
@@ -255,10 +255,10 @@
     EXPECT_EQ(only<Grant>(decide()).at(0).id, light);
 }
 
-TEST_F(ShardSchedulerTest, FullQueueGivesUpTheLowestTierFirst)
+TEST_F(ShardSchedulerTest, FullQueueRefusesTheLowestTierFirst)
 {
     m_shard = ShardScheduler({ 0, 3, true });
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     ask(0);
     decide();
     ask(3);
@@ -272,9 +272,9 @@
     EXPECT_EQ(m_shard.waitingCount(3), 1u);
 }
 
-TEST_F(ShardSchedulerTest, WaitThatEndsIsRefusedAtItsDeadline)
+TEST_F(ShardSchedulerTest, WaitingRequestIsRefusedAtItsDeadline)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     ask(0);
     decide();
     ask(1);
@@ -284,9 +284,9 @@
     EXPECT_EQ(refusals[0].kind, ErrorKind::WaitExpired);
 }
 
-TEST_F(ShardSchedulerTest, LeavingWorkerGetsNoNewWork)
+TEST_F(ShardSchedulerTest, LeavingUpstreamGetsNoNewRequests)
 {
-    useWorkers(2, 4);
+    useUpstreams(2, 4);
     m_shard.markLeaving("w0");
     for (int index = 0; index < 8; ++index)
         ask(1);
@@ -296,9 +296,9 @@
         EXPECT_EQ(grant.upstream, "w1");
 }
 
-TEST_F(ShardSchedulerTest, NewHomeServesOnlyTheHighestTierWhileItCollects)
+TEST_F(ShardSchedulerTest, NewHomeGrantsOnlyTheHighestTierDuringCollection)
 {
-    useWorkers(1, 4);
+    useUpstreams(1, 4);
     m_shard.setCollectionEnd(m_now + 300ms);
     auto low = ask(2);
     auto high = ask(0);
@@ -309,7 +309,7 @@
 
 TEST_F(ShardSchedulerTest, RestoredRequestsHoldTheirSlots)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     Ask running;
     running.id = { 9, 1 };
     running.policy = &m_policies[1];
@@ -321,9 +321,9 @@
     EXPECT_EQ(only<Grant>(decide()).size(), 1u);
 }
 
-TEST_F(ShardSchedulerTest, RepeatedAskChangesNothingAndTellsItsGrantAgain)
+TEST_F(ShardSchedulerTest, RepeatedAskReturnsTheExistingGrant)
 {
-    useWorkers(1, 4);
+    useUpstreams(1, 4);
     auto id = ask(1);
     decide();
     --m_sequence;
@@ -333,9 +333,9 @@
     EXPECT_EQ(m_shard.runningCount(), 1u);
 }
 
-TEST_F(ShardSchedulerTest, ForgottenEntryGivesBackAllThatItHeld)
+TEST_F(ShardSchedulerTest, DroppedEntryReleasesItsSlotsAndRequests)
 {
-    useWorkers(1, 1);
+    useUpstreams(1, 1);
     ask(1);
     ask(1);
     decide();
@@ -344,9 +344,9 @@
     EXPECT_EQ(m_shard.waitingCount(), 0u);
 }
 
-TEST_F(ShardSchedulerTest, FailedWorkerIsLeftOutAndThenTriedWithOneRequest)
+TEST_F(ShardSchedulerTest, FailedUpstreamIsEjectedThenTriedWithOneRequest)
 {
-    useWorkers(1, 4);
+    useUpstreams(1, 4);
     auto id = ask(1);
     decide();
     release(id, SlotOutcome::ConnectFailed);
@@ -356,9 +356,9 @@
     EXPECT_EQ(only<Grant>(decide(600ms)).size(), 1u);
 }
 
-TEST_F(ShardSchedulerTest, SlowWorkerGetsFewerRequests)
+TEST_F(ShardSchedulerTest, SlowUpstreamGetsFewerRequests)
 {
-    useWorkers(3, 8);
+    useUpstreams(3, 8);
     for (int round = 0; round < 40; ++round) {
         for (int index = 0; index < 6; ++index)
             ask(1);
@@ -373,9 +373,9 @@
     EXPECT_LE(onSlow, 1u);
 }
 
-TEST_F(ShardSchedulerTest, FalseLoadReportNeverClosesAWorker)
+TEST_F(ShardSchedulerTest, FalseLoadReportDoesNotExcludeAnUpstream)
 {
-    useWorkers(1, 4);
+    useUpstreams(1, 4);
     for (int index = 0; index < 100; ++index)
         m_shard.report("w0", { 1000, 1000, false });
     ask(0);
