--- a/Source/ClassServing/Frontend/AttemptLoop.cpp
+++ b/Source/ClassServing/Frontend/AttemptLoop.cpp
@@ -82,7 +82,7 @@
     AttemptResult result;
     if (context.signal->isCancelled())
         result = { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0, {} };
-    else if (m_claims.isTooOld(context, Common::now()) && !resuming)
+    else if (m_claims.isClaimStale(context, Common::now()) && !resuming)
         result = { SlotOutcome::Cancelled,
             Common::makeError(ErrorKind::ClaimUnavailable, "the claim is too old to act on"), 0, {} };
     else
--- a/Source/ClassServing/Frontend/CallerEndpoint.cpp
+++ b/Source/ClassServing/Frontend/CallerEndpoint.cpp
@@ -52,7 +52,7 @@
     exchange.respond(Common::errorResponse(error));
 }
 
-static void reportEnd(const RequestContext& context, const Common::Status& status)
+static void recordOutcome(const RequestContext& context, const Common::Status& status)
 {
     Json line = { { "request_id", context.requestId }, { "workspace", context.workspace->name },
         { "class", context.policy().name }, { "ms", Common::toMilliseconds(Common::now() - context.arrived).count() } };
@@ -89,7 +89,7 @@
     RequestMetrics::arrived(*context.requestClass);
     exchange.watchCaller([signal = context.signal] { signal->cancel(); });
     auto status = target->isChat ? m_parts.chat.handle(context) : m_parts.services.handle(context, target->path);
-    reportEnd(context, status);
+    recordOutcome(context, status);
 }
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/ChatHandler.cpp
+++ b/Source/ClassServing/Frontend/ChatHandler.cpp
@@ -14,7 +14,7 @@
 // Prompts with the same first kilobyte are assumed to share a cached prefix. Chosen, not measured.
 static constexpr size_t prefixBytes = 1024;
 
-static uint64_t prefixOf(const Json& messages)
+static uint64_t prefixHash(const Json& messages)
 {
     auto text = Common::dumpJson(messages.front());
     return Common::stableHash(std::string_view(text).substr(0, prefixBytes));
@@ -23,26 +23,27 @@
 Status ChatHandler::handle(RequestContext& context)
 {
     Json body = Common::parseJson(context.exchange.request().body());
-    bool fits
+    bool isValid
         = body.is_object() && body.contains("messages") && body["messages"].is_array() && !body["messages"].empty();
-    bool streaming = fits && Common::member<bool>(body, "stream", false);
-    if (fits) {
-        context.prefix = prefixOf(body["messages"]);
+    bool streaming = isValid && Common::member<bool>(body, "stream", false);
+    if (isValid) {
+        context.prefix = prefixHash(body["messages"]);
         body["stream"] = true;
     }
-    Generation generation(context, fits ? Common::dumpJson(body) : std::string(), streaming, m_timeouts);
+    Generation generation(context, isValid ? Common::dumpJson(body) : std::string(), streaming, m_timeouts);
     Status status = Common::Done {};
-    if (!fits)
+    if (!isValid)
         status = Common::makeError(ErrorKind::BadRequest,
             "the body is a JSON object, not nested too deeply, with an array `messages` that is not empty");
     else
-        status = m_loop.run(context, [&](const Membership::Upstream& upstream) { return generation.tryOn(upstream); });
+        status = m_loop.run(
+            context, [&](const Membership::Upstream& upstream) { return generation.runOnEngine(upstream); });
     if (isError(status)) {
-        generation.answerError(errorOf(status));
+        generation.finishWithError(errorOf(status));
         return status;
     }
     RequestMetrics::completed(context.policy().name, generation.tokens());
-    generation.answerWhole();
+    generation.finishResponse();
     return status;
 }
 
--- a/Source/ClassServing/Frontend/ClaimGate.cpp
+++ b/Source/ClassServing/Frontend/ClaimGate.cpp
@@ -10,9 +10,9 @@
 
 // The part of the horizon within which a claimed request must be sent. The rest is the margin for a process that is
 // stopped between its last look at the clock and the write (docs/PROMISES.md, "Not proved"). Chosen, not measured.
-static constexpr int sendWithinDivisor = 2;
+static constexpr int sendWindowDivisor = 2;
 
-static Error refusal(Claims::Verdict verdict)
+static Error claimError(Claims::Verdict verdict)
 {
     if (verdict == Claims::Verdict::Unavailable)
         return Common::makeError(ErrorKind::ClaimUnavailable, "the platform's log does not confirm the key now");
@@ -24,9 +24,9 @@
 
 // A later attempt of a class with vouched attempts never runs: the first one may have run without a claim, while the
 // log was out.
-static Error refusalOfLaterAttempt(Claims::Verdict verdict)
+static Error laterAttemptError(Claims::Verdict verdict)
 {
-    return refusal(verdict == Claims::Verdict::Unavailable ? Claims::Verdict::Taken : verdict);
+    return claimError(verdict == Claims::Verdict::Unavailable ? Claims::Verdict::Taken : verdict);
 }
 
 Status ClaimGate::claim(RequestContext& context)
@@ -39,15 +39,15 @@
     auto verdict = m_claims.claim(what, isLater);
     context.explanation->step("claimed", { { "verdict", Claims::name(verdict) }, { "look_only", isLater } });
     if (isLater)
-        return refusalOfLaterAttempt(verdict);
+        return laterAttemptError(verdict);
     if (verdict == Claims::Verdict::Won || (isVouched && verdict == Claims::Verdict::Unavailable)) {
-        context.claimed = Common::now();
+        context.claimedAt = Common::now();
         return Common::Done {};
     }
     // The claim may yet take effect; freed, it does not stand in the way of the caller's next attempt.
     if (verdict == Claims::Verdict::Unavailable)
         m_claims.free(what);
-    return refusal(verdict);
+    return claimError(verdict);
 }
 
 void ClaimGate::settle(const RequestContext& context, const Status& status)
@@ -61,9 +61,9 @@
         m_claims.free(what);
 }
 
-bool ClaimGate::isTooOld(const RequestContext& context, Common::TimePoint now) const
+bool ClaimGate::isClaimStale(const RequestContext& context, Common::TimePoint now) const
 {
-    return context.claimed && now - *context.claimed > m_horizon / sendWithinDivisor;
+    return context.claimedAt && now - *context.claimedAt > m_horizon / sendWindowDivisor;
 }
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/ClaimGate.h
+++ b/Source/ClassServing/Frontend/ClaimGate.h
@@ -24,7 +24,7 @@
     void settle(const RequestContext&, const Common::Status&);
     // Whether the claim is too old to send the request: a process that was stopped after it won the claim must not send
     // once the claim may have passed.
-    bool isTooOld(const RequestContext&, Common::TimePoint now) const;
+    bool isClaimStale(const RequestContext&, Common::TimePoint now) const;
 
 private:
     Claims::ClaimClient& m_claims;
--- a/Source/ClassServing/Frontend/Explanations.cpp
+++ b/Source/ClassServing/Frontend/Explanations.cpp
@@ -13,9 +13,9 @@
 
 void Explanation::step(std::string_view what, Common::Json details)
 {
-    auto after = Common::toMilliseconds(Common::now() - m_arrived);
+    auto sinceArrival = Common::toMilliseconds(Common::now() - m_arrived);
     std::lock_guard lock(m_mutex);
-    m_steps.push_back({ after, std::string(what), std::move(details) });
+    m_steps.push_back({ sinceArrival, std::string(what), std::move(details) });
 }
 
 Common::Json Explanation::json() const
@@ -23,7 +23,7 @@
     std::lock_guard lock(m_mutex);
     auto steps = Common::Json::array();
     for (const auto& step : m_steps) {
-        Common::Json line = { { "after_ms", step.after.count() }, { "what", step.what } };
+        Common::Json line = { { "after_ms", step.sinceArrival.count() }, { "what", step.what } };
         line.update(step.details);
         steps.push_back(std::move(line));
     }
@@ -37,7 +37,7 @@
     std::lock_guard lock(m_mutex);
     m_byId[requestId] = explanation;
     m_order.push_back(std::move(requestId));
-    if (m_order.size() > m_kept) {
+    if (m_order.size() > m_capacity) {
         m_byId.erase(m_order.front());
         m_order.pop_front();
     }
--- a/Source/ClassServing/Frontend/Explanations.h
+++ b/Source/ClassServing/Frontend/Explanations.h
@@ -25,7 +25,7 @@
 
 private:
     struct Step {
-        Common::Milliseconds after { 0 }; // Since the request arrived.
+        Common::Milliseconds sinceArrival { 0 }; // Since the request arrived.
         std::string what;
         Common::Json details;
     };
@@ -40,15 +40,15 @@
 // The explanations of the latest requests, up to a bound. Safe to use from several threads.
 class Explanations {
 public:
-    explicit Explanations(size_t kept)
-        : m_kept(kept)
+    explicit Explanations(size_t capacity)
+        : m_capacity(capacity)
     {
     }
     std::shared_ptr<Explanation> open(std::string requestId, std::string workspace, std::string requestClass);
     std::shared_ptr<const Explanation> find(const std::string& requestId) const;
 
 private:
-    size_t m_kept;
+    size_t m_capacity;
     mutable std::mutex m_mutex;
     std::unordered_map<std::string, std::shared_ptr<Explanation>> m_byId;
     std::deque<std::string> m_order;
--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -12,13 +12,13 @@
 using Common::Status;
 using Scheduling::SlotOutcome;
 
-Common::HttpResponse Generation::head(std::string contentType) const
+Common::HttpResponse Generation::responseHead(std::string contentType) const
 {
     return { 200, {}, std::move(contentType),
         { { std::string(requestIdHeader), m_context.requestId }, { "Cache-Control", "no-cache" } } };
 }
 
-AttemptResult Generation::tryOn(const Membership::Upstream& upstream)
+AttemptResult Generation::runOnEngine(const Membership::Upstream& upstream)
 {
     auto stream = std::make_shared<Upstream::EngineStream>(upstream.endpoint, m_context.requestId);
     auto& io = Common::FiberRuntime::here();
@@ -52,19 +52,19 @@
 AttemptResult Generation::relay(Upstream::EngineStream& stream)
 {
     if (auto error = open(stream))
-        return failed(*error);
+        return failedResult(*error);
     m_paused = false;
     uint32_t before = m_tokens;
     m_firstToken = {};
     while (true) {
         auto event = stream.next();
         if (isError(event))
-            return failed(errorOf(event));
+            return failedResult(errorOf(event));
         if (const auto* token = std::get_if<Upstream::Token>(&valueOf(event))) {
             if (relayToken(*token))
                 continue;
             stream.cancel();
-            return failed(Common::makeError(ErrorKind::CallerGone, "the caller went away"));
+            return failedResult(Common::makeError(ErrorKind::CallerGone, "the caller went away"));
         }
         uint32_t tokens = m_tokens - before;
         auto perToken = tokens > 1 ? (m_lastToken - m_firstToken) / (tokens - 1) : Common::Duration::zero();
@@ -81,11 +81,11 @@
     if (m_firstToken == Common::TimePoint {})
         m_firstToken = m_lastToken;
     ++m_tokens;
-    if (!m_answered) {
-        m_answered = true;
+    if (!m_hasFirstToken) {
+        m_hasFirstToken = true;
         RequestMetrics::answered(*m_context.requestClass, m_lastToken - m_context.arrived);
         m_context.explanation->step("first_token");
-        if (m_streaming && !m_context.exchange.beginStream(head("text/event-stream")))
+        if (m_streaming && !m_context.exchange.beginStream(responseHead("text/event-stream")))
             return false;
     }
     if (m_streaming) {
@@ -106,7 +106,7 @@
     return true;
 }
 
-AttemptResult Generation::failed(const Error& error)
+AttemptResult Generation::failedResult(const Error& error)
 {
     const auto& name = m_context.policy().name;
     if (m_context.signal->isCancelled() || m_context.exchange.callerGone() || error.kind == ErrorKind::CallerGone) {
@@ -136,11 +136,11 @@
     return { outcome, known, tokens, {} };
 }
 
-void Generation::answerWhole()
+void Generation::finishResponse()
 {
     if (m_streaming) {
-        if (!m_answered)
-            m_context.exchange.beginStream(head("text/event-stream"));
+        if (!m_hasFirstToken)
+            m_context.exchange.beginStream(responseHead("text/event-stream"));
         m_context.exchange.write("data: [DONE]\n\n");
         m_context.exchange.endStream();
         return;
@@ -152,12 +152,12 @@
             { { { "index", 0 }, { "message", { { "role", "assistant" }, { "content", m_text } } },
                 { "finish_reason", m_finishReason } } } },
         { "usage", { { "completion_tokens", m_tokens } } } };
-    auto response = head("application/json");
+    auto response = responseHead("application/json");
     response.body = Common::dumpJson(answer);
     m_context.exchange.respond(response);
 }
 
-void Generation::answerError(const Error& error)
+void Generation::finishWithError(const Error& error)
 {
     if (error.kind == ErrorKind::CallerGone)
         return m_context.exchange.closeAfterAnswer();
--- a/Source/ClassServing/Frontend/Generation.h
+++ b/Source/ClassServing/Frontend/Generation.h
@@ -21,19 +21,19 @@
     }
 
     // One attempt at an engine, or the rest of a paused generation there. Suspends the calling fiber.
-    AttemptResult tryOn(const Membership::Upstream&);
+    AttemptResult runOnEngine(const Membership::Upstream&);
     // Ends the response: the end marker of a stream, or the whole text.
-    void answerWhole();
+    void finishResponse();
     // Ends the response with an error; of a stream that has begun, as an event without the end marker.
-    void answerError(const Common::Error&);
+    void finishWithError(const Common::Error&);
     uint32_t tokens() const { return m_tokens; } // Of the last attempt, over its pauses.
 
 private:
     std::optional<Common::Error> open(Upstream::EngineStream&);
     AttemptResult relay(Upstream::EngineStream&);
     bool relayToken(const Upstream::Token&); // False when the caller is gone.
-    AttemptResult failed(const Common::Error&);
-    Common::HttpResponse head(std::string contentType) const;
+    AttemptResult failedResult(const Common::Error&);
+    Common::HttpResponse responseHead(std::string contentType) const;
 
     RequestContext& m_context;
     std::string m_body;
@@ -41,7 +41,7 @@
     Upstream::UpstreamTimeouts m_timeouts;
     uint32_t m_tokens { 0 }; // As above.
     bool m_paused { false };
-    bool m_answered { false };
+    bool m_hasFirstToken { false };
     std::string m_text;
     std::string m_finishReason { "stop" };
     Common::TimePoint m_firstToken;
--- a/Source/ClassServing/Frontend/RequestContext.cpp
+++ b/Source/ClassServing/Frontend/RequestContext.cpp
@@ -10,9 +10,9 @@
 using Common::ErrorKind;
 using Common::Result;
 
-static constexpr std::string_view bearer = "Bearer ";
+static constexpr std::string_view bearerPrefix = "Bearer ";
 // Bytes of an Idempotency-Key (docs/INTERFACE.md). Chosen, not measured.
-static constexpr size_t maxKeyLength = 256;
+static constexpr size_t maxIdempotencyKeyBytes = 256;
 
 static Result<std::optional<uint32_t>> readAttempt(std::string_view text)
 {
@@ -25,10 +25,10 @@
     return std::optional<uint32_t>(attempt);
 }
 
-static Common::Status readKey(RequestContext& context)
+static Common::Status readIdempotencyKey(RequestContext& context)
 {
     auto key = context.exchange.header("Idempotency-Key");
-    if (key.size() > maxKeyLength)
+    if (key.size() > maxIdempotencyKeyBytes)
         return Common::makeError(ErrorKind::BadRequest, "Idempotency-Key is longer than 256 bytes");
     auto attempt = readAttempt(context.exchange.header("Brassladder-Attempt"));
     if (isError(attempt))
@@ -47,9 +47,9 @@
     Common::HttpExchange& exchange, std::shared_ptr<const Config::Table> table, Explanations& explanations)
 {
     auto authorization = exchange.header("Authorization");
-    if (!authorization.starts_with(bearer))
+    if (!authorization.starts_with(bearerPrefix))
         return Common::makeError(ErrorKind::Unauthenticated, "no key: Authorization: Bearer KEY");
-    const auto* workspace = table->workspaceOfKey(authorization.substr(bearer.size()));
+    const auto* workspace = table->workspaceOfKey(authorization.substr(bearerPrefix.size()));
     if (!workspace)
         return Common::makeError(ErrorKind::Unauthenticated, "the key belongs to no workspace");
     auto className = exchange.header("Brassladder-Class");
@@ -67,7 +67,7 @@
     context.requestClass = std::move(requestClass);
     context.arrived = Common::now();
     context.signal = std::make_shared<Dispatch::RequestSignal>();
-    if (auto status = readKey(context); isError(status))
+    if (auto status = readIdempotencyKey(context); isError(status))
         return errorOf(status);
     context.explanation = explanations.open(context.requestId, workspace->name, context.policy().name);
     return context;
--- a/Source/ClassServing/Frontend/RequestContext.h
+++ b/Source/ClassServing/Frontend/RequestContext.h
@@ -19,7 +19,7 @@
     std::optional<std::string> claimKey; // Digest of workspace and Idempotency-Key.
     std::optional<uint32_t> attempt; // Of the header Brassladder-Attempt, from 1.
     Common::TimePoint arrived;
-    std::optional<Common::TimePoint> claimed; // When a claim was won or vouched for.
+    std::optional<Common::TimePoint> claimedAt; // When a claim was won or vouched for.
     std::shared_ptr<Explanation> explanation;
     std::shared_ptr<Dispatch::RequestSignal> signal;
     uint64_t prefix { 0 };
