--- a/Source/ClassServing/Frontend/ClassRouter.cpp
+++ b/Source/ClassServing/Frontend/ClassRouter.cpp
@@ -24,7 +24,7 @@
     : m_runtime(runtime)
     , m_settings(std::move(settings))
     , m_mesh(runtime, { m_settings.id, Common::randomNumber() }, m_settings.fleetKey)
-    , m_membership({ m_settings.id, m_settings.silence })
+    , m_membership({ m_settings.id, m_settings.heartbeatTimeout })
     , m_config(BackingServices::httpLogService(m_settings.log),
           { [this](const std::string& peer, Item item) { sendTo(peer, std::move(item)); },
               [this] { m_home.onViewChanged(*m_membership.view()); } })
@@ -149,9 +149,9 @@
     m_draining = true;
     Common::log(LogLevel::Info, "router", "drain.started", { { "in_flight", m_inFlight.load() } });
     m_membership.setSelfLeaving(Common::now());
-    std::this_thread::sleep_for(m_settings.drainLag);
+    std::this_thread::sleep_for(m_settings.balancerRemovalDelay);
     m_server->stopAccepting();
-    auto limit = Common::now() + m_settings.drainLimit;
+    auto limit = Common::now() + m_settings.drainTimeout;
     while (m_inFlight && Common::now() < limit)
         std::this_thread::sleep_for(drainPollInterval);
     Common::log(LogLevel::Info, "router", "drain.ended", { { "in_flight", m_inFlight.load() } });
--- a/Source/ClassServing/Frontend/ClassRouterSettings.cpp
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.cpp
@@ -77,13 +77,13 @@
     result.limits.idle = settings.milliseconds("/http/idle_ms");
     result.limits.receive = settings.milliseconds("/http/receive_ms");
     result.limits.send = settings.milliseconds("/http/send_ms");
-    result.heartbeat = settings.milliseconds("/membership/heartbeat_ms");
-    result.silence = settings.milliseconds("/membership/silence_ms");
+    result.heartbeatInterval = settings.milliseconds("/membership/heartbeat_ms");
+    result.heartbeatTimeout = settings.milliseconds("/membership/silence_ms");
     result.loadInterval = settings.milliseconds("/upstream/load_interval_ms");
     result.upstream.connect = settings.milliseconds("/upstream/connect_ms");
     result.upstream.answer = settings.milliseconds("/upstream/answer_ms");
-    result.drainLag = settings.milliseconds("/drain/lag_ms");
-    result.drainLimit = settings.milliseconds("/drain/limit_ms");
+    result.balancerRemovalDelay = settings.milliseconds("/drain/lag_ms");
+    result.drainTimeout = settings.milliseconds("/drain/limit_ms");
     result.claimPartitions = static_cast<uint32_t>(settings.integer("/claims/partitions"));
     result.claimHorizon = settings.milliseconds("/claims/horizon_ms");
     result.explanations = static_cast<size_t>(settings.integer("/explanations"));
--- a/Source/ClassServing/Frontend/ClassRouterSettings.h
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.h
@@ -18,12 +18,12 @@
     Common::Endpoint instanceList;
     unsigned threads { 0 };
     Common::HttpLimits limits;
-    Common::Milliseconds heartbeat { 0 };
-    Common::Milliseconds silence { 0 };
+    Common::Milliseconds heartbeatInterval { 0 };
+    Common::Milliseconds heartbeatTimeout { 0 };
     Common::Milliseconds listInterval { 0 };
     Common::Milliseconds loadInterval { 0 };
-    Common::Milliseconds drainLag { 0 };
-    Common::Milliseconds drainLimit { 0 };
+    Common::Milliseconds balancerRemovalDelay { 0 };
+    Common::Milliseconds drainTimeout { 0 };
     uint32_t claimPartitions { 0 };
     Common::Milliseconds claimHorizon { 0 };
     Upstream::UpstreamTimeouts upstream;
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -15,13 +15,13 @@
 
 // How often the scheduler expires, preempts and grants what only time decides: about a step of an engine ("a few
 // milliseconds or more", brief).
-static constexpr Milliseconds schedulerTick = 5ms;
+static constexpr Milliseconds schedulerTickInterval = 5ms;
 // How often membership looks at the clock. Chosen, not measured: a fifteenth of the default silence.
-static constexpr Milliseconds membershipTick = 100ms;
+static constexpr Milliseconds membershipTickInterval = 100ms;
 // How often requests that have waited long are looked for, to be sent to their home again. Chosen, not measured.
-static constexpr Milliseconds repeatTick = 500ms;
+static constexpr Milliseconds resendInterval = 500ms;
 
-static void every(Common::FiberRuntime& runtime, Milliseconds interval, std::function<void()> work)
+static void runPeriodically(Common::FiberRuntime& runtime, Milliseconds interval, std::function<void()> work)
 {
     runtime.spawn([interval, work = std::move(work)] {
         while (true) {
@@ -35,12 +35,12 @@
 {
     const auto& settings = m_parts.settings;
     runtime.spawn([this] { followConfiguration(); });
-    every(runtime, settings.listInterval, [this] { readInstances(); });
-    every(runtime, settings.heartbeat, [this] { sendHeartbeats(); });
-    every(runtime, settings.loadInterval, [this] { readLoads(); });
-    every(runtime, schedulerTick, [this] { m_parts.home.tick(); });
-    every(runtime, membershipTick, [this] { m_parts.membership.tick(Common::now()); });
-    every(runtime, repeatTick, [this] { m_parts.grants.repeatWaiting(); });
+    runPeriodically(runtime, settings.listInterval, [this] { readInstances(); });
+    runPeriodically(runtime, settings.heartbeatInterval, [this] { sendHeartbeats(); });
+    runPeriodically(runtime, settings.loadInterval, [this] { readLoads(); });
+    runPeriodically(runtime, schedulerTickInterval, [this] { m_parts.home.tick(); });
+    runPeriodically(runtime, membershipTickInterval, [this] { m_parts.membership.tick(Common::now()); });
+    runPeriodically(runtime, resendInterval, [this] { m_parts.grants.repeatWaiting(); });
 }
 
 void PeriodicWork::followConfiguration()
--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -101,7 +101,7 @@
 bool Table::isMissed(const RouterState& state, TimePoint now) const
 {
     if (state.watched)
-        return now - state.heard > m_options.silence;
+        return now - state.heard > m_options.heartbeatTimeout;
     return state.told > state.heard && now - state.told <= suspicionMemory;
 }
 
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -38,11 +38,13 @@
 class Table {
 public:
     // Six heartbeats of the default 250 ms. Chosen, not measured.
-    static constexpr Common::Milliseconds defaultSilence { 1500 };
+    static constexpr Common::Milliseconds defaultHeartbeatTimeout { 1500 };
 
     struct Options {
         std::string self;
-        Common::Milliseconds silence { defaultSilence }; // A peer that sends nothing for longer is not alive.
+        Common::Milliseconds heartbeatTimeout {
+            defaultHeartbeatTimeout
+        }; // A peer that sends nothing for longer is not alive.
     };
 
     explicit Table(Options);
@@ -58,7 +60,7 @@
     // An upstream or a peer reported that the upstream is leaving. Reverted when the list shows it gone and live again.
     void setUpstreamLeaving(const std::string& upstream, TimePoint now);
     void setSelfLeaving(TimePoint now);
-    // Looks at the clock; must be called a few times within `silence`.
+    // Looks at the clock; must be called a few times within `heartbeatTimeout`.
     void tick(TimePoint now);
 
     std::shared_ptr<const View> view() const { return m_view.load(); }
