--- a/Source/ClassServing/Frontend/ClassRouter.cpp
+++ b/Source/ClassServing/Frontend/ClassRouter.cpp
@@ -33,7 +33,7 @@
               [this] { return m_membership.view(); }, [this] { return m_config.table(); } })
     , m_grants({ [this](const std::string& peer, Item item) { sendTo(peer, std::move(item)); },
           [this] { return m_membership.view(); },
-          [this](const std::string& home) { m_dispatcher.onSilentHome(home); } })
+          [this](const std::string& home) { m_dispatcher.onHomeUnresponsive(home); } })
     , m_claimRouter(BackingServices::httpLogService(m_settings.log), { m_settings.claimHorizon })
     , m_claims({ [this](const std::string& peer, Item item) { sendTo(peer, std::move(item)); },
                    [this](uint32_t partition) { return Dispatch::claimRouterOf(*m_membership.view(), partition); } },
--- a/Source/ClassServing/Frontend/MessageDispatcher.cpp
+++ b/Source/ClassServing/Frontend/MessageDispatcher.cpp
@@ -9,20 +9,20 @@
 using namespace std::chrono_literals;
 
 // A home that sent anything within this time is slow, not gone. Chosen, not measured: two heartbeats.
-static constexpr Common::Duration recentlyHeard = 500ms;
+static constexpr Common::Duration recentMessageWindow = 500ms;
 
-void MessageDispatcher::recordHeard(const std::string& router)
+void MessageDispatcher::recordMessageFrom(const std::string& router)
 {
     if (router == m_parts.self)
         return;
-    m_parts.membership.heard(router, Common::now());
+    m_parts.membership.recordMessage(router, Common::now());
     std::lock_guard lock(m_mutex);
-    m_lastHeard[router] = Common::now();
+    m_lastMessageAt[router] = Common::now();
 }
 
 void MessageDispatcher::onItem(const Inner::Mesh::Sender& sender, const Item& item)
 {
-    recordHeard(sender.id);
+    recordMessageFrom(sender.id);
     dispatch(sender, item);
 }
 
@@ -102,13 +102,13 @@
     m_parts.config.compare(sender.id, heartbeat.config_digest());
 }
 
-void MessageDispatcher::onSilentHome(const std::string& home)
+void MessageDispatcher::onHomeUnresponsive(const std::string& home)
 {
     if (home == m_parts.self)
         return;
     {
         std::lock_guard lock(m_mutex);
-        if (Common::now() - m_lastHeard[home] < recentlyHeard)
+        if (Common::now() - m_lastMessageAt[home] < recentMessageWindow)
             return;
     }
     Common::log(Common::LogLevel::Warning, "membership", "home.silent", { { "peer", home } });
--- a/Source/ClassServing/Frontend/MessageDispatcher.h
+++ b/Source/ClassServing/Frontend/MessageDispatcher.h
@@ -37,10 +37,10 @@
 
     void onItem(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
     // A home did not answer the highest tier: it is suspected unless something else of it was heard lately.
-    void onSilentHome(const std::string& home);
+    void onHomeUnresponsive(const std::string& home);
 
 private:
-    void recordHeard(const std::string& router);
+    void recordMessageFrom(const std::string& router);
     void dispatch(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
     void onClaimRequest(const Inner::Mesh::Sender&, const Inner::Wire::ClaimRequest&);
     void onClaimUpdate(const Inner::Wire::ClaimUpdate&);
@@ -48,7 +48,7 @@
 
     Parts m_parts;
     std::mutex m_mutex;
-    std::map<std::string, Common::TimePoint> m_lastHeard; // By router.
+    std::map<std::string, Common::TimePoint> m_lastMessageAt; // By router.
 };
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -88,8 +88,8 @@
         suspicion.set_age_ms(static_cast<uint32_t>(age.count()));
     }
     auto targets = Membership::watchersOf(ids, self);
-    auto byChance = Membership::chanceTargets(ids, self, Common::randomNumber());
-    targets.insert(targets.end(), byChance.begin(), byChance.end());
+    auto randomTargets = Membership::randomHeartbeatTargets(ids, self, Common::randomNumber());
+    targets.insert(targets.end(), randomTargets.begin(), randomTargets.end());
     for (const auto& target : targets)
         m_parts.mesh.send(target, item);
 }
--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -11,11 +11,11 @@
 
 // The list may still show an upstream as live for a while after the upstream itself said that it leaves. After this
 // long the list is right, and the upstream has come back. Chosen, not measured.
-static constexpr Common::Duration leavingMemory = 30s;
+static constexpr Common::Duration leavingRetention = 30s;
 // A suspicion that is not renewed fades. Longer than news takes to reach 350 routers (unit test), about six beats.
-static constexpr Common::Duration suspicionMemory = 8s;
+static constexpr Common::Duration suspicionLifetime = 8s;
 // Random heartbeat targets beside the watchers. Three reach 350 routers within eight heartbeats (unit test).
-static constexpr size_t chanceTargetCount = 3;
+static constexpr size_t randomTargetCount = 3;
 
 const Upstream* View::upstream(std::string_view pool, std::string_view id) const
 {
@@ -40,17 +40,17 @@
     {
         std::lock_guard lock(m_mutex);
         m_instances = std::move(instances);
-        std::erase_if(m_leavingUpstreams, [&](const auto& item) { return now - item.second > leavingMemory; });
+        std::erase_if(m_leavingUpstreams, [&](const auto& item) { return now - item.second > leavingRetention; });
         std::erase_if(m_routers, [&](const auto& item) {
             return std::none_of(m_instances.begin(), m_instances.end(),
                 [&](const auto& instance) { return instance.id == item.first; });
         });
-        refreshWatched();
+        updateWatchedRouters();
     }
     publish(now);
 }
 
-void Table::refreshWatched()
+void Table::updateWatchedRouters()
 {
     std::vector<std::string> ids { m_options.self };
     for (const auto& instance : m_instances) {
@@ -71,17 +71,17 @@
     }
 }
 
-void Table::heard(const std::string& router, TimePoint now)
+void Table::recordMessage(const std::string& router, TimePoint now)
 {
-    bool news = false;
+    bool wasDown = false;
     {
         std::lock_guard lock(m_mutex);
         auto& state = m_routers[router];
-        news = state.suspected || isMissed(state, now);
-        state.heard = std::max(state.heard, now);
+        wasDown = state.suspected || isUnresponsive(state, now);
+        state.lastMessageAt = std::max(state.lastMessageAt, now);
         state.suspected = false;
     }
-    if (news)
+    if (wasDown)
         publish(now);
 }
 
@@ -90,19 +90,19 @@
     {
         std::lock_guard lock(m_mutex);
         auto& state = m_routers[router];
-        state.told = std::max(state.told, now - age);
-        if (!isMissed(state, now))
+        state.lastSuspicionAt = std::max(state.lastSuspicionAt, now - age);
+        if (!isUnresponsive(state, now))
             return;
     }
     publish(now);
 }
 
 // A watcher decides by heartbeats. Other routers decide by reported suspicions, unless the peer was heard since.
-bool Table::isMissed(const RouterState& state, TimePoint now) const
+bool Table::isUnresponsive(const RouterState& state, TimePoint now) const
 {
     if (state.watched)
-        return now - state.heard > m_options.heartbeatTimeout;
-    return state.told > state.heard && now - state.told <= suspicionMemory;
+        return now - state.lastMessageAt > m_options.heartbeatTimeout;
+    return state.lastSuspicionAt > state.lastMessageAt && now - state.lastSuspicionAt <= suspicionLifetime;
 }
 
 void Table::suspect(const std::string& router, TimePoint now)
@@ -162,7 +162,7 @@
         if (instance.id == m_options.self || found == m_routers.end() || instance.leaving)
             continue;
         const auto& state = found->second;
-        if (!isMissed(state, now) && !state.suspected && !state.leaving)
+        if (!isUnresponsive(state, now) && !state.suspected && !state.leaving)
             view.routers.push_back(instance.id);
     }
     // The last router goes on as its own home until its requests have ended.
@@ -213,12 +213,13 @@
 std::vector<std::pair<std::string, Common::Milliseconds>> Table::suspicions(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    std::vector<std::pair<std::string, Common::Milliseconds>> told;
+    std::vector<std::pair<std::string, Common::Milliseconds>> reported;
     for (const auto& [id, state] : m_routers) {
-        if (isMissed(state, now))
-            told.emplace_back(id, state.watched ? Common::Milliseconds(0) : Common::toMilliseconds(now - state.told));
+        if (isUnresponsive(state, now))
+            reported.emplace_back(
+                id, state.watched ? Common::Milliseconds(0) : Common::toMilliseconds(now - state.lastSuspicionAt));
     }
-    return told;
+    return reported;
 }
 
 bool Table::isAlive(const std::string& router) const
@@ -241,13 +242,14 @@
     return watchers;
 }
 
-std::vector<std::string> chanceTargets(std::span<const std::string> sortedIds, std::string_view self, uint64_t chance)
+std::vector<std::string> randomHeartbeatTargets(
+    std::span<const std::string> sortedIds, std::string_view self, uint64_t randomValue)
 {
     std::vector<std::string> targets;
     if (sortedIds.size() <= fullMeshRouters)
         return targets;
-    for (size_t index = 0; index < chanceTargetCount; ++index) {
-        const auto& candidate = sortedIds[Common::stableHash(self, chance + index) % sortedIds.size()];
+    for (size_t index = 0; index < randomTargetCount; ++index) {
+        const auto& candidate = sortedIds[Common::stableHash(self, randomValue + index) % sortedIds.size()];
         if (candidate != self)
             targets.push_back(candidate);
     }
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -51,7 +51,7 @@
 
     void setInstances(std::vector<BackingServices::Instance>, TimePoint now);
     // A message of the peer itself arrived.
-    void heard(const std::string& router, TimePoint now);
+    void recordMessage(const std::string& router, TimePoint now);
     // Another router reported that the peer's watchers miss it, or did so `age` ago.
     void recordSuspicion(const std::string& router, Common::Milliseconds age, TimePoint now);
     // A connection failed, or the peer did not answer in time: not alive until it is heard again.
@@ -75,14 +75,14 @@
 
 private:
     struct RouterState {
-        TimePoint heard {};
-        TimePoint told {}; // When its watchers last missed it, as far as was told.
+        TimePoint lastMessageAt {};
+        TimePoint lastSuspicionAt {}; // When its watchers last missed it, as far as was told.
         bool suspected { false };
         bool watched { false };
         bool leaving { false };
     };
-    bool isMissed(const RouterState&, TimePoint now) const;
-    void refreshWatched();
+    bool isUnresponsive(const RouterState&, TimePoint now) const;
+    void updateWatchedRouters();
     View build(TimePoint now) const;
     void publish(TimePoint now);
 
@@ -105,6 +105,7 @@
 // for a node does not grow with the fleet.
 std::vector<std::string> watchersOf(std::span<const std::string> sortedIds, std::string_view self);
 // Heartbeats also go to a few random routers, so that suspicions reach all in logarithmic time.
-std::vector<std::string> chanceTargets(std::span<const std::string> sortedIds, std::string_view self, uint64_t chance);
+std::vector<std::string> randomHeartbeatTargets(
+    std::span<const std::string> sortedIds, std::string_view self, uint64_t randomValue);
 
 } // namespace Brassladder::ClassServing::Membership
--- a/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
+++ b/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
@@ -14,16 +14,16 @@
     return { id, "router", { "127.0.0.1", 1 }, { "127.0.0.1", 2 }, "a", leaving };
 }
 
-static std::vector<std::string> names(const Table& table) { return table.view()->routers; }
+static std::vector<std::string> aliveRouters(const Table& table) { return table.view()->routers; }
 
 TEST(MembershipTest, ListedRouterCountsOnceItIsHeardOf)
 {
     TimePoint now(1h);
     Table table({ "r1", 1500ms });
     table.setInstances({ router("r1"), router("r2") }, now);
-    EXPECT_EQ(names(table), std::vector<std::string> { "r1" });
-    table.heard("r2", now);
-    EXPECT_EQ(names(table), (std::vector<std::string> { "r1", "r2" }));
+    EXPECT_EQ(aliveRouters(table), std::vector<std::string> { "r1" });
+    table.recordMessage("r2", now);
+    EXPECT_EQ(aliveRouters(table), (std::vector<std::string> { "r1", "r2" }));
 }
 
 TEST(MembershipTest, SilentSuspectedAndLeavingRoutersDoNotCount)
@@ -32,14 +32,14 @@
     Table table({ "r1", 1500ms });
     table.setInstances({ router("r2"), router("r3"), router("r4"), router("r5", true) }, now);
     for (const auto* id : { "r2", "r3", "r4", "r5" })
-        table.heard(id, now);
+        table.recordMessage(id, now);
     table.suspect("r2", now);
     table.setRouterLeaving("r3", true, now);
-    EXPECT_EQ(names(table), (std::vector<std::string> { "r1", "r4" }));
+    EXPECT_EQ(aliveRouters(table), (std::vector<std::string> { "r1", "r4" }));
     table.tick(now + 2s);
-    EXPECT_EQ(names(table), std::vector<std::string> { "r1" });
-    table.heard("r2", now + 2s);
-    EXPECT_EQ(names(table), (std::vector<std::string> { "r1", "r2" }));
+    EXPECT_EQ(aliveRouters(table), std::vector<std::string> { "r1" });
+    table.recordMessage("r2", now + 2s);
+    EXPECT_EQ(aliveRouters(table), (std::vector<std::string> { "r1", "r2" }));
 }
 
 TEST(MembershipTest, LeavingUpstreamIsKnownBeforeTheListTells)
@@ -60,7 +60,7 @@
 {
     Table table({ "r1", 1500ms });
     table.setSelfLeaving(TimePoint(1h));
-    EXPECT_EQ(names(table), std::vector<std::string> { "r1" });
+    EXPECT_EQ(aliveRouters(table), std::vector<std::string> { "r1" });
 }
 
 namespace {
@@ -90,12 +90,12 @@
                 continue;
             auto suspicions = m_tables[from]->suspicions(m_now);
             auto targets = watchersOf(m_ids, m_ids[from]);
-            auto byChance = chanceTargets(m_ids, m_ids[from], m_rounds * 1000);
-            targets.insert(targets.end(), byChance.begin(), byChance.end());
+            auto randomTargets = randomHeartbeatTargets(m_ids, m_ids[from], m_rounds * 1000);
+            targets.insert(targets.end(), randomTargets.begin(), randomTargets.end());
             for (const auto& target : targets) {
                 auto& table = *m_tables[static_cast<size_t>(
                     std::lower_bound(m_ids.begin(), m_ids.end(), target) - m_ids.begin())];
-                table.heard(m_ids[from], m_now);
+                table.recordMessage(m_ids[from], m_now);
                 for (const auto& [id, age] : suspicions)
                     table.recordSuspicion(id, age, m_now);
             }
@@ -106,7 +106,7 @@
 
     void setDead(size_t index) { m_dead = index; }
     // How many living routers take the one for alive.
-    size_t believers(size_t index) const
+    size_t countSeenAliveBy(size_t index) const
     {
         size_t count = 0;
         for (size_t other = 0; other < m_ids.size(); ++other)
@@ -114,7 +114,7 @@
         return count;
     }
     size_t size() const { return m_ids.size(); }
-    bool everybodySees(size_t alive) const
+    bool allRoutersSee(size_t alive) const
     {
         for (size_t index = 0; index < m_ids.size(); ++index) {
             if (index != m_dead && m_tables[index]->view()->routers.size() != alive)
@@ -140,21 +140,21 @@
         Fleet fleet(count);
         for (int round = 0; round < 12; ++round)
             fleet.round();
-        EXPECT_TRUE(fleet.everybodySees(count)) << count;
+        EXPECT_TRUE(fleet.allRoutersSee(count)) << count;
         fleet.setDead(count / 2);
         int rounds = 0;
-        while (fleet.believers(count / 2) && rounds < 30) {
+        while (fleet.countSeenAliveBy(count / 2) && rounds < 30) {
             fleet.round();
             ++rounds;
         }
         EXPECT_LE(rounds, 8) << count;
         for (int round = 0; round < 10; ++round)
             fleet.round();
-        EXPECT_TRUE(fleet.everybodySees(count - 1)) << count << ": the loss is remembered, and nobody else is doubted";
+        EXPECT_TRUE(fleet.allRoutersSee(count - 1)) << count << ": the loss is remembered, and nobody else is doubted";
         fleet.setDead(SIZE_MAX);
         for (int round = 0; round < 14; ++round)
             fleet.round();
-        EXPECT_TRUE(fleet.everybodySees(count)) << count << ": the return is seen";
+        EXPECT_TRUE(fleet.allRoutersSee(count)) << count << ": the return is seen";
     }
 }
 
