--- a/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
@@ -2,7 +2,7 @@
 // Guards: every caller receives the whole answer to its own request, and only that; "not run" is true.
 #include "Common/Precompiled.h"
 
-#include "UnitTests/ClassServing/Promises/Scene.h"
+#include "UnitTests/ClassServing/Promises/PromiseCluster.h"
 
 namespace Brassladder::ClassServing::Promises {
 
@@ -12,7 +12,7 @@
 
 struct EngineFault {
     const char* name;
-    std::function<void(Scene&)> fail;
+    std::function<void(PromiseCluster&)> fail;
     bool mayLoseStreams; // Streams that had begun on a lost engine end with an explicit error.
 };
 
@@ -22,7 +22,7 @@
 
 struct ServiceFault {
     const char* name;
-    std::function<void(Scene&)> fail;
+    std::function<void(PromiseCluster&)> fail;
 };
 
 std::ostream& operator<<(std::ostream& out, const ServiceFault& each) { return out << each.name; }
@@ -33,16 +33,18 @@
 
 TEST_P(EngineFaultTest, AnswersAreWholeOrEndWithAnError)
 {
-    Scene scene;
-    scene.publish(Scene::configuration());
-    auto whole = Scene::chat("draft", 20, 60);
+    PromiseCluster cluster;
+    cluster.publish(PromiseCluster::configuration());
+    auto whole = PromiseCluster::chat("draft", 20, 60);
     whole.stream = false;
-    auto running = scene.runLoad(
-        { Scene::chat("chat", 30, 60), whole, Scene::chat("urgent", 20, 10), Scene::chat("overnight", 5, 300) }, 4);
+    auto running
+        = cluster.runLoad({ PromiseCluster::chat("chat", 30, 60), whole, PromiseCluster::chat("urgent", 20, 10),
+                              PromiseCluster::chat("overnight", 5, 300) },
+            4);
     std::this_thread::sleep_for(1500ms);
-    GetParam().fail(scene);
+    GetParam().fail(cluster);
     auto history = running.get();
-    expectOwnAnswers(history);
+    expectCorrectResponses(history);
     for (const auto& record : history) {
         EXPECT_TRUE(record.whole || !record.refusal.empty())
             << record.requestClass << " neither whole nor told of an error";
@@ -50,44 +52,44 @@
         EXPECT_NE(record.refusal, "unreadable_error");
         if (!GetParam().mayLoseStreams) {
             EXPECT_TRUE(record.whole) << record.requestClass << ": " << record.refusal << "\n"
-                                      << scene.explain(record.requestId);
+                                      << cluster.explain(record.requestId);
         }
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, EngineFaultTest,
-    testing::Values(EngineFault { "EngineKilled", [](Scene& scene) { scene.kill("engine-1"); }, true },
+    testing::Values(EngineFault { "EngineKilled", [](PromiseCluster& cluster) { cluster.kill("engine-1"); }, true },
         EngineFault { "TwoEnginesKilled",
-            [](Scene& scene) {
-                scene.kill("engine-1");
-                scene.kill("engine-2");
+            [](PromiseCluster& cluster) {
+                cluster.kill("engine-1");
+                cluster.kill("engine-2");
             },
             true },
         EngineFault { "StreamsCutMidway",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "cut_after_tokens", 20 } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "cut_after_tokens", 20 } });
             },
             true },
         EngineFault { "StreamsEndWithoutMarker",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "cut_after_tokens", 20 }, { "cut_cleanly", true } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "cut_after_tokens", 20 }, { "cut_cleanly", true } });
             },
             true },
         EngineFault { "PausedStateLost",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "forget_paused", true } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "forget_paused", true } });
             },
             true },
         EngineFault { "EngineRefuses",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "refuse", true } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "refuse", true } });
             },
             false },
         EngineFault { "EngineFrozenForAWhile",
-            [](Scene& scene) {
-                scene.freeze("engine-1");
+            [](PromiseCluster& cluster) {
+                cluster.freeze("engine-1");
                 std::this_thread::sleep_for(1s);
-                scene.thaw("engine-1");
+                cluster.thaw("engine-1");
             },
             false }),
     [](const auto& info) { return std::string(info.param.name); });
@@ -96,40 +98,40 @@
 // counts of what ran.
 TEST_P(ServiceFaultTest, NotRunIsTrueAndNoRepeatRunsOnce)
 {
-    Scene scene;
-    scene.publish(Scene::configuration());
-    auto running = scene.runLoad({ Scene::service("payment", 40), Scene::service("stock", 40) }, 3);
+    PromiseCluster cluster;
+    cluster.publish(PromiseCluster::configuration());
+    auto running = cluster.runLoad({ PromiseCluster::service("payment", 40), PromiseCluster::service("stock", 40) }, 3);
     std::this_thread::sleep_for(1s);
-    GetParam().fail(scene);
+    GetParam().fail(cluster);
     auto history = running.get();
-    expectOwnAnswers(history);
-    expectHonest(scene, history);
+    expectCorrectResponses(history);
+    expectAccurateRunReports(cluster, history);
     EXPECT_GT(countWhole(history, "payment"), 60u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, ServiceFaultTest,
     testing::Values(ServiceFault { "AnswersLost",
-                        [](Scene& scene) {
-                            scene.fault("orders-1", { { "lose_answers", 20 } });
+                        [](PromiseCluster& cluster) {
+                            cluster.fault("orders-1", { { "lose_answers", 20 } });
                         } },
         ServiceFault { "AnswersTruncated",
-            [](Scene& scene) {
-                scene.fault("orders-1", { { "truncate_answers", 20 } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("orders-1", { { "truncate_answers", 20 } });
             } },
         ServiceFault { "ServiceRefuses",
-            [](Scene& scene) {
-                scene.fault("orders-1", { { "refuse", true } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("orders-1", { { "refuse", true } });
             } },
         ServiceFault { "ServiceFrozenAndWoken",
-            [](Scene& scene) {
-                scene.freeze("orders-1");
+            [](PromiseCluster& cluster) {
+                cluster.freeze("orders-1");
                 std::this_thread::sleep_for(700ms);
-                scene.thaw("orders-1");
+                cluster.thaw("orders-1");
             } },
         ServiceFault { "RouterKilledAndAnswersLost",
-            [](Scene& scene) {
-                scene.fault("orders-1", { { "lose_answers", 10 } });
-                scene.kill("router-2");
+            [](PromiseCluster& cluster) {
+                cluster.fault("orders-1", { { "lose_answers", 10 } });
+                cluster.kill("router-2");
             } }),
     [](const auto& info) { return std::string(info.param.name); });
 
@@ -137,14 +139,14 @@
 // so with when to come back, and not later than its class may wait.
 TEST(RefusalTest, IsFinalWithTheTimeToComeBack)
 {
-    Scene scene({ 1, 1, 1, { 5000, 1, 100 } });
-    auto files = Scene::configuration("urgent", { { "max_wait_ms", 200 } });
+    PromiseCluster cluster({ 1, 1, 1, { 5000, 1, 100 } });
+    auto files = PromiseCluster::configuration("urgent", { { "max_wait_ms", 200 } });
     Json pools = Common::parseJson(files["pools"]);
     pools["pools"][0]["slots_per_worker"] = 1;
     files["pools"] = Common::dumpJson(pools);
-    scene.publish(files);
-    auto history = scene.runLoad({ Scene::chat("urgent", 100, 200) }, 2).get();
-    expectOwnAnswers(history);
+    cluster.publish(files);
+    auto history = cluster.runLoad({ PromiseCluster::chat("urgent", 100, 200) }, 2).get();
+    expectCorrectResponses(history);
     EXPECT_GT(countRefused(history, "urgent"), 100u);
     size_t predicted = 0;
     for (const auto& record : history) {
@@ -155,7 +157,7 @@
         predicted += record.refusal == "deadline_unreachable";
     }
     EXPECT_GT(predicted, 0u) << "what cannot be served is refused on arrival";
-    auto arrivals = Scene::chat("urgent", 1, 200);
+    auto arrivals = PromiseCluster::chat("urgent", 1, 200);
     Common::HttpClientRequest call {
         "POST", "/v1/chat/completions", R"({"messages":[{"role":"user","content":"nonce=a len=400"}]})",
         { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey }, { "Brassladder-Class", "urgent" } }
@@ -164,7 +166,7 @@
     std::vector<std::future<Common::Result<Common::HttpClientResponse>>> answers;
     answers.reserve(callers);
     for (int index = 0; index < callers; ++index)
-        answers.push_back(std::async(std::launch::async, [&] { return scene.call("router-1", call); }));
+        answers.push_back(std::async(std::launch::async, [&] { return cluster.call("router-1", call); }));
     size_t refused = 0;
     for (auto& answer : answers) {
         auto result = answer.get();
--- a/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
@@ -3,7 +3,7 @@
 #include "Common/Precompiled.h"
 
 #include "Common/Digest.h"
-#include "UnitTests/ClassServing/Promises/Scene.h"
+#include "UnitTests/ClassServing/Promises/PromiseCluster.h"
 
 namespace Brassladder::ClassServing::Promises {
 
@@ -11,24 +11,25 @@
 
 namespace {
 
-struct OnceCase {
+struct AtMostOnceCase {
     const char* name;
-    std::function<void(Scene&)> fail;
-    std::function<void(Scene&)> mend;
+    std::function<void(PromiseCluster&)> fail;
+    std::function<void(PromiseCluster&)> recover;
 };
 
-std::ostream& operator<<(std::ostream& out, const OnceCase& each) { return out << each.name; }
+std::ostream& operator<<(std::ostream& out, const AtMostOnceCase& each) { return out << each.name; }
 
-class AtMostOnceTest : public testing::TestWithParam<OnceCase> { };
+class AtMostOnceTest : public testing::TestWithParam<AtMostOnceCase> { };
 
 // Each key is sent through every router, at once and again later, as callers do that heard nothing.
-std::vector<CallRecord> payAll(Scene& scene, const std::string& prefix, int keys, int rounds)
+std::vector<CallRecord> callAllRoutersWithEachKey(
+    PromiseCluster& cluster, const std::string& prefix, int keys, int rounds)
 {
     std::vector<std::future<CallRecord>> calls;
     for (int round = 0; round < rounds; ++round) {
         for (int key = 0; key < keys; ++key) {
             for (const auto* router : { "router-1", "router-2", "router-3" })
-                calls.push_back(scene.pay(router, prefix + std::to_string(key)));
+                calls.push_back(cluster.callService(router, prefix + std::to_string(key)));
         }
         std::this_thread::sleep_for(50ms);
     }
@@ -49,129 +50,129 @@
 
 TEST_P(AtMostOnceTest, KeyRunsAtMostOnceThroughFailures)
 {
-    Scene scene;
-    scene.publish(Scene::configuration());
-    auto before = payAll(scene, "before", 4, 2);
-    auto during = std::async(std::launch::async, [&] { return payAll(scene, "during", 12, 6); });
+    PromiseCluster cluster;
+    cluster.publish(PromiseCluster::configuration());
+    auto before = callAllRoutersWithEachKey(cluster, "before", 4, 2);
+    auto during = std::async(std::launch::async, [&] { return callAllRoutersWithEachKey(cluster, "during", 12, 6); });
     std::this_thread::sleep_for(60ms);
-    GetParam().fail(scene);
+    GetParam().fail(cluster);
     std::this_thread::sleep_for(500ms);
-    GetParam().mend(scene);
+    GetParam().recover(cluster);
     auto history = during.get();
-    auto after = payAll(scene, "during", 12, 1);
+    auto after = callAllRoutersWithEachKey(cluster, "during", 12, 1);
     history.insert(history.end(), before.begin(), before.end());
     history.insert(history.end(), after.begin(), after.end());
-    expectOwnAnswers(history);
-    expectHonest(scene, history);
+    expectCorrectResponses(history);
+    expectAccurateRunReports(cluster, history);
     for (int key = 0; key < 4; ++key)
         EXPECT_EQ(wholeByKey(history, "before" + std::to_string(key)), 1u) << "one of the callers has the answer";
     // Keys are not lost for good either: a new one goes through again once all is mended.
-    EXPECT_TRUE(scene.await([&] { return scene.pay("router-1", Common::randomId()).get().whole; }));
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", Common::randomId()).get().whole; }));
 }
 
-static void mendNothing(Scene&) { }
-static void killOne(Scene& scene) { scene.kill("router-2"); }
-static void logDown(Scene& scene) { scene.fault("log", { { "down", true } }); }
-static void logUp(Scene& scene) { scene.fault("log", { { "down", false }, { "slow_ms", 0 } }); }
-static void freezeOne(Scene& scene) { scene.freeze("router-2"); }
-static void thawOne(Scene& scene) { scene.thaw("router-2"); }
+static void noRecovery(PromiseCluster&) { }
+static void killOne(PromiseCluster& cluster) { cluster.kill("router-2"); }
+static void logDown(PromiseCluster& cluster) { cluster.fault("log", { { "down", true } }); }
+static void logUp(PromiseCluster& cluster) { cluster.fault("log", { { "down", false }, { "slow_ms", 0 } }); }
+static void freezeOne(PromiseCluster& cluster) { cluster.freeze("router-2"); }
+static void thawOne(PromiseCluster& cluster) { cluster.thaw("router-2"); }
 
 INSTANTIATE_TEST_SUITE_P(Failures, AtMostOnceTest,
-    testing::Values(OnceCase { "SameKeyAtAllRouters", mendNothing, mendNothing },
-        OnceCase { "RouterKilled", killOne, mendNothing }, OnceCase { "RouterFrozenAndWoken", freezeOne, thawOne },
-        OnceCase { "LogDown", logDown, logUp },
-        OnceCase { "LogDownAndRouterKilled",
-            [](Scene& scene) {
-                logDown(scene);
-                killOne(scene);
+    testing::Values(AtMostOnceCase { "SameKeyAtAllRouters", noRecovery, noRecovery },
+        AtMostOnceCase { "RouterKilled", killOne, noRecovery },
+        AtMostOnceCase { "RouterFrozenAndWoken", freezeOne, thawOne }, AtMostOnceCase { "LogDown", logDown, logUp },
+        AtMostOnceCase { "LogDownAndRouterKilled",
+            [](PromiseCluster& cluster) {
+                logDown(cluster);
+                killOne(cluster);
             },
             logUp },
-        OnceCase { "AppendAnswersLost",
-            [](Scene& scene) {
-                scene.fault("log", { { "lose_answers", 5 } });
+        AtMostOnceCase { "AppendAnswersLost",
+            [](PromiseCluster& cluster) {
+                cluster.fault("log", { { "lose_answers", 5 } });
             },
-            mendNothing },
-        OnceCase { "AppendAnswersLostAndRouterKilled",
-            [](Scene& scene) {
-                scene.fault("log", { { "lose_answers", 5 } });
-                killOne(scene);
+            noRecovery },
+        AtMostOnceCase { "AppendAnswersLostAndRouterKilled",
+            [](PromiseCluster& cluster) {
+                cluster.fault("log", { { "lose_answers", 5 } });
+                killOne(cluster);
             },
-            mendNothing },
-        OnceCase { "LogSlow",
-            [](Scene& scene) {
-                scene.fault("log", { { "slow_ms", 300 } });
+            noRecovery },
+        AtMostOnceCase { "LogSlow",
+            [](PromiseCluster& cluster) {
+                cluster.fault("log", { { "slow_ms", 300 } });
             },
             logUp },
-        OnceCase { "LogSlowAndRouterFrozen",
-            [](Scene& scene) {
-                scene.fault("log", { { "slow_ms", 200 } });
-                freezeOne(scene);
+        AtMostOnceCase { "LogSlowAndRouterFrozen",
+            [](PromiseCluster& cluster) {
+                cluster.fault("log", { { "slow_ms", 200 } });
+                freezeOne(cluster);
             },
-            [](Scene& scene) {
-                logUp(scene);
-                thawOne(scene);
+            [](PromiseCluster& cluster) {
+                logUp(cluster);
+                thawOne(cluster);
             } },
-        OnceCase { "ServiceAnswersLost",
-            [](Scene& scene) {
-                scene.fault("orders-1", { { "lose_answers", 6 } });
+        AtMostOnceCase { "ServiceAnswersLost",
+            [](PromiseCluster& cluster) {
+                cluster.fault("orders-1", { { "lose_answers", 6 } });
             },
-            mendNothing },
+            noRecovery },
         // Membership views that disagree: the peers hear nothing of each other for a while.
-        OnceCase { "RouterUnlisted", [](Scene& scene) { scene.setListed("router-2", ""); },
-            [](Scene& scene) { scene.setListed("router-2", "live"); } }),
+        AtMostOnceCase { "RouterUnlisted", [](PromiseCluster& cluster) { cluster.setListed("router-2", ""); },
+            [](PromiseCluster& cluster) { cluster.setListed("router-2", "live"); } }),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(LogOutageTest, KeysAreRefusedAtOnceAndCallsWithoutKeysGoOn)
 {
-    Scene scene;
-    scene.publish(Scene::configuration());
-    scene.fault("log", { { "down", true } });
-    EXPECT_TRUE(
-        scene.await([&] { return scene.pay("router-1", Common::randomId()).get().refusal == "claim_unavailable"; }));
-    auto refused = scene.pay("router-2", "k1").get();
+    PromiseCluster cluster;
+    cluster.publish(PromiseCluster::configuration());
+    cluster.fault("log", { { "down", true } });
+    EXPECT_TRUE(cluster.await(
+        [&] { return cluster.callService("router-1", Common::randomId()).get().refusal == "claim_unavailable"; }));
+    auto refused = cluster.callService("router-2", "k1").get();
     EXPECT_EQ(refused.refusal, "claim_unavailable");
     EXPECT_EQ(refused.ran, "no");
-    auto vouched = scene.pay("router-3", "k2", "vouched", "1").get();
+    auto vouched = cluster.callService("router-3", "k2", "vouched", "1").get();
     EXPECT_TRUE(vouched.whole) << "the caller vouches that this is its first try: " << vouched.refusal;
-    auto second = scene.pay("router-2", "k2", "vouched", "2").get();
+    auto second = cluster.callService("router-2", "k2", "vouched", "2").get();
     EXPECT_EQ(second.refusal, "duplicate_key");
     EXPECT_EQ(second.ran, "maybe");
-    auto unkeyed = scene.runLoad({ Scene::service("stock", 50) }, 1).get();
+    auto unkeyed = cluster.runLoad({ PromiseCluster::service("stock", 50) }, 1).get();
     EXPECT_EQ(countWhole(unkeyed, "stock"), unkeyed.size());
-    scene.fault("log", { { "down", false } });
-    EXPECT_TRUE(scene.await([&] { return scene.pay("router-1", "k1").get().whole; }))
+    cluster.fault("log", { { "down", false } });
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", "k1").get().whole; }))
         << "refused as not run, so the key is free";
     // The later try of the vouched key still does not run, though the log knows of no claim.
-    EXPECT_EQ(scene.pay("router-1", "k2", "vouched", "2").get().refusal, "duplicate_key");
-    auto runs = scene.runs("by_key");
-    EXPECT_EQ(runs["k1"], 1u);
-    EXPECT_EQ(runs["k2"], 1u);
+    EXPECT_EQ(cluster.callService("router-1", "k2", "vouched", "2").get().refusal, "duplicate_key");
+    auto runCounts = cluster.runCounts("by_key");
+    EXPECT_EQ(runCounts["k1"], 1u);
+    EXPECT_EQ(runCounts["k2"], 1u);
 }
 
 TEST(RetentionTest, LogThatKeepsLessThanTheHorizonSettlesNoKey)
 {
-    Scene scene({ 1, 1, 2 });
-    scene.publish(Scene::configuration());
-    EXPECT_TRUE(scene.pay("router-1", "kept").get().whole);
-    scene.fault("log", { { "retention_ms", 1000 } });
+    PromiseCluster cluster({ 1, 1, 2 });
+    cluster.publish(PromiseCluster::configuration());
+    EXPECT_TRUE(cluster.callService("router-1", "kept").get().whole);
+    cluster.fault("log", { { "retention_ms", 1000 } });
     std::this_thread::sleep_for(1500ms);
     // The log has forgotten the claim by now, and so have all who remembered it.
-    scene.addRouter("router-3");
-    scene.awaitReady();
-    scene.kill("router-1");
-    scene.kill("router-2");
-    EXPECT_FALSE(scene.pay("router-3", "kept").get().whole);
-    EXPECT_LE(scene.runs("by_key")["kept"], 1u);
+    cluster.addRouter("router-3");
+    cluster.awaitReady();
+    cluster.kill("router-1");
+    cluster.kill("router-2");
+    EXPECT_FALSE(cluster.callService("router-3", "kept").get().whole);
+    EXPECT_LE(cluster.runCounts("by_key")["kept"], 1u);
 }
 
 TEST(HorizonTest, KeyIsFreeAgainAfterItsHorizonOnly)
 {
-    Scene scene({ 1, 1, 2, {}, { { "/claims/horizon_ms", "3000" } } });
-    scene.publish(Scene::configuration());
-    EXPECT_TRUE(scene.pay("router-1", "old").get().whole);
-    auto again = scene.pay("router-2", "old").get();
+    PromiseCluster cluster({ 1, 1, 2, {}, { { "/claims/horizon_ms", "3000" } } });
+    cluster.publish(PromiseCluster::configuration());
+    EXPECT_TRUE(cluster.callService("router-1", "old").get().whole);
+    auto again = cluster.callService("router-2", "old").get();
     EXPECT_EQ(again.refusal, "duplicate_key");
-    EXPECT_TRUE(scene.await([&] { return scene.pay("router-2", "old").get().whole; }));
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-2", "old").get().whole; }));
 }
 
 } // namespace Brassladder::ClassServing::Promises
--- a/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
@@ -3,7 +3,7 @@
 #include "Common/Precompiled.h"
 
 #include "Common/Digest.h"
-#include "UnitTests/ClassServing/Promises/Scene.h"
+#include "UnitTests/ClassServing/Promises/PromiseCluster.h"
 
 namespace Brassladder::ClassServing::Promises {
 
@@ -20,21 +20,21 @@
 }
 
 Common::Result<std::vector<Operator::Published>> publish(
-    Scene& scene, const Operator::FileSet& files, const std::map<std::string, uint64_t>& bases = {})
+    PromiseCluster& cluster, const Operator::FileSet& files, const std::map<std::string, uint64_t>& bases = {})
 {
-    return testRuntime().call([&] { return Operator::Publisher(scene.log()).publish(files, bases); });
+    return testRuntime().call([&] { return Operator::Publisher(cluster.log()).publish(files, bases); });
 }
 
-uint64_t versionAt(Scene& scene, const std::string& router, const std::string& file = "workspace/east")
+uint64_t versionAt(PromiseCluster& cluster, const std::string& router, const std::string& file = "workspace/east")
 {
-    auto status = scene.status(router);
+    auto status = cluster.status(router);
     return status.is_object() ? Common::member<uint64_t>(status["config"]["files"][file], "version", 0) : 0;
 }
 
-bool isEverywhere(Scene& scene, uint64_t version)
+bool isAppliedOnAllRouters(PromiseCluster& cluster, uint64_t version)
 {
-    for (const auto& router : scene.idsOf("router")) {
-        if (versionAt(scene, router) != version)
+    for (const auto& router : cluster.idsOf("router")) {
+        if (versionAt(cluster, router) != version)
             return false;
     }
     return true;
@@ -43,11 +43,11 @@
 // Watches the versions at all routers and notes whether one ever went back.
 class VersionWatch {
 public:
-    explicit VersionWatch(Scene& scene)
-        : m_thread([this, &scene] {
+    explicit VersionWatch(PromiseCluster& cluster)
+        : m_thread([this, &cluster] {
             while (!m_stop) {
                 for (const auto& router : { "router-1", "router-2", "router-3" }) {
-                    auto version = versionAt(scene, router);
+                    auto version = versionAt(cluster, router);
                     if (version && version < m_seen[router])
                         m_reverted = true;
                     m_seen[router] = std::max(m_seen[router], version);
@@ -74,15 +74,15 @@
 
 TEST(ConfigurationTest, OneOfTwoOperatorsWinsAndIsInForceEverywhere)
 {
-    Scene scene({ 1, 1, 3 });
-    scene.publish(Scene::configuration());
-    VersionWatch watch(scene);
+    PromiseCluster cluster({ 1, 1, 3 });
+    cluster.publish(PromiseCluster::configuration());
+    VersionWatch watch(cluster);
     for (int round = 1; round <= 5; ++round) {
-        auto base = versionAt(scene, "router-1");
+        auto base = versionAt(cluster, "router-1");
         auto other = std::async(std::launch::async, [&] {
-            return publish(scene, workspace(round * 2), { { "workspace/east", base } });
+            return publish(cluster, workspace(round * 2), { { "workspace/east", base } });
         });
-        auto mine = publish(scene, workspace(round * 2 + 1), { { "workspace/east", base } });
+        auto mine = publish(cluster, workspace(round * 2 + 1), { { "workspace/east", base } });
         auto theirs = other.get();
         ASSERT_FALSE(isError(mine) || isError(theirs));
         int accepted = 0;
@@ -93,39 +93,39 @@
         }
         EXPECT_EQ(accepted, 1);
         // An operator who comes later with a file written against the old version must not win either.
-        auto late = publish(scene, workspace(100 + round), { { "workspace/east", base } });
+        auto late = publish(cluster, workspace(100 + round), { { "workspace/east", base } });
         ASSERT_FALSE(isError(late));
         EXPECT_EQ(valueOf(late).front().verdict, Config::FoldVerdict::Conflict);
-        EXPECT_TRUE(scene.await([&] { return isEverywhere(scene, version); })) << version;
+        EXPECT_TRUE(cluster.await([&] { return isAppliedOnAllRouters(cluster, version); })) << version;
     }
     EXPECT_FALSE(watch.reverted());
 }
 
 TEST(ConfigurationTest, PublisherLearnsTheVerdictOfAnAppendWhoseAnswerWasLost)
 {
-    Scene scene({ 1, 1, 2 });
-    scene.publish(Scene::configuration());
-    scene.fault("log", { { "lose_answers", 1 } });
-    auto published = publish(scene, workspace(7));
+    PromiseCluster cluster({ 1, 1, 2 });
+    cluster.publish(PromiseCluster::configuration());
+    cluster.fault("log", { { "lose_answers", 1 } });
+    auto published = publish(cluster, workspace(7));
     ASSERT_FALSE(isError(published));
     EXPECT_EQ(valueOf(published).front().verdict, Config::FoldVerdict::Accepted);
-    EXPECT_TRUE(scene.await([&] { return isEverywhere(scene, valueOf(published).front().version); }));
+    EXPECT_TRUE(cluster.await([&] { return isAppliedOnAllRouters(cluster, valueOf(published).front().version); }));
 }
 
 TEST(ConfigurationTest, NewInstanceStartsFromItsPeersWhileTheLogIsOut)
 {
-    Scene scene({ 1, 1, 2 });
-    scene.publish(Scene::configuration());
-    auto version = valueOf(publish(scene, workspace(3))).front().version;
-    ASSERT_TRUE(scene.await([&] { return isEverywhere(scene, version); }));
-    scene.fault("log", { { "down", true } });
-    scene.addRouter("router-3");
-    EXPECT_TRUE(scene.await([&] { return versionAt(scene, "router-3") == version; }));
-    EXPECT_TRUE(scene.await([&] {
-        return valueOf(scene.call("router-3", { "GET", "/readyz", "", {} })).status == 200;
+    PromiseCluster cluster({ 1, 1, 2 });
+    cluster.publish(PromiseCluster::configuration());
+    auto version = valueOf(publish(cluster, workspace(3))).front().version;
+    ASSERT_TRUE(cluster.await([&] { return isAppliedOnAllRouters(cluster, version); }));
+    cluster.fault("log", { { "down", true } });
+    cluster.addRouter("router-3");
+    EXPECT_TRUE(cluster.await([&] { return versionAt(cluster, "router-3") == version; }));
+    EXPECT_TRUE(cluster.await([&] {
+        return valueOf(cluster.call("router-3", { "GET", "/readyz", "", {} })).status == 200;
     }));
     // Without peers and without the log there is nothing to go by.
-    Scene alone({ 1, 1, 0 });
+    PromiseCluster alone({ 1, 1, 0 });
     alone.fault("log", { { "down", true } });
     alone.addRouter("router-1");
     std::this_thread::sleep_for(2s);
@@ -134,52 +134,52 @@
 
 TEST(ConfigurationTest, OutlivesTheLogsRetention)
 {
-    Scene scene({ 1, 1, 2 });
-    scene.publish(Scene::configuration());
-    scene.fault("log", { { "retention_ms", 3000 } });
-    auto version = valueOf(publish(scene, workspace(4))).front().version;
+    PromiseCluster cluster({ 1, 1, 2 });
+    cluster.publish(PromiseCluster::configuration());
+    cluster.fault("log", { { "retention_ms", 3000 } });
+    auto version = valueOf(publish(cluster, workspace(4))).front().version;
     // Longer than the retention: without snapshots the log would be empty by then, and all peers are replaced.
     std::this_thread::sleep_for(7s);
-    auto fold = testRuntime().call([&] { return Operator::Publisher(scene.log()).inForce(); });
+    auto fold = testRuntime().call([&] { return Operator::Publisher(cluster.log()).inForce(); });
     ASSERT_FALSE(isError(fold));
     EXPECT_EQ(valueOf(fold).versionOf("workspace/east"), version);
     EXPECT_GT(valueOf(fold).versionOf("pools"), 0u);
     // The log keeps what it has from here on. A snapshot is written when the youngest record has passed half of the
     // retention and a jitter of up to a quarter, so with both routers killed as little as 0.75 s of it is left, and
     // beside twelve busy processes a start took longer once in 21 runs: nobody was left to write the next one.
-    scene.fault("log", { { "retention_ms", 600'000 } });
-    scene.kill("router-1");
-    scene.kill("router-2");
-    scene.addRouter("router-3");
-    EXPECT_TRUE(scene.await([&] { return versionAt(scene, "router-3") == version; }));
+    cluster.fault("log", { { "retention_ms", 600'000 } });
+    cluster.kill("router-1");
+    cluster.kill("router-2");
+    cluster.addRouter("router-3");
+    EXPECT_TRUE(cluster.await([&] { return versionAt(cluster, "router-3") == version; }));
 }
 
 TEST(ConfigurationTest, FrozenRouterCatchesUpAndNeverGoesBack)
 {
-    Scene scene({ 1, 1, 3 });
-    scene.publish(Scene::configuration());
-    VersionWatch watch(scene);
-    publish(scene, workspace(1));
-    scene.freeze("router-2");
+    PromiseCluster cluster({ 1, 1, 3 });
+    cluster.publish(PromiseCluster::configuration());
+    VersionWatch watch(cluster);
+    publish(cluster, workspace(1));
+    cluster.freeze("router-2");
     uint64_t version = 0;
     for (int weight = 2; weight < 6; ++weight)
-        version = valueOf(publish(scene, workspace(weight))).front().version;
+        version = valueOf(publish(cluster, workspace(weight))).front().version;
     std::this_thread::sleep_for(2s);
-    scene.thaw("router-2");
-    EXPECT_TRUE(scene.await([&] { return isEverywhere(scene, version); }));
+    cluster.thaw("router-2");
+    EXPECT_TRUE(cluster.await([&] { return isAppliedOnAllRouters(cluster, version); }));
     EXPECT_FALSE(watch.reverted());
 }
 
 TEST(ConfigurationTest, ReplacedLogLeavesInForceWhatWas)
 {
-    Scene scene({ 1, 1, 3 });
-    scene.publish(Scene::configuration());
-    auto version = valueOf(publish(scene, workspace(5))).front().version;
-    ASSERT_TRUE(scene.await([&] { return isEverywhere(scene, version); }));
-    scene.fault("log", { { "replace", true } });
-    publish(scene, workspace(6));
-    EXPECT_TRUE(scene.await([&] { return scene.status("router-1")["config"]["log_replaced"] == true; }));
-    EXPECT_TRUE(isEverywhere(scene, version));
+    PromiseCluster cluster({ 1, 1, 3 });
+    cluster.publish(PromiseCluster::configuration());
+    auto version = valueOf(publish(cluster, workspace(5))).front().version;
+    ASSERT_TRUE(cluster.await([&] { return isAppliedOnAllRouters(cluster, version); }));
+    cluster.fault("log", { { "replace", true } });
+    publish(cluster, workspace(6));
+    EXPECT_TRUE(cluster.await([&] { return cluster.status("router-1")["config"]["log_replaced"] == true; }));
+    EXPECT_TRUE(isAppliedOnAllRouters(cluster, version));
 }
 
 } // namespace Brassladder::ClassServing::Promises
--- a/Source/UnitTests/ClassServing/Promises/Scene.cpp
+++ b/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "Common/Precompiled.h"
 
-#include "UnitTests/ClassServing/Promises/Scene.h"
+#include "UnitTests/ClassServing/Promises/PromiseCluster.h"
 
 namespace Brassladder::ClassServing::Promises {
 
-Scene::Scene(const SceneSize& size)
+PromiseCluster::PromiseCluster(const PromiseClusterOptions& size)
     : Cluster(testRuntime())
 {
     for (int index = 1; index <= size.engines; ++index)
@@ -16,7 +16,7 @@
         addRouter("router-" + std::to_string(index), size.routerSettings);
 }
 
-Operator::FileSet Scene::configuration(const std::string& requestClass, const Json& members)
+Operator::FileSet PromiseCluster::configuration(const std::string& requestClass, const Json& members)
 {
     auto files = Testing::Harness::testConfiguration();
     Json pools = Common::parseJson(files["pools"]);
@@ -33,14 +33,14 @@
     return files;
 }
 
-std::future<std::vector<CallRecord>> Scene::runLoad(
+std::future<std::vector<CallRecord>> PromiseCluster::runLoad(
     std::vector<Testing::Load::Arrivals> arrivals, double seconds, uint64_t seed)
 {
     Testing::Load::Plan plan { seed, seconds, std::move(arrivals), routers() };
     return std::async(std::launch::async, [plan = std::move(plan)] { return Testing::Load::run(testRuntime(), plan); });
 }
 
-std::future<CallRecord> Scene::pay(
+std::future<CallRecord> PromiseCluster::callService(
     const std::string& router, const std::string& key, const std::string& requestClass, const std::string& attempt)
 {
     return std::async(std::launch::async, [endpoint = node(router).endpoint, key, requestClass, attempt] {
@@ -51,7 +51,7 @@
     });
 }
 
-Testing::Load::Arrivals Scene::chat(const std::string& requestClass, double perSecond, double tokens)
+Testing::Load::Arrivals PromiseCluster::chat(const std::string& requestClass, double perSecond, double tokens)
 {
     Testing::Load::Arrivals arrivals;
     arrivals.requestClass = requestClass;
@@ -62,7 +62,7 @@
     return arrivals;
 }
 
-Testing::Load::Arrivals Scene::service(const std::string& requestClass, double perSecond)
+Testing::Load::Arrivals PromiseCluster::service(const std::string& requestClass, double perSecond)
 {
     auto arrivals = chat(requestClass, perSecond, 1);
     arrivals.servicePath = "/services/orders/" + requestClass;
@@ -70,7 +70,7 @@
     return arrivals;
 }
 
-std::map<std::string, uint32_t> Scene::runs(const std::string& counter)
+std::map<std::string, uint32_t> PromiseCluster::runCounts(const std::string& counter)
 {
     std::map<std::string, uint32_t> sum;
     for (const auto& id : idsOf("orders")) {
@@ -81,7 +81,7 @@
     return sum;
 }
 
-std::string Scene::explain(const std::string& requestId)
+std::string PromiseCluster::explain(const std::string& requestId)
 {
     std::string text;
     for (const auto& router : idsOf("router")) {
@@ -94,23 +94,23 @@
     return text;
 }
 
-void expectOwnAnswers(std::span<const CallRecord> history)
+void expectCorrectResponses(std::span<const CallRecord> history)
 {
     for (const auto& record : history)
         EXPECT_FALSE(record.wrong) << record.requestClass << " " << record.requestId << " after " << record.tokens
                                    << " tokens";
 }
 
-void expectHonest(Scene& scene, std::span<const CallRecord> history)
+void expectAccurateRunReports(PromiseCluster& cluster, std::span<const CallRecord> history)
 {
-    auto byRequest = scene.runs("by_request");
+    auto byRequest = cluster.runCounts("by_request");
     for (const auto& record : history) {
         if (record.ran == "no" && !record.requestId.empty()) {
             EXPECT_EQ(byRequest.count(record.requestId), 0u)
-                << "told not run, but ran: " << scene.explain(record.requestId);
+                << "told not run, but ran: " << cluster.explain(record.requestId);
         }
     }
-    for (const auto& [key, count] : scene.runs("by_key"))
+    for (const auto& [key, count] : cluster.runCounts("by_key"))
         EXPECT_LE(count, 1u) << "ran twice: key " << key;
 }
 
--- a/Source/UnitTests/ClassServing/Promises/Scene.h
+++ b/Source/UnitTests/ClassServing/Promises/PromiseCluster.h
@@ -13,7 +13,7 @@
 using Common::Json;
 using Testing::Load::CallRecord;
 
-struct SceneSize {
+struct PromiseClusterOptions {
     int engines { 3 };
     int services { 2 };
     int routers { 3 };
@@ -22,9 +22,9 @@
 };
 
 // A cluster for one proof, with the calls that a proof makes.
-class Scene : public Testing::Harness::Cluster {
+class PromiseCluster : public Testing::Harness::Cluster {
 public:
-    explicit Scene(const SceneSize& = {});
+    explicit PromiseCluster(const PromiseClusterOptions& = {});
 
     // The test configuration with members of one class replaced.
     static Operator::FileSet configuration(const std::string& requestClass = {}, const Json& members = {});
@@ -33,21 +33,21 @@
     std::future<std::vector<CallRecord>> runLoad(
         std::vector<Testing::Load::Arrivals>, double seconds, uint64_t seed = 1);
     // One call of a plain service with a key, by a caller that waits for its end.
-    std::future<CallRecord> pay(const std::string& router, const std::string& key,
+    std::future<CallRecord> callService(const std::string& router, const std::string& key,
         const std::string& requestClass = "payment", const std::string& attempt = {});
 
     static Testing::Load::Arrivals chat(const std::string& requestClass, double perSecond, double tokens);
     static Testing::Load::Arrivals service(const std::string& requestClass, double perSecond);
 
     // Runs by Idempotency-Key and by request id, over all services.
-    std::map<std::string, uint32_t> runs(const std::string& counter);
+    std::map<std::string, uint32_t> runCounts(const std::string& counter);
     std::string explain(const std::string& requestId);
 };
 
 // What holds for every history, whatever failed: no caller got a wrong answer or an answer passed off as whole.
-void expectOwnAnswers(std::span<const CallRecord>);
+void expectCorrectResponses(std::span<const CallRecord>);
 // Nothing was refused as "not run" that did run, and no key ran twice.
-void expectHonest(Scene&, std::span<const CallRecord>);
+void expectAccurateRunReports(PromiseCluster&, std::span<const CallRecord>);
 
 size_t countWhole(std::span<const CallRecord>, const std::string& requestClass);
 // Whether the caller lost its connection instead of getting an answer.
--- a/Source/UnitTests/ClassServing/Promises/TierOrderTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/TierOrderTest.cpp
@@ -2,7 +2,7 @@
 // Guards: a higher tier is never shed or preempted to make room for a lower one; no class starves.
 #include "Common/Precompiled.h"
 
-#include "UnitTests/ClassServing/Promises/Scene.h"
+#include "UnitTests/ClassServing/Promises/PromiseCluster.h"
 
 namespace Brassladder::ClassServing::Promises {
 
@@ -12,7 +12,7 @@
 
 struct TierCase {
     const char* name;
-    std::function<void(Scene&)> fail; // Run in the middle of the burst.
+    std::function<void(PromiseCluster&)> fail; // Run in the middle of the burst.
 };
 
 std::ostream& operator<<(std::ostream& out, const TierCase& each) { return out << each.name; }
@@ -20,20 +20,20 @@
 class TierOrderTest : public testing::TestWithParam<TierCase> { };
 
 // The value of a series, summed over all routers.
-double sumOfMetric(Scene& scene, const std::string& series)
+double sumOfMetric(PromiseCluster& cluster, const std::string& series)
 {
     double sum = 0;
-    for (const auto& router : scene.idsOf("router")) {
-        auto metrics = valueOf(scene.call(router, { "GET", "/metrics", "", {} })).body;
+    for (const auto& router : cluster.idsOf("router")) {
+        auto metrics = valueOf(cluster.call(router, { "GET", "/metrics", "", {} })).body;
         if (auto found = metrics.find(series + " "); found != std::string::npos)
             sum += std::stod(metrics.substr(found + series.size()));
     }
     return sum;
 }
 
-double preemptions(Scene& scene, const std::string& requestClass)
+double preemptions(PromiseCluster& cluster, const std::string& requestClass)
 {
-    return sumOfMetric(scene, "brassladder_preemptions_total{class=\"" + requestClass + "\"}");
+    return sumOfMetric(cluster, "brassladder_preemptions_total{class=\"" + requestClass + "\"}");
 }
 
 } // namespace
@@ -42,21 +42,21 @@
 // fits the capacity by itself. None may be refused, though low tiers wait and run all the time.
 TEST_P(TierOrderTest, UrgentIsServedOverABacklogOfLowerTiers)
 {
-    Scene scene;
-    scene.publish(Scene::configuration());
-    auto guides = Scene::chat("overnight", 8, 2000);
-    guides.spread = 0.1;
-    auto chats = Scene::chat("chat", 5, 60);
+    PromiseCluster cluster;
+    cluster.publish(PromiseCluster::configuration());
+    auto overnight = PromiseCluster::chat("overnight", 8, 2000);
+    overnight.spread = 0.1;
+    auto chats = PromiseCluster::chat("chat", 5, 60);
     chats.bursts = { { 1, 5, 4 } };
-    auto urgent = Scene::chat("urgent", 10, 20);
+    auto urgent = PromiseCluster::chat("urgent", 10, 20);
     urgent.bursts = { { 1, 5, 5 } };
-    auto running = scene.runLoad({ guides, chats, urgent }, 6);
+    auto running = cluster.runLoad({ overnight, chats, urgent }, 6);
     std::this_thread::sleep_for(2500ms);
-    GetParam().fail(scene);
+    GetParam().fail(cluster);
     auto history = running.get();
-    expectOwnAnswers(history);
-    EXPECT_EQ(preemptions(scene, "urgent"), 0);
-    EXPECT_GT(preemptions(scene, "overnight"), 0) << "the backlog did not stand in the way, so nothing was shown";
+    expectCorrectResponses(history);
+    EXPECT_EQ(preemptions(cluster, "urgent"), 0);
+    EXPECT_GT(preemptions(cluster, "overnight"), 0) << "the backlog did not stand in the way, so nothing was shown";
     // Requests whose own connection or engine was lost may fail; none may be refused for room.
     for (const auto& record : history) {
         if (record.requestClass != "urgent" || record.refusal.empty())
@@ -69,46 +69,46 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Failures, TierOrderTest,
-    testing::Values(TierCase { "Burst", [](Scene&) {} },
-        TierCase { "HomeKilled", [](Scene& scene) { scene.kill(scene.homeOf("language")); } },
+    testing::Values(TierCase { "Burst", [](PromiseCluster&) {} },
+        TierCase { "HomeKilled", [](PromiseCluster& cluster) { cluster.kill(cluster.homeOf("language")); } },
         TierCase { "HomeFrozen",
-            [](Scene& scene) {
-                auto home = scene.homeOf("language");
-                scene.freeze(home);
+            [](PromiseCluster& cluster) {
+                auto home = cluster.homeOf("language");
+                cluster.freeze(home);
                 std::this_thread::sleep_for(3s);
-                scene.thaw(home);
+                cluster.thaw(home);
             } },
         TierCase { "FalseLoadReports",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "reported_load", 1000 } });
-                scene.fault("engine-2", { { "reported_load", 0 } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "reported_load", 1000 } });
+                cluster.fault("engine-2", { { "reported_load", 0 } });
             } },
         TierCase { "SlowEngine",
-            [](Scene& scene) {
-                scene.fault("engine-1", { { "slow_factor", 4 } });
+            [](PromiseCluster& cluster) {
+                cluster.fault("engine-1", { { "slow_factor", 4 } });
             } },
         TierCase { "EngineKilledAndHomeKilled",
-            [](Scene& scene) {
-                scene.kill("engine-1");
-                scene.kill(scene.homeOf("language"));
+            [](PromiseCluster& cluster) {
+                cluster.kill("engine-1");
+                cluster.kill(cluster.homeOf("language"));
             } }),
     [](const auto& info) { return std::string(info.param.name); });
 
 // Shards of one worker each: what is paused must go on in the shard of its worker, wherever its home is.
 TEST(ShardTest, PausedGenerationGoesOnInItsOwnShard)
 {
-    Scene scene;
-    auto files = Scene::configuration();
+    PromiseCluster cluster;
+    auto files = PromiseCluster::configuration();
     Json pools = Common::parseJson(files["pools"]);
     pools["pools"][0]["shard_size"] = 1;
     files["pools"] = Common::dumpJson(pools);
-    scene.publish(files);
-    auto guides = Scene::chat("overnight", 20, 600);
-    auto urgent = Scene::chat("urgent", 60, 20);
-    auto history = scene.runLoad({ guides, urgent }, 3).get();
-    expectOwnAnswers(history);
-    EXPECT_GT(sumOfMetric(scene, "brassladder_preemptions_total{class=\"overnight\"}"), 0);
-    EXPECT_EQ(sumOfMetric(scene, "brassladder_retries_total{class=\"overnight\",reason=\"upstream_lost_state\"}"), 0);
+    cluster.publish(files);
+    auto overnight = PromiseCluster::chat("overnight", 20, 600);
+    auto urgent = PromiseCluster::chat("urgent", 60, 20);
+    auto history = cluster.runLoad({ overnight, urgent }, 3).get();
+    expectCorrectResponses(history);
+    EXPECT_GT(sumOfMetric(cluster, "brassladder_preemptions_total{class=\"overnight\"}"), 0);
+    EXPECT_EQ(sumOfMetric(cluster, "brassladder_retries_total{class=\"overnight\",reason=\"upstream_lost_state\"}"), 0);
     EXPECT_EQ(countWhole(history, "overnight") + countWhole(history, "urgent"), history.size());
 }
 
@@ -116,22 +116,22 @@
 // steps of an engine and a bound of 2 s for one of minutes.
 TEST(StarvationTest, LowestClassRunsWhileTheHighestIsOfferedTwiceTheCapacity)
 {
-    Scene scene;
-    auto files = Scene::configuration("overnight", { { "guarantee_after_ms", 1000 } });
-    scene.publish(files);
+    PromiseCluster cluster;
+    auto files = PromiseCluster::configuration("overnight", { { "guarantee_after_ms", 1000 } });
+    cluster.publish(files);
     // 12 slots of 500 tokens a second are 6,000; 300 requests of 40 tokens ask for 12,000.
-    auto urgent = Scene::chat("urgent", 300, 40);
+    auto urgent = PromiseCluster::chat("urgent", 300, 40);
     urgent.spread = 0.1;
-    auto low = Scene::chat("overnight", 1, 50);
+    auto low = PromiseCluster::chat("overnight", 1, 50);
     low.spread = 0.1;
-    auto burst = scene.runLoad({ urgent }, 12);
+    auto burst = cluster.runLoad({ urgent }, 12);
     std::this_thread::sleep_for(1s);
-    auto guides = scene.runLoad({ low }, 4, 2).get();
+    auto overnight = cluster.runLoad({ low }, 4, 2).get();
     bool burstIsOn = burst.wait_for(0s) == std::future_status::timeout;
     EXPECT_TRUE(burstIsOn) << "the burst ended first, so nothing was shown";
-    ASSERT_FALSE(guides.empty());
-    EXPECT_EQ(countWhole(guides, "overnight"), guides.size());
-    expectOwnAnswers(burst.get());
+    ASSERT_FALSE(overnight.empty());
+    EXPECT_EQ(countWhole(overnight, "overnight"), overnight.size());
+    expectCorrectResponses(burst.get());
 }
 
 } // namespace Brassladder::ClassServing::Promises
