--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -80,9 +80,9 @@
     }
     if (m_cancelled)
         return Common::makeError(ErrorKind::CallerGone, "the caller went away during the connect");
-    HttpClientRequest timed = call;
-    timed.responseTimeout = timeouts.answer;
-    auto answer = m_connection->start(timed);
+    HttpClientRequest callWithTimeout = call;
+    callWithTimeout.responseTimeout = timeouts.answer;
+    auto answer = m_connection->start(callWithTimeout);
     if (isError(answer))
         return errorOf(answer);
     if (valueOf(answer).status == 200)
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -13,7 +13,7 @@
 using Common::Result;
 
 // The caller's key and target, and our own headers, are not for the other side.
-static bool isPrivate(std::string_view header)
+static bool isStrippedHeader(std::string_view header)
 {
     auto lower = absl::AsciiStrToLower(absl::string_view(header.data(), header.size()));
     return lower.starts_with("brassladder-") || lower == "host" || lower == "authorization";
@@ -25,7 +25,7 @@
     std::vector<Common::HttpHeader> headers;
     for (const auto& field : request) {
         std::string name(field.name_string().data(), field.name_string().size());
-        if (!hopByHop.contains(name) && !isPrivate(name))
+        if (!hopByHop.contains(name) && !isStrippedHeader(name))
             headers.push_back({ std::move(name), std::string(field.value().data(), field.value().size()) });
     }
     return headers;
@@ -36,7 +36,7 @@
     auto hopByHop = Common::hopByHopFieldsOf(response);
     std::vector<Common::HttpHeader> headers;
     for (const auto& header : response.headers) {
-        if (!hopByHop.contains(header.name) && !isPrivate(header.name))
+        if (!hopByHop.contains(header.name) && !isStrippedHeader(header.name))
             headers.push_back(header);
     }
     return headers;
--- a/Source/ClassServing/Upstream/SseParser.cpp
+++ b/Source/ClassServing/Upstream/SseParser.cpp
@@ -3,7 +3,7 @@
 
 namespace Brassladder::ClassServing::Upstream {
 
-static void takeLine(std::string_view line, SseEvent& event)
+static void parseLine(std::string_view line, SseEvent& event)
 {
     if (line.ends_with('\r'))
         line.remove_suffix(1);
@@ -31,7 +31,7 @@
     std::string_view rest(event.raw);
     while (!rest.empty()) {
         auto lineEnd = rest.find('\n');
-        takeLine(rest.substr(0, lineEnd), event);
+        parseLine(rest.substr(0, lineEnd), event);
         rest.remove_prefix(lineEnd + 1);
     }
     return event;
