--- a/Source/UnitTests/ClassServing/BackingServices/PlatformContractTest.cpp
+++ b/Source/UnitTests/ClassServing/BackingServices/PlatformContractTest.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST(PlatformContractTest, BadAnswersOfTheLogAreUnavailableAndAnAppendMayHaveTakenEffect)
+TEST(PlatformContractTest, MalformedLogResponsesAreUnavailableAndAppendsAreUncertain)
 {
     for (const auto& each : s_badAnswers) {
         CannedServer server(each.status, each.body, each.cut);
@@ -62,7 +62,7 @@
     }
 }
 
-TEST(PlatformContractTest, BadInstanceListsAreUnavailableAndBadEntriesLeftOut)
+TEST(PlatformContractTest, MalformedInstanceListsAreUnavailableAndMalformedEntriesAreSkipped)
 {
     for (const auto& each : s_badAnswers) {
         CannedServer server(each.status, each.body, each.cut);
@@ -80,7 +80,7 @@
     EXPECT_TRUE(valueOf(read)[0].leaving) << "a state that is not live is not trusted with new work";
 }
 
-TEST(PlatformContractTest, BadLoadReportsAreNoReports)
+TEST(PlatformContractTest, MalformedLoadReportsReportNoLoad)
 {
     for (const auto& each : s_badAnswers) {
         CannedServer server(each.status, each.body, each.cut);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST(PlatformContractTest, ServiceThatIsGoneDidNotTakeTheAppend)
+TEST(PlatformContractTest, FailedConnectReportsTheAppendAsNotRun)
 {
     auto log = ClassServing::BackingServices::httpLogService({ "127.0.0.1", 1 });
     auto appended = testRuntime().call([&] { return log.append("config", "x"); });
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -83,13 +83,13 @@
 
 } // namespace
 
-TEST_F(CallerContractTest, WholeAndStreamedAnswersAreTheCallersOwn)
+TEST_F(CallerContractTest, WholeAndStreamedResponsesMatchTheRequest)
 {
     EXPECT_TRUE(goodCall(true, "s1").whole);
     EXPECT_TRUE(goodCall(false, "w1").whole);
 }
 
-TEST_F(CallerContractTest, EachBadRequestGetsItsKind)
+TEST_F(CallerContractTest, BadRequestsGetTheSpecifiedErrorKind)
 {
     static const std::string s_key = std::string("Bearer ") + Testing::Harness::testKey;
     static const char* s_chat = "/v1/chat/completions";
@@ -152,7 +152,7 @@
     EXPECT_TRUE(goodCall(true, "after-nested").whole);
 }
 
-TEST_F(CallerContractTest, RawBytesGetAClearErrorOrACleanClose)
+TEST_F(CallerContractTest, MalformedBytesGetAnErrorResponseOrACleanClose)
 {
     struct RawCase {
         const char* name;
@@ -195,7 +195,7 @@
     EXPECT_EQ(std::count_if(headers.begin(), headers.end(), isContentType), 1);
 }
 
-TEST_F(CallerContractTest, CallerThatGoesAwayCancelsItsGeneration)
+TEST_F(CallerContractTest, CallerDisconnectCancelsTheGeneration)
 {
     auto tokensBefore = s_cluster->counters("engine-1")["tokens"].get<uint64_t>();
     auto body = Common::dumpJson(
--- a/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
+++ b/Source/UnitTests/ClassServing/Membership/MembershipTest.cpp
@@ -16,7 +16,7 @@
 
 static std::vector<std::string> aliveRouters(const Table& table) { return table.view()->routers; }
 
-TEST(MembershipTest, ListedRouterCountsOnceItIsHeardOf)
+TEST(MembershipTest, ListedRouterIsAliveAfterItsFirstMessage)
 {
     TimePoint now(1h);
     Table table({ "r1", 1500ms });
@@ -26,7 +26,7 @@
     EXPECT_EQ(aliveRouters(table), (std::vector<std::string> { "r1", "r2" }));
 }
 
-TEST(MembershipTest, SilentSuspectedAndLeavingRoutersDoNotCount)
+TEST(MembershipTest, SilentSuspectedAndLeavingRoutersAreNotInTheView)
 {
     TimePoint now(1h);
     Table table({ "r1", 1500ms });
@@ -42,7 +42,7 @@
     EXPECT_EQ(aliveRouters(table), (std::vector<std::string> { "r1", "r2" }));
 }
 
-TEST(MembershipTest, LeavingUpstreamIsKnownBeforeTheListTells)
+TEST(MembershipTest, ReportedLeavingUpstreamStaysLeavingWhileTheListLags)
 {
     TimePoint now(1h);
     Table table({ "r1", 1500ms });
@@ -56,7 +56,7 @@
     EXPECT_FALSE(table.view()->upstream("language", "e1")->leaving) << "it came back";
 }
 
-TEST(MembershipTest, LeavingLastRouterStaysItsOwnHome)
+TEST(MembershipTest, LastRouterRemainsAHomeWhileItLeaves)
 {
     Table table({ "r1", 1500ms });
     table.setSelfLeaving(TimePoint(1h));
@@ -134,7 +134,7 @@
 } // namespace
 
 // At the two-year size: word of a loss reaches all within a few beats, nobody else is doubted, and a return is seen.
-TEST(MembershipTest, LossAndReturnReachAllOf350Routers)
+TEST(MembershipTest, FailureAndRecoveryPropagateTo350Routers)
 {
     for (size_t count : { 7, 30, 350 }) {
         Fleet fleet(count);
@@ -158,7 +158,7 @@
     }
 }
 
-TEST(WatchersTest, EverybodyUpToNineAndAFixedNumberBeyond)
+TEST(WatchersTest, NumberOfWatchersIsBounded)
 {
     for (size_t count : { 1, 2, 7, 9, 30, 350 }) {
         std::vector<std::string> ids;
--- a/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_P(EngineFaultTest, AnswersAreWholeOrEndWithAnError)
+TEST_P(EngineFaultTest, ResponsesAreCompleteOrEndWithAnError)
 {
     PromiseCluster cluster;
     cluster.publish(PromiseCluster::configuration());
@@ -96,7 +96,7 @@
 
 // Calls that may be repeated and calls that may not, through faults of the services; judged by the services' own
 // counts of what ran.
-TEST_P(ServiceFaultTest, NotRunIsTrueAndNoRepeatRunsOnce)
+TEST_P(ServiceFaultTest, NotRunReportsAreAccurateAndKeysRunAtMostOnce)
 {
     PromiseCluster cluster;
     cluster.publish(PromiseCluster::configuration());
@@ -137,7 +137,7 @@
 
 // Refusals come with the decision: while an engine holds every slot, a request that cannot be served in time is told
 // so with when to come back, and not later than its class may wait.
-TEST(RefusalTest, IsFinalWithTheTimeToComeBack)
+TEST(RefusalTest, RefusalsAreNotRunAndStateARetryDelay)
 {
     PromiseCluster cluster({ 1, 1, 1, { 5000, 1, 100 } });
     auto files = PromiseCluster::configuration("urgent", { { "max_wait_ms", 200 } });
--- a/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
@@ -122,7 +122,7 @@
             [](PromiseCluster& cluster) { cluster.setListed("router-2", "live"); } }),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(LogOutageTest, KeysAreRefusedAtOnceAndCallsWithoutKeysGoOn)
+TEST(LogOutageTest, KeyedCallsAreRefusedAndUnkeyedCallsAreServed)
 {
     PromiseCluster cluster;
     cluster.publish(PromiseCluster::configuration());
@@ -149,7 +149,7 @@
     EXPECT_EQ(runCounts["k2"], 1u);
 }
 
-TEST(RetentionTest, LogThatKeepsLessThanTheHorizonSettlesNoKey)
+TEST(RetentionTest, KeyDoesNotRunAgainAfterTheLogDropsItsClaim)
 {
     PromiseCluster cluster({ 1, 1, 2 });
     cluster.publish(PromiseCluster::configuration());
@@ -165,7 +165,7 @@
     EXPECT_LE(cluster.runCounts("by_key")["kept"], 1u);
 }
 
-TEST(HorizonTest, KeyIsFreeAgainAfterItsHorizonOnly)
+TEST(HorizonTest, KeyIsReusableOnlyAfterItsHorizon)
 {
     PromiseCluster cluster({ 1, 1, 2, {}, { { "/claims/horizon_ms", "3000" } } });
     cluster.publish(PromiseCluster::configuration());
--- a/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/ConfigurationTest.cpp
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST(ConfigurationTest, OneOfTwoOperatorsWinsAndIsInForceEverywhere)
+TEST(ConfigurationTest, OneOfTwoConcurrentPublishesIsAppliedOnAllRouters)
 {
     PromiseCluster cluster({ 1, 1, 3 });
     cluster.publish(PromiseCluster::configuration());
@@ -101,7 +101,7 @@
     EXPECT_FALSE(watch.reverted());
 }
 
-TEST(ConfigurationTest, PublisherLearnsTheVerdictOfAnAppendWhoseAnswerWasLost)
+TEST(ConfigurationTest, PublisherRecoversTheVerdictAfterALostAppendResponse)
 {
     PromiseCluster cluster({ 1, 1, 2 });
     cluster.publish(PromiseCluster::configuration());
@@ -132,7 +132,7 @@
     EXPECT_EQ(valueOf(alone.call("router-1", { "GET", "/readyz", "", {} })).status, 503u);
 }
 
-TEST(ConfigurationTest, OutlivesTheLogsRetention)
+TEST(ConfigurationTest, ConfigurationSurvivesLogRetention)
 {
     PromiseCluster cluster({ 1, 1, 2 });
     cluster.publish(PromiseCluster::configuration());
@@ -154,7 +154,7 @@
     EXPECT_TRUE(cluster.await([&] { return versionAt(cluster, "router-3") == version; }));
 }
 
-TEST(ConfigurationTest, FrozenRouterCatchesUpAndNeverGoesBack)
+TEST(ConfigurationTest, ResumedRouterCatchesUpWithoutReverting)
 {
     PromiseCluster cluster({ 1, 1, 3 });
     cluster.publish(PromiseCluster::configuration());
@@ -170,7 +170,7 @@
     EXPECT_FALSE(watch.reverted());
 }
 
-TEST(ConfigurationTest, ReplacedLogLeavesInForceWhatWas)
+TEST(ConfigurationTest, ReplacedLogDoesNotChangeTheAppliedConfiguration)
 {
     PromiseCluster cluster({ 1, 1, 3 });
     cluster.publish(PromiseCluster::configuration());
--- a/Source/UnitTests/ClassServing/Promises/LeavingTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/LeavingTest.cpp
@@ -91,7 +91,7 @@
 }
 
 // The balancer leaves a router that is not ready alone; callers that are connected to it must not be cut.
-TEST(PlannedStopTest, CutsNothingInFlight)
+TEST(PlannedStopTest, PlannedStopInterruptsNoRequests)
 {
     PromiseCluster cluster;
     cluster.publish(PromiseCluster::configuration());
--- a/Source/UnitTests/ClassServing/Promises/TierOrderTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/TierOrderTest.cpp
@@ -95,7 +95,7 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 // Shards of one worker each: what is paused must go on in the shard of its worker, wherever its home is.
-TEST(ShardTest, PausedGenerationGoesOnInItsOwnShard)
+TEST(ShardTest, PausedGenerationResumesInItsOwnShard)
 {
     PromiseCluster cluster;
     auto files = PromiseCluster::configuration();
--- a/Source/UnitTests/ClassServing/Upstream/CancelledConnectTest.cpp
+++ b/Source/UnitTests/ClassServing/Upstream/CancelledConnectTest.cpp
@@ -37,7 +37,7 @@
 } // namespace
 
 // The fiber that cancels runs when the one that starts first suspends, which is in its connect.
-TEST_F(CancelledConnectTest, NothingIsGeneratedForACallerThatLeftDuringTheConnect)
+TEST_F(CancelledConnectTest, CancelDuringConnectSendsNothingToTheEngine)
 {
     auto status = testRuntime().call([&] {
         auto stream = std::make_shared<EngineStream>(endpoint(), "request-1");
@@ -48,7 +48,7 @@
     EXPECT_EQ(received(), "");
 }
 
-TEST_F(CancelledConnectTest, NoServiceIsCalledForACallerThatLeftDuringTheConnect)
+TEST_F(CancelledConnectTest, CancelDuringConnectSendsNothingToTheService)
 {
     auto answer = testRuntime().call([&] {
         auto call = std::make_shared<ServiceCall>(endpoint(), "request-1");
--- a/Source/UnitTests/ClassServing/Upstream/SseParserTest.cpp
+++ b/Source/UnitTests/ClassServing/Upstream/SseParserTest.cpp
@@ -7,7 +7,7 @@
 
 namespace Brassladder::ClassServing::Upstream {
 
-TEST(SseParserTest, EventsSurviveAnyCut)
+TEST(SseParserTest, EventsAreParsedFromArbitraryChunks)
 {
     static const std::string s_stream
         = "data: one\n\nevent: paused\ndata: {\"tokens\":2}\n\ndata: a\ndata: b\r\n\n: comment\n\n";
