--- a/Source/Benchmarks/LimitCallers.cpp
+++ b/Source/Benchmarks/LimitCallers.cpp
@@ -23,14 +23,14 @@
 
 namespace {
 
-enum class Way { RefuseUntilDue, RefuseForASecond, Hold };
-constexpr const char* wayNames[] { "refuse, until due", "refuse, one second", "hold" };
+enum class RefusalPolicy { RefuseUntilDue, RefuseForASecond, Hold };
+constexpr const char* policyNames[] { "refuse, until due", "refuse, one second", "hold" };
 
 struct Scenario {
     double limitedShare { 0.5 }; // Of the upstreams.
     double limit { 0.2 }; // Of what each of them got before.
     double load { 0.5 }; // Of what all upstreams could serve.
-    Way way { Way::RefuseUntilDue };
+    RefusalPolicy policy { RefusalPolicy::RefuseUntilDue };
 };
 
 constexpr size_t routers = 6;
@@ -55,9 +55,9 @@
     size_t served { 0 };
 };
 
-class Play {
+class Simulation {
 public:
-    Play(const Scenario& scenario, unsigned seed)
+    Simulation(const Scenario& scenario, unsigned seed)
         : m_scenario(scenario)
         , m_random(seed)
         , m_running(upstreams)
@@ -201,22 +201,23 @@
             return place(request);
         }
         registry.recordStart(*placement);
-        at(m_now + hop, [this, request, placement = *placement, sent = m_now] { reach(request, placement, sent); });
+        at(m_now + hop,
+            [this, request, placement = *placement, sent = m_now] { arriveAtUpstream(request, placement, sent); });
     }
 
     void withoutUpstream(const RequestPtr& request, Milliseconds wait)
     {
         bool mayHold = m_now < request->arrived + objective / 2;
-        if (m_scenario.way == Way::Hold && mayHold) {
+        if (m_scenario.policy == RefusalPolicy::Hold && mayHold) {
             request->attempted.clear();
             request->isHeld = true;
             return at(m_now + holdPoll, [this, request] { place(request); });
         }
-        giveBack(request, m_scenario.way == Way::RefuseForASecond ? 1000ms : wait);
+        refuseRequest(request, m_scenario.policy == RefusalPolicy::RefuseForASecond ? 1000ms : wait);
     }
 
     // The caller comes back once, at another router, and waits for a third of its time at most (PROTOCOL, "Answers").
-    void giveBack(const RequestPtr& request, Milliseconds wait)
+    void refuseRequest(const RequestPtr& request, Milliseconds wait)
     {
         if (request->isReturn)
             return;
@@ -231,7 +232,7 @@
         });
     }
 
-    void reach(const RequestPtr& request, const UpstreamRegistry::Placement& placement, TimePoint sent)
+    void arriveAtUpstream(const RequestPtr& request, const UpstreamRegistry::Placement& placement, TimePoint sent)
     {
         auto index = std::stoul(placement.upstream.id);
         auto& running = m_running[index];
@@ -246,7 +247,7 @@
             registry.recordEnd(placement, false,
                 isFull ? Routing::AttemptOutcome::NotExecuted : Routing::AttemptOutcome::Answered, m_now);
             if (isFull)
-                return giveBack(request, 1000ms);
+                return refuseRequest(request, 1000ms);
             registry.recordResponse(placement.upstream);
             auto* outcome = outcomeOf(*request);
             if (!outcome || request->first >= end - deadline)
@@ -269,7 +270,7 @@
 {
     std::array<Outcome, ranks> sum {};
     for (unsigned seed = 1; seed <= 3; ++seed) {
-        auto outcomes = Play(scenario, seed).run();
+        auto outcomes = Simulation(scenario, seed).run();
         for (size_t rank = 0; rank < ranks; ++rank) {
             sum[rank].requests += outcomes[rank].requests;
             sum[rank].inTime += outcomes[rank].inTime;
@@ -277,7 +278,7 @@
         }
     }
     std::printf("%5.1f %5.1f %5.2f  %-18s", scenario.limitedShare, scenario.limit, scenario.load,
-        wayNames[static_cast<size_t>(scenario.way)]);
+        policyNames[static_cast<size_t>(scenario.policy)]);
     for (const auto& outcome : sum) {
         auto share
             = [&](size_t count) { return 100.0 * static_cast<double>(count) / static_cast<double>(outcome.requests); };
@@ -294,7 +295,8 @@
     for (double share : { 0.2, 0.5, 1.0 })
         for (double limit : { 0.2, 0.7 })
             for (double load : { 0.3, 0.7 })
-                for (auto way : { Way::RefuseUntilDue, Way::RefuseForASecond, Way::Hold })
-                    print({ share, limit, load, way });
+                for (auto policy :
+                    { RefusalPolicy::RefuseUntilDue, RefusalPolicy::RefuseForASecond, RefusalPolicy::Hold })
+                    print({ share, limit, load, policy });
     return 0;
 }
--- a/Source/Benchmarks/LimitWays.cpp
+++ b/Source/Benchmarks/LimitWays.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-enum class Way { EqualShares, DemandShares, RankedRouters, Assigned };
-constexpr const char* wayNames[] { "equal shares", "shares by demand", "ranked routers", "assigned" };
+enum class LimitStrategy { EqualShares, DemandShares, RankedRouters, Assigned };
+constexpr const char* strategyNames[] { "equal shares", "shares by demand", "ranked routers", "assigned" };
 
 // A bucket of one request.
 struct Bucket {
@@ -38,7 +38,7 @@
     }
 };
 
-std::vector<Bucket> bucketsOf(Way way, const std::vector<double>& demands, double limit)
+std::vector<Bucket> bucketsOf(LimitStrategy strategy, const std::vector<double>& demands, double limit)
 {
     auto routers = demands.size();
     std::vector<Bucket> buckets(routers);
@@ -52,9 +52,9 @@
     for (size_t place = 0; place < routers; ++place) {
         auto router = ranked[place];
         auto& bucket = buckets[router];
-        if (way == Way::EqualShares)
+        if (strategy == LimitStrategy::EqualShares)
             bucket.rate = limit / static_cast<double>(routers);
-        else if (way == Way::DemandShares)
+        else if (strategy == LimitStrategy::DemandShares)
             bucket.rate = limit * demands[router] / total;
         else if (place < chosen)
             bucket.rate = limit / static_cast<double>(chosen);
@@ -64,7 +64,7 @@
     return buckets;
 }
 
-void play(Way way, size_t routers, double limit, bool freezes)
+void play(LimitStrategy strategy, size_t routers, double limit, bool freezes)
 {
     constexpr auto length = 20s;
     QuotaFleet::Options options;
@@ -73,8 +73,8 @@
     auto demand = routers < 60 ? 6.0 : 2.0;
     for (size_t router = 0; router < routers; ++router)
         options.demands.push_back(router % 10 == 3 ? 4 * demand : demand);
-    auto buckets = bucketsOf(way, options.demands, limit);
-    if (way != Way::Assigned)
+    auto buckets = bucketsOf(strategy, options.demands, limit);
+    if (strategy != LimitStrategy::Assigned)
         options.admissionOverride = [&](size_t router, Common::TimePoint now) { return buckets[router].take(now); };
     QuotaFleet fleet(options);
     fleet.runFor(3s);
@@ -89,10 +89,12 @@
     auto used = std::count_if(
         fleet.arrivals().begin(), fleet.arrivals().end(), [&](const auto& each) { return each.at >= from; });
     auto seconds = Common::toSeconds(Common::Duration(length));
-    std::printf("%-17s %4zu %6.2f %-9s %6zu %6.0f %8.2f %9.0f\n", wayNames[static_cast<size_t>(way)], routers, limit,
-        freezes ? "a third" : "none", fleet.maxArrivalsInWindow(named), std::floor(6 * limit) + 5,
+    std::printf("%-17s %4zu %6.2f %-9s %6zu %6.0f %8.2f %9.0f\n", strategyNames[static_cast<size_t>(strategy)], routers,
+        limit, freezes ? "a third" : "none", fleet.maxArrivalsInWindow(named), std::floor(6 * limit) + 5,
         static_cast<double>(used) / (limit * seconds),
-        way == Way::Assigned ? static_cast<double>(fleet.bytes() - bytes) / seconds / static_cast<double>(routers) : 0);
+        strategy == LimitStrategy::Assigned
+            ? static_cast<double>(fleet.bytes() - bytes) / seconds / static_cast<double>(routers)
+            : 0);
 }
 
 } // namespace
@@ -104,7 +106,8 @@
     for (size_t routers : { 7, 88, 300 })
         for (double limit : { 0.5, 1.0, 4.0, 30.0 })
             for (bool freezes : { false, true })
-                for (auto way : { Way::EqualShares, Way::DemandShares, Way::RankedRouters, Way::Assigned })
-                    play(way, routers, limit, freezes);
+                for (auto strategy : { LimitStrategy::EqualShares, LimitStrategy::DemandShares,
+                         LimitStrategy::RankedRouters, LimitStrategy::Assigned })
+                    play(strategy, routers, limit, freezes);
     return 0;
 }
--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -19,18 +19,18 @@
 
 namespace {
 
-enum class WhenAllRest { Refuse, Hold };
-enum class Return { AllAtOnce, Spread, OneFirst };
-constexpr const char* whenAllRestNames[] { "refuse", "hold" };
+enum class AllCoolingPolicy { Refuse, Hold };
+enum class ReturnMode { AllAtOnce, Spread, OneFirst };
+constexpr const char* allCoolingPolicyNames[] { "refuse", "hold" };
 constexpr const char* returnNames[] { "all at once", "spread", "one first" };
 
 struct Scenario {
     size_t routers { 6 };
-    double restingShare { 0.3 }; // Of the upstreams.
+    double coolingShare { 0.3 }; // Of the upstreams.
     Milliseconds rest { 1000 };
     double load { 0.5 }; // Of what all upstreams can serve.
-    WhenAllRest whenAllRest { WhenAllRest::Refuse };
-    Return comesBack { Return::OneFirst };
+    AllCoolingPolicy allCoolingPolicy { AllCoolingPolicy::Refuse };
+    ReturnMode returnMode { ReturnMode::OneFirst };
     Milliseconds serviceTime { 30 };
 };
 
@@ -44,11 +44,11 @@
 constexpr int deadline = 50;
 constexpr auto exchangeInterval = 100ms;
 constexpr TimePoint start(1h);
-constexpr TimePoint restFrom = start + 2s;
+constexpr TimePoint cooldownStart = start + 2s;
 constexpr auto length = 12s;
 // Of large fleets: each seed takes minutes there.
 constexpr size_t largeFleet = 60;
-constexpr auto lengthOfLargeFleets = 4s;
+constexpr auto largeFleetLength = 4s;
 
 struct Outcome {
     size_t requests { 0 };
@@ -68,9 +68,9 @@
     return earliestCooldownEnd;
 }
 
-class Play {
+class Simulation {
 public:
-    Play(const Scenario& scenario, unsigned seed)
+    Simulation(const Scenario& scenario, unsigned seed)
         : m_scenario(scenario)
         , m_random(seed)
         , m_upstreams(2 * scenario.routers)
@@ -111,14 +111,15 @@
 
     TimePoint deadlineOf(const Request& request) const { return request.first + deadline * m_scenario.serviceTime; }
     bool isLarge() const { return m_scenario.routers >= largeFleet; }
-    Common::Duration end() const { return isLarge() ? lengthOfLargeFleets : length; }
+    Common::Duration end() const { return isLarge() ? largeFleetLength : length; }
     void at(TimePoint when, std::function<void()> event) { m_events.emplace(when, std::move(event)); }
     double draw() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     size_t someRouter() { return m_random() % m_registries.size(); }
-    bool rests(size_t upstream) const
+    bool isCoolingDown(size_t upstream) const
     {
-        auto resting = m_scenario.restingShare * static_cast<double>(m_upstreams.size());
-        return static_cast<double>(upstream) < resting && m_now >= restFrom && m_now < restFrom + m_scenario.rest;
+        auto resting = m_scenario.coolingShare * static_cast<double>(m_upstreams.size());
+        return static_cast<double>(upstream) < resting && m_now >= cooldownStart
+            && m_now < cooldownStart + m_scenario.rest;
     }
 
     void arrive()
@@ -163,7 +164,7 @@
             return withoutUpstream(request);
         registry.recordStart(*placement);
         request->attempted.push_back(placement->upstream.id);
-        at(m_now + hop, [this, request, placement = *placement] { reach(request, placement); });
+        at(m_now + hop, [this, request, placement = *placement] { arriveAtUpstream(request, placement); });
     }
 
     void withoutUpstream(const std::shared_ptr<Request>& request)
@@ -171,13 +172,13 @@
         auto& registry = *m_registries[request->router];
         auto earliestCooldownEnd = registry.earliestCooldownEnd(placementOf(*request), m_now);
         auto until = holdUntil(request->arrived, objective * m_scenario.serviceTime, earliestCooldownEnd);
-        if (m_scenario.whenAllRest == WhenAllRest::Hold && until)
+        if (m_scenario.allCoolingPolicy == AllCoolingPolicy::Hold && until)
             return at(std::min<TimePoint>(*until, m_now + 20ms) + 1ms, [this, request] { place(request); });
-        giveBack(request, noUpstreamRefusal({ earliestCooldownEnd, std::nullopt }, false, m_now).retryAfter);
+        refuseRequest(request, noUpstreamRefusal({ earliestCooldownEnd, std::nullopt }, false, m_now).retryAfter);
     }
 
     // The caller comes back once, at another router, and waits for a third of its time at most (PROTOCOL, "Answers").
-    void giveBack(const std::shared_ptr<Request>& request, Milliseconds retryAfter)
+    void refuseRequest(const std::shared_ptr<Request>& request, Milliseconds retryAfter)
     {
         if (request->isReturn)
             return;
@@ -192,15 +193,15 @@
         });
     }
 
-    void reach(const std::shared_ptr<Request>& request, const UpstreamRegistry::Placement& placement)
+    void arriveAtUpstream(const std::shared_ptr<Request>& request, const UpstreamRegistry::Placement& placement)
     {
         auto index = std::stoul(placement.upstream.id);
         auto& upstream = m_upstreams[index];
         bool isFull = upstream.running >= places;
-        if (rests(index) || isFull) {
+        if (isCoolingDown(index) || isFull) {
             ++m_outcome.refusedAtUpstreams;
-            m_outcome.refusedAfterReturn += m_now >= restFrom + m_scenario.rest;
-            bool asks = rests(index);
+            m_outcome.refusedAfterReturn += m_now >= cooldownStart + m_scenario.rest;
+            bool asks = isCoolingDown(index);
             return at(m_now + hop, [this, request, placement, asks] { refused(request, placement, asks); });
         }
         auto wait = upstream.running < slots ? Milliseconds(0) : m_scenario.serviceTime;
@@ -217,18 +218,18 @@
         auto& registry = *m_registries[request->router];
         if (asksForRest) {
             auto rest = m_scenario.rest;
-            if (m_scenario.comesBack == Return::Spread)
+            if (m_scenario.returnMode == ReturnMode::Spread)
                 rest += Milliseconds(static_cast<int64_t>(draw() * 0.25 * static_cast<double>(rest.count())));
             registry.recordStatement(placement.upstream, { false, rest }, m_now);
             // Takes the trial after the rest away.
-            if (m_scenario.comesBack != Return::OneFirst)
+            if (m_scenario.returnMode != ReturnMode::OneFirst)
                 registry.recordResponse(placement.upstream);
         }
         registry.recordEnd(placement, false, AttemptOutcome::NotExecuted, m_now);
         constexpr size_t maxAttempts = 2;
         if (request->attempted.size() < maxAttempts)
             return place(request);
-        giveBack(request, 1000ms);
+        refuseRequest(request, 1000ms);
     }
 
     void served(const Request& request, const UpstreamRegistry::Placement& placement)
@@ -254,7 +255,7 @@
     Outcome sum;
     const unsigned seeds = scenario.routers < largeFleet ? 3 : 1;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
-        auto outcome = Play(scenario, seed).run();
+        auto outcome = Simulation(scenario, seed).run();
         sum.requests += outcome.requests;
         sum.inTime += outcome.inTime;
         sum.served += outcome.served;
@@ -263,9 +264,9 @@
     }
     auto share = [&](size_t count) { return 100.0 * static_cast<double>(count) / static_cast<double>(sum.requests); };
     std::printf("%7zu %5.1f %5lld %5.2f  %-7s %-12s %8.2f %8.2f %10.2f %14.2f\n", scenario.routers,
-        scenario.restingShare, static_cast<long long>(scenario.rest.count()), scenario.load,
-        whenAllRestNames[static_cast<size_t>(scenario.whenAllRest)],
-        returnNames[static_cast<size_t>(scenario.comesBack)], share(sum.inTime), share(sum.served),
+        scenario.coolingShare, static_cast<long long>(scenario.rest.count()), scenario.load,
+        allCoolingPolicyNames[static_cast<size_t>(scenario.allCoolingPolicy)],
+        returnNames[static_cast<size_t>(scenario.returnMode)], share(sum.inTime), share(sum.served),
         share(sum.refusedAtUpstreams), share(sum.refusedAfterReturn));
 }
 
@@ -277,11 +278,11 @@
     for (double share : { 0.3, 0.6, 1.0 })
         for (auto rest : { 300ms, 1000ms, 3000ms })
             for (double load : { 0.3, 0.8 })
-                for (auto way : { WhenAllRest::Refuse, WhenAllRest::Hold })
-                    print({ 6, share, rest, load, way, Return::OneFirst });
+                for (auto way : { AllCoolingPolicy::Refuse, AllCoolingPolicy::Hold })
+                    print({ 6, share, rest, load, way, ReturnMode::OneFirst });
     for (size_t routers : { 6, 88, 300 })
         for (double load : { 0.3 })
-            for (auto way : { Return::AllAtOnce, Return::Spread, Return::OneFirst })
-                print({ routers, 1.0, 1000ms, load, WhenAllRest::Refuse, way, 300ms });
+            for (auto way : { ReturnMode::AllAtOnce, ReturnMode::Spread, ReturnMode::OneFirst })
+                print({ routers, 1.0, 1000ms, load, AllCoolingPolicy::Refuse, way, 300ms });
     return 0;
 }
--- a/Source/Benchmarks/SuspectSpread.cpp
+++ b/Source/Benchmarks/SuspectSpread.cpp
@@ -20,13 +20,13 @@
 
 namespace {
 
-enum class Way {
+enum class SpreadStrategy {
     Alone, // Each router counts what it saw itself.
     Exchange, // As built: with the messages of the exchange, to the hub, among hubs, and back.
     Home, // Each request has one router that counts; it tells all others of two crashes or more.
     Store, // Each crash is a record in the platform's log; store readers pass it on as they do the configuration.
 };
-constexpr const char* wayNames[] { "alone", "exchange", "home", "store" };
+constexpr const char* strategyNames[] { "alone", "exchange", "home", "store" };
 
 // Measured in the played day (docs/incidents/crashing-request.md), or settings of the product.
 constexpr auto runTime = 300ms;
@@ -47,8 +47,8 @@
 
 class Fleet {
 public:
-    Fleet(Way way, size_t routers, size_t copies, bool losesARouter, unsigned seed)
-        : m_way(way)
+    Fleet(SpreadStrategy strategy, size_t routers, size_t copies, bool losesARouter, unsigned seed)
+        : m_strategy(strategy)
         , m_copies(copies)
         , m_losesARouter(losesARouter)
         , m_random(seed)
@@ -64,8 +64,8 @@
 
     Outcome play()
     {
-        at(start + below(1000), [this] { wave(); });
-        for (size_t router = 0; m_way == Way::Exchange && router < m_ledgers.size(); ++router)
+        at(start + below(1000), [this] { sendCopies(); });
+        for (size_t router = 0; m_strategy == SpreadStrategy::Exchange && router < m_ledgers.size(); ++router)
             at(start + m_tick[router], [this, router] { exchange(router); });
         while (!m_events.empty() && m_events.begin()->first < start + length) {
             m_now = m_events.begin()->first;
@@ -85,20 +85,20 @@
     size_t someRouter() { return m_random() % m_ledgers.size(); }
     size_t home() const { return m_lost ? 1 : 0; }
 
-    void wave()
+    void sendCopies()
     {
         for (size_t copy = 0; copy < m_copies; ++copy)
             send(someRouter());
-        at(m_now + 400ms + below(1100), [this] { wave(); });
+        at(m_now + 400ms + below(1100), [this] { sendCopies(); });
     }
 
     void send(size_t router)
     {
         auto suspicion = m_ledgers[router].suspicionOf(m_request, m_now);
-        if (suspicion >= Suspicion::Held || (suspicion == Suspicion::Repeated && m_aloneUntil > m_now))
+        if (suspicion >= Suspicion::Held || (suspicion == Suspicion::Repeated && m_exclusiveUntil > m_now))
             return;
         if (suspicion == Suspicion::Repeated)
-            m_aloneUntil = m_now + runTime + detection + interval;
+            m_exclusiveUntil = m_now + runTime + detection + interval;
         m_outcome.lateSends += m_thirdCrash && m_now > *m_thirdCrash + contactTime;
         auto sent = m_now;
         at(m_now + runTime, [this, router, sent] { crash(router, sent); });
@@ -117,7 +117,7 @@
                 "/summaries/2f", sent, ended } };
             m_ledgers[router].recordCrash({ "i-0123456789", born }, attempts, m_now);
             spread(router);
-            noteKnown();
+            recordIfKnown();
         });
     }
 
@@ -145,14 +145,14 @@
             auto before = m_ledgers[to].revision();
             for (const auto& record : records)
                 m_ledgers[to].merge(record, m_now);
-            noteKnown();
+            recordIfKnown();
             bool isNews = m_ledgers[to].revision() != before;
-            if (m_way == Way::Home && isNews && to == home())
-                tellAll(to, hop);
+            if (m_strategy == SpreadStrategy::Home && isNews && to == home())
+                broadcast(to, hop);
         });
     }
 
-    void tellAll(size_t from, Common::Milliseconds after)
+    void broadcast(size_t from, Common::Milliseconds after)
     {
         auto records = m_ledgers[from].changesAfter(0, Routing::SuspectLedger::Scope::Repeated).records;
         for (size_t router = 0; !records.empty() && router < m_ledgers.size(); ++router) {
@@ -164,13 +164,13 @@
     void spread(size_t router)
     {
         auto records = m_ledgers[router].changesAfter(0, Routing::SuspectLedger::Scope::All).records;
-        if (m_way == Way::Home) {
+        if (m_strategy == SpreadStrategy::Home) {
             if (router == home())
-                return tellAll(router, hop);
+                return broadcast(router, hop);
             return deliver(home(), records, hop);
         }
         // Appended, read by three readers at once, passed on with the next exchange and the one after it.
-        for (size_t other = 0; m_way == Way::Store && other < m_ledgers.size(); ++other) {
+        for (size_t other = 0; m_strategy == SpreadStrategy::Store && other < m_ledgers.size(); ++other) {
             auto ticks = other < 3 ? 0ms : other < m_hubs ? interval / 2 : interval;
             deliver(other, records, std::chrono::duration_cast<Common::Milliseconds>(2 * storeCall + ticks));
         }
@@ -198,7 +198,7 @@
         at(m_now + interval, [this, router] { exchange(router); });
     }
 
-    void noteKnown()
+    void recordIfKnown()
     {
         if (!m_thirdCrash || m_outcome.known.count())
             return;
@@ -209,7 +209,7 @@
         m_outcome.known = m_now - *m_thirdCrash;
     }
 
-    Way m_way;
+    SpreadStrategy m_strategy;
     size_t m_copies;
     bool m_losesARouter;
     bool m_lost { false };
@@ -222,7 +222,7 @@
     std::map<std::pair<size_t, size_t>, uint64_t> m_sentBetween;
     std::multimap<TimePoint, Event> m_events;
     TimePoint m_now { start };
-    TimePoint m_aloneUntil {};
+    TimePoint m_exclusiveUntil {};
     std::optional<TimePoint> m_thirdCrash;
     Outcome m_outcome;
 };
@@ -230,12 +230,13 @@
 void compare(size_t routers, size_t copies, bool losesARouter)
 {
     static constexpr unsigned seeds = 40;
-    for (auto way : { Way::Alone, Way::Exchange, Way::Home, Way::Store }) {
+    for (auto strategy :
+        { SpreadStrategy::Alone, SpreadStrategy::Exchange, SpreadStrategy::Home, SpreadStrategy::Store }) {
         Outcome sum;
         size_t mostLate = 0;
         size_t everKnown = 0;
         for (unsigned seed = 1; seed <= seeds; ++seed) {
-            auto outcome = Fleet(way, routers, copies, losesARouter, seed).play();
+            auto outcome = Fleet(strategy, routers, copies, losesARouter, seed).play();
             sum.engines += outcome.engines;
             sum.lateSends += outcome.lateSends;
             sum.bytes += outcome.bytes;
@@ -247,7 +248,7 @@
         std::printf(
             "%4zu routers, %zu at once%s  %-8s  engines %5.1f  late sends %5.1f, %2zu at most  known after %6.3f s"
             " (%zu of %u)  bytes a router %6.0f\n",
-            routers, copies, losesARouter ? ", one lost" : "          ", wayNames[static_cast<size_t>(way)],
+            routers, copies, losesARouter ? ", one lost" : "          ", strategyNames[static_cast<size_t>(strategy)],
             static_cast<double>(sum.engines) / seeds, static_cast<double>(sum.lateSends) / seeds, mostLate, known,
             everKnown, seeds, static_cast<double>(sum.bytes) / seeds / static_cast<double>(routers));
     }
