--- a/Source/Programs/Experiment/Main.cpp
+++ b/Source/Programs/Experiment/Main.cpp
@@ -34,10 +34,10 @@
     for (const auto& outcome : outcomes) {
         goodput.push_back(outcome.goodput);
         finish.push_back(outcome.finish);
-        wasted.push_back(outcome.wastedPart());
+        wasted.push_back(outcome.wastedFraction());
         for (const auto& [name, each] : outcome.report) {
             attained[name].push_back(each.attainment());
-            longest[name].push_back(each.longestFirst);
+            longest[name].push_back(each.maxFirstSeconds);
         }
     }
     std::cout << "  goodput, % of the bound   " << spread(goodput, 100) << "\n  finish, % of the bound    "
@@ -69,7 +69,7 @@
         outcomes.push_back(Testing::Harness::runScenario(runtime, scenario, static_cast<uint64_t>(seed)));
         const auto& last = outcomes.back();
         results.push_back({ { "seed", seed }, { "goodput", last.goodput }, { "finish", last.finish },
-            { "wasted", last.wastedPart() }, { "classes", Testing::Load::toJson(last.report) } });
+            { "wasted", last.wastedFraction() }, { "classes", Testing::Load::toJson(last.report) } });
     }
     printOutcomes(outcomes);
     if (auto file = absl::GetFlag(FLAGS_json); !file.empty())
--- a/Source/Programs/Fakes/Main.cpp
+++ b/Source/Programs/Fakes/Main.cpp
@@ -45,7 +45,7 @@
         options.step = std::chrono::microseconds(settings.integer("/step_us"));
         options.slots = static_cast<uint32_t>(settings.integer("/slots"));
         options.prefillSteps = static_cast<uint32_t>(settings.integer("/prefill_steps"));
-        options.pausedKept = static_cast<size_t>(settings.integer("/paused_kept"));
+        options.maxPaused = static_cast<size_t>(settings.integer("/paused_kept"));
         options.reportLag = settings.milliseconds("/report_lag_ms");
         auto* engine = new Testing::Fakes::FakeEngine(options);
         runtime.spawn([engine] { engine->run(); });
--- a/Source/Testing/Fakes/FakeEngine.cpp
+++ b/Source/Testing/Fakes/FakeEngine.cpp
@@ -13,7 +13,7 @@
 static constexpr std::string_view requestsPrefix = "/v1/requests/";
 static constexpr size_t prefixBytes = 1024;
 // Load reports that are kept for the lag.
-static constexpr size_t reportsKept = 4096;
+static constexpr size_t maxReports = 4096;
 
 FakeEngine::FakeEngine(Options options)
     : m_options(options)
@@ -136,7 +136,7 @@
     generation->state = State::Paused;
     m_paused[id] = generation;
     m_pausedOrder.push_back(id);
-    while (m_pausedOrder.size() > m_options.pausedKept) {
+    while (m_pausedOrder.size() > m_options.maxPaused) {
         m_paused.erase(m_pausedOrder.front());
         m_pausedOrder.pop_front();
     }
@@ -152,7 +152,7 @@
     exchange.watchCaller([this, weak = std::weak_ptr(generation)] {
         Common::FiberRuntime::spawnHere([this, weak] {
             if (auto live = weak.lock())
-                leave(live);
+                removeGeneration(live);
         });
     });
     bool open = exchange.beginStream({ 200, {}, "text/event-stream", {} });
@@ -183,7 +183,7 @@
         if (state == State::Cut)
             break;
     }
-    leave(generation);
+    removeGeneration(generation);
     if (open && m_faults.cutCleanly) {
         exchange.endStream();
         return;
@@ -191,7 +191,7 @@
     exchange.abandon();
 }
 
-void FakeEngine::leave(const GenerationPtr& generation)
+void FakeEngine::removeGeneration(const GenerationPtr& generation)
 {
     std::unique_lock lock(m_mutex);
     if (generation->state == State::Waiting)
@@ -248,7 +248,7 @@
             }
             m_reports.push_back(
                 { Common::now(), static_cast<uint32_t>(m_running.size()), static_cast<uint32_t>(m_waiting.size()) });
-            if (m_reports.size() > reportsKept)
+            if (m_reports.size() > maxReports)
                 m_reports.pop_front();
         }
         // Steps keep their pace: a late wake-up is made up for, as long as it is not longer than a few steps.
--- a/Source/Testing/Fakes/FakeEngine.h
+++ b/Source/Testing/Fakes/FakeEngine.h
@@ -23,7 +23,7 @@
         uint32_t slots { 8 };
         uint32_t prefillSteps { 4 }; // Before the first token when the prefix is not cached.
         size_t cachedPrefixes { 64 };
-        size_t pausedKept { 64 };
+        size_t maxPaused { 64 };
         Common::Milliseconds reportLag { 1000 };
     };
 
@@ -70,7 +70,7 @@
     void stream(Common::HttpExchange&, const GenerationPtr&, uint32_t from);
     void admit();
     void step();
-    void leave(const GenerationPtr&);
+    void removeGeneration(const GenerationPtr&);
 
     Options m_options;
     boost::fibers::mutex m_mutex;
--- a/Source/Testing/Fakes/FakePlatform.cpp
+++ b/Source/Testing/Fakes/FakePlatform.cpp
@@ -58,7 +58,7 @@
         read(exchange, std::string(path));
 }
 
-bool FakeLog::takeAppend()
+bool FakeLog::consumeAppendQuota()
 {
     int64_t second = wallClockMs() / 1000;
     if (second != m_second) {
@@ -71,7 +71,7 @@
 void FakeLog::append(Common::HttpExchange& exchange, const std::string& name)
 {
     std::unique_lock lock(m_mutex);
-    if (!takeAppend()) {
+    if (!consumeAppendQuota()) {
         ++m_refusedAppends;
         lock.unlock();
         exchange.respond(Common::jsonResponse(Json::object(), 429));
--- a/Source/Testing/Fakes/FakePlatform.h
+++ b/Source/Testing/Fakes/FakePlatform.h
@@ -42,7 +42,7 @@
     void append(Common::HttpExchange&, const std::string& stream);
     void read(Common::HttpExchange&, const std::string& stream);
     void setFaults(Common::HttpExchange&);
-    bool takeAppend();
+    bool consumeAppendQuota();
     Common::Json page(Stream&, uint64_t from);
 
     Options m_options;
--- a/Source/Testing/Fakes/SimulatedEngine.cpp
+++ b/Source/Testing/Fakes/SimulatedEngine.cpp
@@ -32,15 +32,15 @@
 {
     uint64_t unread = 0;
     for (const auto& work : m_running)
-        unread += work.unreadTokens;
+        unread += work.tokensToPrefill;
     while (!m_waiting.empty() && m_running.size() < m_traits.batch && unread < m_traits.chunkTokens) {
         auto next = m_waiting.begin();
-        Work work { next->second, next->second.prompt.tokens, 0 };
+        RunningGeneration work { next->second, next->second.prompt.tokens, 0 };
         const auto* prefix = work.generation.prompt.sharedPrefix();
         if (prefix && hasCached(prefix->id))
-            work.unreadTokens -= std::min(work.unreadTokens, work.generation.prompt.sharedTokens());
-        work.unreadTokens = std::max<uint32_t>(1, work.unreadTokens);
-        unread += work.unreadTokens;
+            work.tokensToPrefill -= std::min(work.tokensToPrefill, work.generation.prompt.sharedTokens());
+        work.tokensToPrefill = std::max<uint32_t>(1, work.tokensToPrefill);
+        unread += work.tokensToPrefill;
         m_running.push_back(std::move(work));
         m_waiting.erase(next);
     }
@@ -51,24 +51,24 @@
 {
     uint32_t left = m_traits.chunkTokens;
     for (auto& work : m_running) {
-        auto piece = std::min(left, work.unreadTokens);
+        auto piece = std::min(left, work.tokensToPrefill);
         if (!piece)
             continue;
-        work.unreadTokens -= piece;
+        work.tokensToPrefill -= piece;
         left -= piece;
-        if (!work.unreadTokens)
-            keepPrefix(work.generation.prompt);
+        if (!work.tokensToPrefill)
+            cachePrefix(work.generation.prompt);
     }
     return m_traits.chunkTokens - left;
 }
 
-void SimulatedEngine::keepPrefix(const Prompt& prompt)
+void SimulatedEngine::cachePrefix(const Prompt& prompt)
 {
     const auto* prefix = prompt.sharedPrefix();
     if (!prefix)
         return;
     auto [kept, isNew] = m_cache.try_emplace(prefix->id, 0, prompt.sharedTokens());
-    kept->second.first = ++m_uses;
+    kept->second.first = ++m_useCounter;
     if (isNew)
         m_cachedTokens += prompt.sharedTokens();
     while (m_cachedTokens > m_traits.cacheTokens) {
@@ -82,14 +82,14 @@
 void SimulatedEngine::decode(std::vector<Event>& events)
 {
     for (auto& work : m_running) {
-        if (work.unreadTokens)
+        if (work.tokensToPrefill)
             continue;
-        ++work.madeTokens;
-        bool isLast = work.madeTokens >= work.generation.outputTokens;
-        if (isLast || work.madeTokens % m_traits.tokensPerEvent == 0)
+        ++work.decodedTokens;
+        bool isLast = work.decodedTokens >= work.generation.outputTokens;
+        if (isLast || work.decodedTokens % m_traits.tokensPerEvent == 0)
             events.push_back({ work.generation.number, m_now, isLast });
     }
-    std::erase_if(m_running, [](const auto& work) { return work.madeTokens >= work.generation.outputTokens; });
+    std::erase_if(m_running, [](const auto& work) { return work.decodedTokens >= work.generation.outputTokens; });
 }
 
 std::vector<SimulatedEngine::Event> SimulatedEngine::runUntil(Common::TimePoint until)
--- a/Source/Testing/Fakes/SimulatedEngine.h
+++ b/Source/Testing/Fakes/SimulatedEngine.h
@@ -50,24 +50,24 @@
     bool hasCached(uint64_t prefix) const { return m_cache.contains(prefix); }
 
 private:
-    struct Work {
+    struct RunningGeneration {
         Generation generation;
-        uint32_t unreadTokens { 0 };
-        uint32_t madeTokens { 0 };
+        uint32_t tokensToPrefill { 0 };
+        uint32_t decodedTokens { 0 };
     };
     void admit();
     uint32_t prefill();
     void decode(std::vector<Event>&);
-    void keepPrefix(const RouteServing::Routing::Prompt&);
+    void cachePrefix(const RouteServing::Routing::Prompt&);
 
     Traits m_traits;
     Common::TimePoint m_now {};
     std::map<std::pair<size_t, uint64_t>, Generation> m_waiting; // By level, then in order of arrival.
     uint64_t m_arrivals { 0 };
-    std::vector<Work> m_running; // In order of admission.
+    std::vector<RunningGeneration> m_running; // In order of admission.
     std::map<uint64_t, std::pair<uint64_t, uint32_t>> m_cache; // Prefix to its last use and its tokens.
     uint64_t m_cachedTokens { 0 };
-    uint64_t m_uses { 0 };
+    uint64_t m_useCounter { 0 };
 };
 
 } // namespace Brassladder::Testing::Fakes
--- a/Source/Testing/Harness/Cluster.cpp
+++ b/Source/Testing/Harness/Cluster.cpp
@@ -156,9 +156,9 @@
     return jsonOf(call(id, get));
 }
 
-bool Cluster::await(const std::function<bool()>& condition, std::chrono::seconds patience)
+bool Cluster::await(const std::function<bool()>& condition, std::chrono::seconds timeout)
 {
-    auto until = Common::now() + patience;
+    auto until = Common::now() + timeout;
     while (Common::now() < until) {
         if (condition())
             return true;
--- a/Source/Testing/Harness/Cluster.h
+++ b/Source/Testing/Harness/Cluster.h
@@ -44,7 +44,7 @@
     void publish(const Operator::FileSet&);
     void awaitReady();
     // Waits until the condition holds; false after the timeout. Not a measurement.
-    bool await(const std::function<bool()>&, std::chrono::seconds patience = std::chrono::seconds(30));
+    bool await(const std::function<bool()>&, std::chrono::seconds timeout = std::chrono::seconds(30));
 
     Node& node(const std::string& id) { return m_nodes.at(id); }
     void kill(const std::string& id);
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -13,7 +13,7 @@
 using Common::Json;
 using Common::member;
 
-static std::vector<std::string> texts(const Json& json, std::string_view key)
+static std::vector<std::string> stringsOf(const Json& json, std::string_view key)
 {
     std::vector<std::string> list;
     if (json.contains(key) && json[std::string(key)].is_array()) {
@@ -45,7 +45,7 @@
     scenario.engine.reportLagMs = member<int64_t>(cluster, "report_lag_ms", scenario.engine.reportLagMs);
     scenario.service = member<std::string>(cluster, "service", "");
     scenario.services = member<int>(cluster, "services", scenario.services);
-    scenario.domains = texts(cluster, "domains");
+    scenario.domains = stringsOf(cluster, "domains");
     if (json.contains("events")) {
         for (const auto& event : json["events"])
             scenario.events.push_back({ member<double>(event, "at_s", 0), member<std::string>(event, "kind", ""),
@@ -109,23 +109,23 @@
 // What engines with perfect knowledge would do: every slot gives a token in every step while there is work (a fluid),
 // and no answer is finished sooner than its tokens times the step. Prompts cost nothing in it, so the bound is a little
 // better than any real engine.
-struct PerfectRun {
+struct IdealRun {
     double finishSeconds { 0 };
     double tokensInLoad { 0 }; // Until the end of the load.
 };
 
 } // namespace
 
-static PerfectRun perfectRun(const Scenario& scenario, std::span<const Load::CallRecord> history)
+static IdealRun idealRun(const Scenario& scenario, std::span<const Load::CallRecord> history)
 {
     // Seconds of one step of the fluid model.
     static constexpr double slice = 0.01;
     double step = static_cast<double>(scenario.engine.stepMicros) / 1e6;
     std::vector<std::pair<double, double>> arrivals;
-    PerfectRun run;
+    IdealRun run;
     for (const auto& record : history) {
-        arrivals.emplace_back(record.intendedSeconds, record.askedTokens * step);
-        run.finishSeconds = std::max(run.finishSeconds, record.intendedSeconds + record.askedTokens * step);
+        arrivals.emplace_back(record.intendedSeconds, record.requestedTokens * step);
+        run.finishSeconds = std::max(run.finishSeconds, record.intendedSeconds + record.requestedTokens * step);
     }
     std::sort(arrivals.begin(), arrivals.end());
     double backlog = 0;
@@ -142,14 +142,14 @@
     return run;
 }
 
-static void judge(const Scenario& scenario, uint64_t tokensInLoad, Outcome& outcome)
+static void computeEfficiency(const Scenario& scenario, uint64_t tokensInLoad, Outcome& outcome)
 {
-    auto perfect = perfectRun(scenario, outcome.history);
+    auto perfect = idealRun(scenario, outcome.history);
     double last = 0;
     for (const auto& record : outcome.history)
         last = std::max(last, record.intendedSeconds + record.totalSeconds);
     outcome.finish = last > 0 ? std::min(1.0, perfect.finishSeconds / last) : 1;
-    double useful = static_cast<double>(tokensInLoad) * (1 - outcome.wastedPart());
+    double useful = static_cast<double>(tokensInLoad) * (1 - outcome.wastedFraction());
     outcome.goodput = perfect.tokensInLoad > 0 ? useful / perfect.tokensInLoad : 1;
 }
 
@@ -161,7 +161,7 @@
     return sum;
 }
 
-double Outcome::wastedPart() const
+double Outcome::wastedFraction() const
 {
     if (!generatedTokens || generatedTokens <= usefulTokens)
         return 0;
@@ -197,7 +197,7 @@
     outcome.generatedTokens = generatedTokens(cluster);
     for (const auto& [name, each] : outcome.report)
         outcome.usefulTokens += each.usefulTokens;
-    judge(scenario, tokensInLoad, outcome);
+    computeEfficiency(scenario, tokensInLoad, outcome);
     return outcome;
 }
 
--- a/Source/Testing/Harness/Experiment.h
+++ b/Source/Testing/Harness/Experiment.h
@@ -41,7 +41,7 @@
     double goodput { 0 };
     // The time in which such engines would have finished everything, over the time that it took.
     double finish { 0 };
-    double wastedPart() const;
+    double wastedFraction() const;
 };
 
 // Runs the scenario on a cluster of its own.
--- a/Source/Testing/Harness/Process.cpp
+++ b/Source/Testing/Harness/Process.cpp
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 
 // A program that has not come up by then never will.
-static constexpr auto readyPatience = 20s;
+static constexpr auto readyTimeout = 20s;
 
 Folder::Folder()
 {
@@ -82,9 +82,9 @@
     m_pid = -1;
 }
 
-std::optional<int> Process::wait(std::chrono::milliseconds patience)
+std::optional<int> Process::wait(std::chrono::milliseconds timeout)
 {
-    auto until = std::chrono::steady_clock::now() + patience;
+    auto until = std::chrono::steady_clock::now() + timeout;
     while (m_pid > 0 && std::chrono::steady_clock::now() < until) {
         int status = 0;
         if (::waitpid(m_pid, &status, WNOHANG) == m_pid) {
@@ -105,7 +105,7 @@
 
 Common::Json awaitReadyFile(const std::string& path)
 {
-    auto until = std::chrono::steady_clock::now() + readyPatience;
+    auto until = std::chrono::steady_clock::now() + readyTimeout;
     while (std::chrono::steady_clock::now() < until) {
         auto json = Common::readJsonFile(path);
         if (!isError(json))
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -20,7 +20,7 @@
 static constexpr Common::Milliseconds responseTimeout = 120s;
 static constexpr Common::Milliseconds connectTimeout = 2s;
 // Added at random to Retry-After, so that refused callers do not come back together.
-static constexpr uint64_t comeBackJitterMs = 500;
+static constexpr uint64_t retryJitterMs = 500;
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
 
 static Common::HttpClientRequest makeCall(const Call& call)
@@ -50,7 +50,7 @@
     return http;
 }
 
-static void noteError(CallRecord& record, const Json& body)
+static void recordError(CallRecord& record, const Json& body)
 {
     const auto& error = body.is_object() && body.contains("error") ? body["error"] : Json();
     record.refusal = member<std::string>(error, "kind", "unreadable_error");
@@ -87,7 +87,7 @@
         parser.feed(valueOf(piece));
         while (auto event = parser.next()) {
             if (event->name == "error") {
-                noteError(record, Common::parseJson(event->data));
+                recordError(record, Common::parseJson(event->data));
                 continue;
             }
             if (event->data == "[DONE]") {
@@ -129,21 +129,21 @@
     CallRecord record;
     record.requestClass = call.arrivals->requestClass;
     record.key = call.key;
-    record.askedTokens = call.arrivals->servicePath.empty() ? call.length : 0;
+    record.requestedTokens = call.arrivals->servicePath.empty() ? call.length : 0;
     auto start = Common::now();
     auto elapsed = [&] { return Common::toSeconds(Common::now() - start); };
     Common::HttpConnection connection;
     if (auto status = connection.connect(router, connectTimeout); isError(status)) {
         record.refusal = "connect_failed";
         record.ran = "no";
-        record.totalSeconds = record.decidedSeconds = elapsed();
+        record.totalSeconds = record.refusedSeconds = elapsed();
         return record;
     }
     auto answer = connection.start(makeCall(call));
     if (isError(answer)) {
         record.refusal = "no_answer";
         record.ran = "maybe";
-        record.totalSeconds = record.decidedSeconds = elapsed();
+        record.totalSeconds = record.refusedSeconds = elapsed();
         return record;
     }
     record.requestId = valueOf(answer).header("Brassladder-Request-Id");
@@ -159,8 +159,8 @@
             record.firstSeconds = elapsed();
             readWhole(valueOf(body), call, record);
         } else {
-            noteError(record, Common::parseJson(valueOf(body)));
-            record.decidedSeconds = elapsed();
+            recordError(record, Common::parseJson(valueOf(body)));
+            record.refusedSeconds = elapsed();
         }
     }
     record.totalSeconds = elapsed();
@@ -169,7 +169,7 @@
 
 namespace {
 
-struct Planned {
+struct PlannedCall {
     double at { 0 };
     const Arrivals* arrivals { nullptr };
     uint32_t length { 0 };
@@ -189,9 +189,9 @@
 }
 
 // Poisson arrivals, thinned from the highest rate, so that the same seed gives the same requests.
-static std::vector<Planned> schedule(const Plan& plan)
+static std::vector<PlannedCall> schedule(const Plan& plan)
 {
-    std::vector<Planned> calls;
+    std::vector<PlannedCall> calls;
     uint64_t number = 0;
     for (const auto& arrivals : plan.arrivals) {
         std::mt19937_64 random(plan.seed * 1000003 + ++number);
@@ -210,7 +210,8 @@
                     std::to_string(plan.seed) + "x" + std::to_string(number) + "x" + std::to_string(calls.size()) });
         }
     }
-    std::sort(calls.begin(), calls.end(), [](const Planned& left, const Planned& right) { return left.at < right.at; });
+    std::sort(calls.begin(), calls.end(),
+        [](const PlannedCall& left, const PlannedCall& right) { return left.at < right.at; });
     return calls;
 }
 
@@ -224,7 +225,7 @@
 }
 
 // One call with the come-backs that its refusals ask for. The kinds that are worth it say that the request did not run.
-static CallRecord callWithRetries(const Plan& plan, const Planned& planned, size_t router)
+static CallRecord callWithRetries(const Plan& plan, const PlannedCall& planned, size_t router)
 {
     Call call { planned.arrivals, planned.nonce, planned.length, planned.arrivals->idempotencyKey ? planned.nonce : "",
         "" };
@@ -234,7 +235,7 @@
     while (planned.arrivals->retryRefused && !record.refusal.empty() && record.ran == "no"
         && tries <= planned.arrivals->retries) {
         // With jitter, as the operators' page asks of callers.
-        Common::sleepFor(record.retryAfter + Common::Milliseconds(Common::randomNumber() % comeBackJitterMs));
+        Common::sleepFor(record.retryAfter + Common::Milliseconds(Common::randomNumber() % retryJitterMs));
         record = callThroughBalancer(plan, call, ++router);
         ++tries;
     }
@@ -295,7 +296,7 @@
             ++each.refusals[record.refusal];
         if (record.firstSeconds >= 0) {
             each.firstSeconds.push_back(record.firstSeconds);
-            each.longestFirst = std::max(each.longestFirst, record.firstSeconds);
+            each.maxFirstSeconds = std::max(each.maxFirstSeconds, record.firstSeconds);
         }
         if (!record.whole)
             continue;
@@ -315,7 +316,7 @@
         json[name] = { { "requests", each.requests }, { "whole", each.whole }, { "attainment", each.attainment() },
             { "wrong", each.wrong }, { "useful_tokens", each.usefulTokens }, { "refusals", each.refusals },
             { "first_p50_s", each.quantile(0.5) }, { "first_p99_s", each.quantile(0.99) },
-            { "first_longest_s", each.longestFirst } };
+            { "first_longest_s", each.maxFirstSeconds } };
     }
     return json;
 }
@@ -328,7 +329,7 @@
         char line[256];
         std::snprintf(line, sizeof line, "%-18s %8zu %8zu   %6.2f%% %6zu %9zu   %7.3f %7.3f %7.2f ", name.c_str(),
             each.requests, each.whole, 100 * each.attainment(), each.wrong, each.usefulTokens, each.quantile(0.5),
-            each.quantile(0.99), each.longestFirst);
+            each.quantile(0.99), each.maxFirstSeconds);
         table += line;
         for (const auto& [kind, count] : each.refusals)
             table += " " + kind + "=" + std::to_string(count);
--- a/Source/Testing/Load/Generator.h
+++ b/Source/Testing/Load/Generator.h
@@ -19,7 +19,7 @@
     double totalSeconds { 0 };
     double longestGapSeconds { 0 }; // Between two tokens.
     uint32_t tokens { 0 };
-    uint32_t askedTokens { 0 }; // Length of the whole answer.
+    uint32_t requestedTokens { 0 }; // Length of the whole answer.
     uint32_t tries { 1 };
     bool whole { false }; // The whole answer to this very request.
     bool wrong { false }; // A piece of another answer, a gap, or an answer passed off as whole.
@@ -28,7 +28,7 @@
     Common::Milliseconds retryAfter { 0 }; // When it said to come back.
     std::string key; // Idempotency-Key, when there was one.
     std::string requestId;
-    double decidedSeconds { -1 }; // To a refusal.
+    double refusedSeconds { -1 }; // To a refusal.
 };
 
 // One request to one router, answered and checked. Suspends the calling fiber.
@@ -53,7 +53,7 @@
     uint64_t usefulTokens { 0 };
     std::map<std::string, uint64_t> refusals;
     std::vector<double> firstSeconds; // Sorted.
-    double longestFirst { 0 };
+    double maxFirstSeconds { 0 };
     double attainment() const { return requests ? static_cast<double>(attained) / static_cast<double>(requests) : 1; }
     double quantile(double) const;
 };
