--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Sets up and builds, then shows both example organisations at work with embedded stand-ins.
-# Ends all that it started; the exit code is not 0 when any answer was wrong.
+# Builds, then runs the demo of both example organisations with embedded stand-ins for the platform. Stops all processes
+# that it started. The exit code is not 0 if any response was wrong.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/setup.sh release
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# clang-format and clang-tidy over all sources but the generated ones.
+# Runs clang-format and clang-tidy on all sources except the generated ones.
 #
-# clang-tidy spends nearly all of its time on the libraries' headers, so it is run on a few generated files that each
-# include one source of each folder: sources of one folder share a namespace and may have static functions of one name.
+# Most of the time of clang-tidy goes into library headers, so it runs on a few generated files that include many
+# sources each. One file includes at most one source of each folder, since sources of one folder share a namespace and
+# may define static functions with the same name.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 root="$PWD"
@@ -13,8 +14,7 @@
 trap 'rm -rf "$groups"' EXIT
 mkdir "$groups/product" "$groups/tests"
 cp .clang-tidy "$groups/"
-# Tests and test support may state figures where they use them, and a test may be as long as its story.
-# The fault soak (platform/Soak) is test support too: its plan is made of figures.
+# Tests and test support, including the fault soak, may use literal numbers and long functions.
 printf 'InheritParentConfig: true\nChecks: "-readability-magic-numbers,-readability-function-size,-readability-function-cognitive-complexity"\n' \
     > "$groups/tests/.clang-tidy"
 declare -A taken
@@ -24,13 +24,13 @@
     kind=product
     [[ "$source" == */UnitTests/* || "$source" == */Testing/* || "$source" == */Benchmarks/* || "$source" == */Fakes/* || "$source" == */Soak/* \
         || "$source" == */Programs/Demo/* || "$source" == */Programs/Experiment/* || "$source" == */Programs/Load/* ]] && kind=tests
-    # Each program has a main of its own.
+    # Each program has its own main function.
     [[ "$source" == *Programs/* || "$source" == *Benchmarks/* || "$source" == */Main.cpp ]] && folder=main
     number="${taken[$kind/$folder]:-0}"
     taken[$kind/$folder]=$((number + 1))
     echo "#include \"$root/$source\" // NOLINT(bugprone-suspicious-include)" >> "$groups/$kind/group-$number.cpp"
 done
-# On stderr clang-tidy also counts the warnings of the libraries that it suppressed; all else there is shown.
+# clang-tidy reports the number of suppressed library warnings on stderr. All other lines are shown.
 printf '%s\n' "$groups"/*/group-*.cpp | xargs -P "$(nproc)" -n 1 sh -c '
     clang-tidy --quiet --header-filter="$1/(Source|platform)/([A-Z][A-Za-z]*/)*[A-Za-z0-9]*\.(h|cpp)$" "$2" -- -std=c++20 \
         -include Common/Precompiled.h -I"$1/Source" -I"$1" -isystem "$1/Source/Inner" \
--- a/tools/play-sites.sh
+++ b/tools/play-sites.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Plays the users' sites one after the other, and sums up: broken rules, gates, and the mean worth of the days with
-# trouble beside the last committed figure (tools/site-figures.txt).
+# Runs the users' bench on each site, and prints a summary per site: violated rules, gates, and the mean worth of the
+# days with trouble next to the last committed figure (tools/site-figures.txt).
 #
 # Usage: BENCH=PROGRAM tools/play-sites.sh score|hunt OUT_DIR SITE_FILE...
 #   BENCH     the users' bench
-#   JOBS      days at a time (4)
+#   JOBS      parallel days (4)
 #   WHY       a line for the journal
-#   SMALL     days of a hunt on a site of fewer than 60 instances (40)
-#   LARGE     the same on a larger one (8)
+#   SMALL     days of a hunt on a site with fewer than 60 instances (40)
+#   LARGE     days of a hunt on a larger site (8)
 set -euo pipefail
 [ $# -ge 3 ] || { sed -n '2,11s/^# \{0,1\}//p' "$0" >&2; exit 2; }
 verb="$1"
@@ -16,12 +16,12 @@
 cd "$(dirname "$0")/.."
 mkdir -p "$out"
 
-# How many instances a site file has, spare ones not counted.
+# Returns the number of instances of a site file, excluding spare ones.
 instances_of() {
     sed -n '/^machines = \[/,/^\]/s/.*count = \([0-9]*\).*/\1/p' "$1" | awk '{ sum += $1 } END { print sum + 0 }'
 }
 
-# The mean worth of the days with trouble in a table of `score`; calm days and the day drawn for the run are left out.
+# Returns the mean worth of the days with trouble in a table of `score`, excluding calm days and the randomly drawn day.
 mean_worth() {
     awk '$1 ~ /^(trouble|scale)-[0-9]+$/ && $4 ~ /^[0-9.]+$/ { sum += $4; days++ } END { if (days) printf "%.3f", sum / days; else printf "-" }' "$1"
 }
@@ -35,7 +35,7 @@
         [ "$(instances_of "$site")" -lt 60 ] || days="${LARGE:-8}"
         arguments+=(--days "$days")
     fi
-    "$BENCH" "${arguments[@]}" > "$output" 2>&1 || echo "$name: the bench ended with $?" >&2
+    "$BENCH" "${arguments[@]}" > "$output" 2>&1 || echo "$name: the bench exited with status $?" >&2
     printf '%s\n' "$name: $(grep -cE '\b(MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|GONE|LOST|CONFIG|ROUTE|DRAIN|ORDER|RECOVER|TIER)\b' "$output" || true) lines with rules, mean worth $(mean_worth "$output") (committed: $(awk -v name="$name" '$1 == name { print $2 }' tools/site-figures.txt)), $(grep -oE 'GATE (passed|failed)' "$output" || echo 'no gate')" \
         | tee -a "$out/summary.txt"
 done
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the declared Debian packages that are missing, then configures and builds a preset.
+# Installs the missing Debian packages of tools/packages.txt, then configures and builds a preset.
 # Usage: tools/setup.sh [PRESET]   (default: release)
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The fault soak: real routers that serve routes, under faults that a seed decides, judged by what callers and upstreams
-# see. See CONTRIBUTING.md, "The fault soak".
+# Runs the fault soak: router processes serve routes while faults derived from a seed are injected, and the soak checks
+# what callers and upstreams observe. See CONTRIBUTING.md, "The fault soak".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -8,11 +8,11 @@
     cat <<'TEXT'
 usage: tools/soak.sh [--jobs=N] [--seconds=N] [--out=FOLDER] SEED...
        tools/soak.sh --known       the seeds of platform/Soak/seeds.txt
-Builds, and plays each seed (a number, or FROM-TO) with processes of its own.
-  --jobs=N      seeds at one time (2, at most 4: a seed has 5 to 16 routers)
-  --seconds=N   for how long faults come (12)
-  --out=FOLDER  summary.json, and logs, plan and failures of each failed seed (target/soak)
-One line a seed. Ends with 1 when a seed failed.
+Builds, and runs each seed (a number, or FROM-TO) in its own processes.
+  --jobs=N      seeds in parallel (2, at most 4: a seed has 5 to 16 routers)
+  --seconds=N   duration of the fault injection (12)
+  --out=FOLDER  folder for summary.json and the logs, plan and failures of each failed seed (target/soak)
+Prints one line per seed. Exits with 1 if a seed failed.
 TEXT
 }
 
@@ -35,9 +35,9 @@
     usage >&2
     exit 2
 fi
-# More would use more than half of the machine's processes that a soak may have.
+# A soak may use at most half of the machine's processes.
 if [ "$jobs" -gt 4 ]; then
-    echo "at most 4 seeds at one time" >&2
+    echo "--jobs: at most 4 seeds can run in parallel" >&2
     exit 2
 fi
 
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Sets up, builds and passes the tests. Tests that KNOWN-RED.txt names (one line each: test, cause, issue) run as well, and
-# are told, but do not count.
+# Builds and runs the tests. Tests listed in KNOWN-RED.txt (one line each: test, cause, issue) also run and are
+# reported, but do not affect the exit code.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/setup.sh release
 
-# Names of the tests in KNOWN-RED.txt as one regular expression; empty when there are none.
+# Prints the names of the tests in KNOWN-RED.txt as one regular expression, or nothing if there are none.
 known_red_pattern() {
     [ -s KNOWN-RED.txt ] || return 0
     cut -d, -f1 KNOWN-RED.txt | sed -E '/^\s*$/d; s/[][().*+?^$|{}\\]/\\&/g' | paste -sd'|'
 }
 
-# Tests start processes of their own, so few run at once.
+# Tests start processes themselves, so only a few tests run in parallel.
 red="$(known_red_pattern)"
 if [ -z "$red" ]; then
     ctest --preset release --parallel 3
@@ -26,5 +26,5 @@
     exit 1
 fi
 ctest --preset release --parallel 3 -E "^($red)\$"
-# Told, not counted: one that passes now can lose its line.
+# The result is reported but ignored. The line of a test that passes now can be removed.
 ctest --preset release -R "^($red)\$" || true
