--- a/Source/Common/Clock.h
+++ b/Source/Common/Clock.h
@@ -5,8 +5,8 @@
 
 namespace Brassladder::Common {
 
-// The monotonic clock. CLOCK_MONOTONIC goes on while a process is stopped, so a deadline passed in a pause is seen as
-// passed on the first look after it; code re-reads the clock after each wait before it acts.
+// Monotonic clock. CLOCK_MONOTONIC also advances while a process is stopped, and a deadline may pass during a wait.
+// Code therefore reads the clock again after each wait before it acts.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
--- a/Source/Common/Compression.cpp
+++ b/Source/Common/Compression.cpp
@@ -11,7 +11,6 @@
 
 namespace Brassladder::Common {
 
-// Bytes of output that are made at once. Chosen, not measured.
 static constexpr size_t outputChunkBytes = 64 * 1024;
 
 static const Bytef* bytesOf(std::string_view text) { return reinterpret_cast<const Bytef*>(text.data()); }
@@ -21,7 +20,7 @@
 {
     auto size = compressBound(bytes.size());
     std::string deflated(size, '\0');
-    // Fails only when the output is too small, or when there is no memory.
+    // Fails only if the output buffer is too small or memory is exhausted.
     if (compress2(bytesOf(deflated), &size, bytesOf(bytes), bytes.size(), Z_BEST_SPEED) != Z_OK)
         throw std::bad_alloc();
     deflated.resize(size);
@@ -37,7 +36,7 @@
     stream.next_in = bytesOf(bytes);
     stream.avail_in = static_cast<uInt>(bytes.size());
     std::string inflated;
-    std::string chunk(outputChunkBytes, '\0'); // Too large for a fiber's stack.
+    std::string chunk(outputChunkBytes, '\0'); // On the heap: too large for a fiber's stack.
     int status = Z_OK;
     while (status == Z_OK && inflated.size() <= maxBytes) {
         stream.next_out = bytesOf(chunk);
@@ -46,12 +45,12 @@
         inflated.append(chunk, 0, chunk.size() - stream.avail_out);
     }
     if (inflated.size() > maxBytes)
-        return makeError(ErrorKind::BadRequest, "longer than " + std::to_string(maxBytes) + " bytes");
-    // All input was taken, and more was wanted.
+        return makeError(ErrorKind::BadRequest, "inflated data exceeds " + std::to_string(maxBytes) + " bytes");
+    // All input is consumed, but the stream has not ended.
     if (status == Z_BUF_ERROR)
-        return makeError(ErrorKind::BadRequest, "the deflated bytes are not whole");
+        return makeError(ErrorKind::BadRequest, "truncated zlib data");
     if (status != Z_STREAM_END)
-        return makeError(ErrorKind::BadRequest, stream.msg ? stream.msg : "not deflated");
+        return makeError(ErrorKind::BadRequest, stream.msg ? stream.msg : "invalid zlib data");
     return inflated;
 }
 
--- a/Source/Common/Compression.h
+++ b/Source/Common/Compression.h
@@ -9,10 +9,10 @@
 
 namespace Brassladder::Common {
 
-// Deflates bytes in zlib's format (RFC 1950), at its fastest level.
+// Compresses to the zlib format (RFC 1950) at the fastest level.
 std::string deflate(std::string_view);
-// BadRequest, with the reason, when the bytes are not whole or not in that format, or when they would become longer
-// than `maxBytes`; it stops there.
+// Decompresses data in the zlib format. Returns BadRequest if the data is truncated or invalid, or if the output would
+// exceed `maxBytes`.
 Result<std::string> inflate(std::string_view, size_t maxBytes);
 
 } // namespace Brassladder::Common
--- a/Source/Common/Digest.cpp
+++ b/Source/Common/Digest.cpp
@@ -56,7 +56,7 @@
 
 double randomUnitFraction()
 {
-    // The bits that a double holds exactly.
+    // A double represents integers of 53 bits exactly.
     static constexpr unsigned bits = 53;
     static constexpr auto steps = static_cast<double>(uint64_t { 1 } << bits);
     return static_cast<double>(randomNumber() >> (64 - bits)) / steps;
--- a/Source/Common/Endpoint.h
+++ b/Source/Common/Endpoint.h
@@ -9,7 +9,7 @@
 
 namespace Brassladder::Common {
 
-// An IP number and a port. Names are never resolved: instances talk by IP numbers.
+// IP address and port. Host names are not supported and never resolved.
 struct Endpoint {
     std::string address;
     uint16_t port { 0 };
@@ -19,9 +19,9 @@
     auto operator<=>(const Endpoint&) const = default;
 };
 
-// Reads "127.0.0.1:8080"; BadRequest when the address is not an IP number or the port is out of range.
+// Parses "127.0.0.1:8080". Returns BadRequest if the address is not an IP address or the port is 0 or out of range.
 Result<Endpoint> parseEndpoint(std::string_view);
-// The same for an address to listen on, where port 0 lets the kernel choose.
+// Parses an address to listen on. Port 0 is allowed: the kernel chooses the port.
 Result<Endpoint> parseListenEndpoint(std::string_view);
 
 } // namespace Brassladder::Common
--- a/Source/Common/Error.cpp
+++ b/Source/Common/Error.cpp
@@ -8,9 +8,8 @@
 
 using namespace std::chrono_literals;
 
-// Times after which callers may come back. Refusals for load: about one second, in which a queue of short calls drains.
-// Refusals for an outage of the platform or a lost instance: two seconds, in which a lost instance is replaced. Chosen,
-// not measured.
+// Retry delays: 1 s for overload, in which a queue of short calls drains; 2 s for platform outages and lost instances,
+// in which a lost instance is replaced.
 static constexpr std::array s_errorTable {
     ErrorTraits { ErrorKind::BadRequest, "bad_request", 400, Ran::No, 0ms },
     ErrorTraits { ErrorKind::BodyTooLarge, "body_too_large", 413, Ran::No, 0ms },
@@ -27,16 +26,16 @@
     ErrorTraits { ErrorKind::NoUpstream, "no_upstream", 503, Ran::No, 2000ms },
     ErrorTraits { ErrorKind::UpstreamConnect, "upstream_connect", 502, Ran::No, 1000ms },
     ErrorTraits { ErrorKind::UpstreamRefused, "upstream_refused", 503, Ran::No, 1000ms },
-    // Usually with the time until the first of them is back.
+    // Usually replaced by the time until the first of the upstreams is available again.
     ErrorTraits { ErrorKind::UpstreamsResting, "upstreams_resting", 503, Ran::No, 1000ms },
-    // Usually with the time until the router may send as much as it could not.
+    // Usually replaced by the time until the quota of the router permits the request.
     ErrorTraits { ErrorKind::UpstreamsLimited, "upstreams_limited", 503, Ran::No, 1000ms },
     ErrorTraits { ErrorKind::UpstreamBroken, "upstream_broken", 502, Ran::Maybe, 1000ms },
     ErrorTraits { ErrorKind::UpstreamTimeout, "upstream_timeout", 504, Ran::Maybe, 1000ms },
     ErrorTraits { ErrorKind::UpstreamLostState, "upstream_lost_state", 502, Ran::Maybe, 1000ms },
     ErrorTraits { ErrorKind::RetryBudgetSpent, "retry_budget_spent", 503, Ran::No, 2000ms },
-    // Final: no time to come back, and not 503, which invites callers to come back; not 4xx, since the request is
-    // proper and no proof says that it is at fault.
+    // No Retry-After, since a retry may crash another upstream. The status is not 503, which invites retries, and not
+    // 4xx, since the request is valid and not proven to cause the crashes.
     ErrorTraits { ErrorKind::CrashesUpstreams, "crashes_upstreams", 502, Ran::No, 0ms },
     ErrorTraits { ErrorKind::DuplicateKey, "duplicate_key", 409, Ran::Maybe, 0ms },
     ErrorTraits { ErrorKind::ClaimUnavailable, "claim_unavailable", 503, Ran::No, 2000ms },
--- a/Source/Common/Error.h
+++ b/Source/Common/Error.h
@@ -10,12 +10,11 @@
 
 namespace Brassladder::Common {
 
-// Whether the work behind a request ran. `No` is a promise to the caller and is only said when no byte of the request
-// can have reached an upstream, or when the upstream's own contract says that it did not run.
+// Whether an upstream executed the request. `No` is a guarantee: it is set only if no byte of the request can have
+// reached an upstream, or if the contract of the upstream states that the request was not executed.
 enum class Ran : uint8_t { No, Maybe, Yes };
 
-// The closed list of error kinds. Every refusal, retry and failure of the product is one of these; the table in
-// Error.cpp maps each to its answer.
+// All error kinds. The table in Error.cpp maps each kind to its HTTP status and retry delay.
 enum class ErrorKind : uint8_t {
     BadRequest,
     BodyTooLarge,
@@ -49,13 +48,13 @@
     Internal,
 };
 
-// How a caller sees a kind of error.
+// The response that a caller gets for an error kind.
 struct ErrorTraits {
     ErrorKind kind;
-    std::string_view name; // Stable: used on the wire, in metrics labels and in logs.
+    std::string_view name; // Stable: used on the wire, as metrics label and in logs.
     unsigned httpStatus;
-    Ran ran; // The usual value; an Error may carry a more careful one.
-    std::chrono::milliseconds retryAfter; // Zero: repeating the request will not help.
+    Ran ran; // Default; an Error may override it.
+    std::chrono::milliseconds retryAfter; // Zero: no Retry-After, because a retry does not help.
 };
 
 std::span<const ErrorTraits> errorTable();
@@ -63,7 +62,7 @@
 std::string_view name(ErrorKind);
 std::string_view name(Ran);
 
-// An error as it travels through the product.
+// An error with the message and values that the caller gets.
 struct Error {
     ErrorKind kind { ErrorKind::Internal };
     std::string message;
@@ -71,13 +70,13 @@
     std::chrono::milliseconds retryAfter { 0 };
 };
 
-// Builds an error with the table's values for `ran` and `retryAfter`.
+// Creates an error with the default `ran` and `retryAfter` of its kind.
 Error makeError(ErrorKind, std::string message);
 
-// The result of an operation that can fail: a value or an Error.
+// Result of an operation that can fail: a value or an Error.
 template <typename T> using Result = std::variant<T, Error>;
 
-// The value of operations that only succeed or fail.
+// Value of operations that return nothing but success or failure.
 struct Done { };
 using Status = Result<Done>;
 
--- a/Source/Common/FatalSignal.cpp
+++ b/Source/Common/FatalSignal.cpp
@@ -17,19 +17,19 @@
 
 namespace Brassladder::Common {
 
-// Frames written of a call stack. Chosen, not measured: the path of a request is about 20 deep.
+// Frames logged of a call stack; the path of a request is about 20 frames deep.
 static constexpr int maxFrames = 40;
-// Loaded objects whose names are kept; the router has about 30.
+// Loaded modules that are recorded; the router has about 30.
 static constexpr size_t maxModules = 64;
-// Bytes kept of a name, including the final zero.
+// Including the terminating zero.
 static constexpr size_t maxNameBytes = 48;
-// Bytes of a thread's stack for signal handlers: the unwinder's frames, and room for the largest register state of
-// x86-64 (AMX, about 11 KB). Backed by memory only when it is used.
+// Holds the frames of the unwinder and the largest register state of x86-64 (AMX, about 11 KB). Memory is committed
+// only when it is used.
 static constexpr size_t signalStackBytes = 64 * 1024;
 
 namespace {
 
-// The address range of one loaded object.
+// Address range of one loaded module.
 struct Module {
     std::array<char, maxNameBytes> name {};
     uintptr_t loadAddress { 0 };
@@ -37,7 +37,7 @@
     uintptr_t end { 0 };
 };
 
-// Written once by `installFatalSignalHandler`, read by the handler.
+// Written once by `installFatalSignalHandler` and read by the signal handler.
 struct FatalSignalState {
     std::array<char, maxNameBytes> instance {};
     std::array<Module, maxModules> modules {};
@@ -55,7 +55,7 @@
     target[length] = '\0';
 }
 
-// The range that an object's loadable segments take.
+// Returns the address range of the module's loadable segments.
 static Module describeModule(const dl_phdr_info& info)
 {
     Module module;
@@ -74,7 +74,7 @@
     return module;
 }
 
-// Called for each loaded object; a value other than 0 ends the walk.
+// Callback of dl_iterate_phdr for each loaded module. A return value other than 0 ends the iteration.
 static int recordModule(dl_phdr_info* info, size_t, void*)
 {
     if (s_state.moduleCount == maxModules)
@@ -115,7 +115,7 @@
     }
 }
 
-// The fields that all log lines have.
+// Writes the fields that all log lines have.
 static void beginLine(SignalSafeLine& line, std::string_view event)
 {
     timespec now {};
@@ -166,15 +166,15 @@
     line.writeTo(STDOUT_FILENO);
 }
 
-// Takes effect when the handler returns: the signal is blocked until then.
+// The signal is blocked in the handler, so that the process ends when the handler returns.
 static void raiseWithDefaultAction(int signal)
 {
     std::signal(signal, SIG_DFL);
     raise(signal);
 }
 
-// Several threads may meet a fault at once: the first one reports, the others wait for the end of the process. A fault
-// of the same kind in here ends the process at once, since the kernel does not deliver a blocked one.
+// Several threads may fault at once: the first one logs, and the others wait for the process to end. If the handler
+// itself raises the same signal, the kernel ends the process at once because the signal is blocked.
 static void reportFatalSignal(int signal, siginfo_t* info, void* context)
 {
     static std::atomic<pid_t> s_reporter { 0 };
@@ -195,7 +195,7 @@
     copyName(s_state.instance, instance);
     s_state.moduleCount = 0;
     dl_iterate_phdr(recordModule, nullptr);
-    // The first call loads the unwinder, which is not safe in a handler.
+    // The first call of backtrace loads the unwinder, which is not async-signal-safe.
     std::array<void*, 1> unusedFrames {};
     backtrace(unusedFrames.data(), static_cast<int>(unusedFrames.size()));
     struct sigaction action { };
@@ -214,7 +214,8 @@
 {
 #if !defined(BRASSLADDER_SANITIZED)
     void* memory = mmap(nullptr, signalStackBytes, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
-    // Without it the handler runs on the interrupted stack, which serves all signals but an overflow.
+    // Without an alternate stack the handler runs on the interrupted stack, which works for all faults except stack
+    // overflows.
     if (memory == MAP_FAILED)
         return;
     stack_t stack {};
--- a/Source/Common/FatalSignal.h
+++ b/Source/Common/FatalSignal.h
@@ -3,21 +3,21 @@
 
 #include <string_view>
 
-// Says what a process was doing when a signal ended it.
+// Logs the cause and the call stack when a signal ends the process.
 //
-// On SIGSEGV, SIGBUS, SIGILL, SIGFPE and SIGABRT the process writes two JSON lines to standard output and then ends by
-// the same signal, so that its exit status stays what it was:
+// On SIGSEGV, SIGBUS, SIGILL, SIGFPE and SIGABRT the handler writes two JSON lines to standard output. It then ends the
+// process by the same signal, which preserves the exit status:
 //   process.fatal_signal  signal, faulting address, stack pointer, interrupted instruction, thread
 //   process.fatal_stack   the call stack; a separate line, since walking a damaged stack may fail
-// Code addresses are given as MODULE+OFFSET, which `addr2line -Cfipe MODULE OFFSET` translates (docs/OPERATIONS.md).
-// Nothing is done until a signal arrives. Sanitizer builds keep the sanitizer's own handler.
+// Code addresses have the form MODULE+OFFSET, which `addr2line -Cfipe MODULE OFFSET` resolves (docs/OPERATIONS.md).
+// Sanitizer builds keep the handler of the sanitizer.
 namespace Brassladder::Common {
 
-// To be called once, before the first thread starts. `instance` is written into the lines.
+// Must be called once, before the first thread starts. The lines contain `instance`.
 void installFatalSignalHandler(std::string_view instance);
 
-// Gives the calling thread a stack of its own for signal handlers, so that a fiber that overflowed its stack is
-// reported as well. Lives until the process ends.
+// Sets an alternate signal stack for the calling thread, which is never freed. The handler needs it to report a fiber
+// that overflowed its stack.
 void installAlternateSignalStack();
 
 } // namespace Brassladder::Common
--- a/Source/Common/FiberIo.h
+++ b/Source/Common/FiberIo.h
@@ -11,8 +11,8 @@
     bool ok() const { return !error; }
 };
 
-// Starts an asynchronous operation with a handler and suspends the calling fiber until the handler has run. The
-// operation must belong to the io_context of the calling thread.
+// Starts an asynchronous operation and suspends the calling fiber until its handler has run. The operation must belong
+// to the io_context of the calling thread.
 template <typename Initiate> IoResult awaitIo(Initiate&& initiate)
 {
     IoResult result;
@@ -23,7 +23,7 @@
         done = true;
         boost::fibers::context::active()->schedule(waiting);
     });
-    // The handler sets it. NOLINTNEXTLINE(bugprone-infinite-loop)
+    // The handler sets `done`. NOLINTNEXTLINE(bugprone-infinite-loop)
     while (!done)
         waiting->suspend();
     return result;
--- a/Source/Common/FiberRuntime.cpp
+++ b/Source/Common/FiberRuntime.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-// Lets the fibers of a thread wait on its io_context: when no fiber is ready, the thread runs handlers instead.
+// Fiber scheduler that integrates with an io_context: when no fiber is ready, the thread runs handlers of the
+// io_context.
 class IoContextAlgorithm final : public fibers::algo::algorithm {
 public:
     explicit IoContextAlgorithm(asio::io_context& context)
@@ -56,8 +57,8 @@
     }
 
 private:
-    // Setting a timer anew completes the wait before it, which would end the next `run_one` at once, set the timer
-    // anew, and so on: the thread would never sleep. So the timer is only set when the time has changed.
+    // Sets the timer only if the time has changed. Setting it again completes the previous wait, which ends the next
+    // `run_one` at once and sets the timer again: the thread would spin.
     void arm(std::chrono::steady_clock::time_point wakeUp)
     {
         if (wakeUp == std::chrono::steady_clock::time_point::max() || wakeUp == m_armedFor)
--- a/Source/Common/FiberRuntime.h
+++ b/Source/Common/FiberRuntime.h
@@ -9,24 +9,25 @@
 
 namespace Brassladder::Common {
 
-// Threads that each run one io_context and one fiber scheduler. Fibers never move between threads, so an object that
-// belongs to a fiber's thread needs no lock. A fiber must not block its thread: all its neighbours would stop.
+// Runs fibers on a fixed number of threads, each with one io_context and one fiber scheduler. Fibers never migrate
+// between threads, so an object that only fibers of one thread use needs no lock. A fiber must not block its thread,
+// since that stops all other fibers of the thread.
 //
-// The runtime lives until the process ends: Boost.Fiber's scheduler refers to its io_context up to the end of the
-// thread, and fibers that wait for a peer cannot be cut off. Programs end by std::_Exit after their drain.
+// The runtime is never destroyed: the scheduler of Boost.Fiber refers to its io_context until the thread ends, and
+// fibers that wait for a peer cannot be aborted. Programs end by std::_Exit after their drain.
 class FiberRuntime {
 public:
     using Task = std::function<void()>;
 
     static FiberRuntime& start(unsigned threads);
 
-    // Runs the task as a new fiber on the next thread in turn.
+    // Runs the task in a new fiber; threads are assigned round-robin.
     void spawn(Task);
     void spawnOn(size_t thread, Task);
-    // Runs the task as a new fiber on the calling fiber's own thread.
+    // Runs the task in a new fiber on the thread of the calling fiber.
     static void spawnOnCurrentThread(Task);
 
-    // Runs the function in a fiber and blocks the calling plain thread until it returns.
+    // Runs the function in a fiber and blocks the calling thread until it returns. Must not be called from a fiber.
     template <typename Function> auto call(Function function)
     {
         using Value = decltype(function());
@@ -38,11 +39,11 @@
     }
 
     boost::asio::io_context& context(size_t thread) { return m_workers[thread]->context; }
-    // The same thread for the same key, as long as the runtime lives.
+    // Returns the same thread for the same key during the lifetime of the process.
     size_t threadFor(std::string_view key) const { return std::hash<std::string_view>()(key) % m_workers.size(); }
     size_t nextThread() { return m_next.fetch_add(1, std::memory_order_relaxed) % m_workers.size(); }
 
-    // The io_context of the calling thread. Only valid on the runtime's threads.
+    // The io_context of the calling thread, which must be a thread of the runtime.
     static boost::asio::io_context& currentContext();
 
 private:
@@ -58,7 +59,7 @@
     std::atomic<size_t> m_next { 0 };
 };
 
-// Suspends the calling fiber, not its thread.
+// Suspends the calling fiber without blocking its thread.
 void sleepFor(std::chrono::steady_clock::duration);
 
 } // namespace Brassladder::Common
--- a/Source/Common/FiberStacks.cpp
+++ b/Source/Common/FiberStacks.cpp
@@ -8,15 +8,14 @@
 
 namespace Brassladder::Common {
 
-// Virtual size of a fiber's stack. The largest use measured is 13 KB of it (docs/MEASUREMENTS.md, "fiber stacks"); the
-// rest is never backed by memory. Sanitizers' frames are several times as large.
+// Virtual size of a fiber's stack; unused pages are never backed by memory. Sanitizers need several times as much.
 #if defined(BRASSLADDER_SANITIZED)
 static constexpr size_t stackBytes = 512 * 1024;
 #else
 static constexpr size_t stackBytes = 64 * 1024;
 #endif
 
-// Lower ends of the stacks, above their guard pages, that no fiber uses. Never destroyed, as the runtime's threads.
+// Lowest addresses of unused stacks, above their guard pages. Never destroyed, like the threads of the runtime.
 static std::vector<void*>& freeStacks()
 {
     thread_local auto& s_free = *new std::vector<void*>;
--- a/Source/Common/FiberStacks.h
+++ b/Source/Common/FiberStacks.h
@@ -5,15 +5,14 @@
 
 namespace Brassladder::Common {
 
-// Stacks for the fibers of the calling thread, each with an inaccessible page below it: a fiber that overflows its
-// stack ends the process at once (FatalSignal.h reports it) instead of writing into another fiber's stack.
+// Stack allocator (as Boost.Context defines it) for the fibers of the calling thread. An inaccessible guard page below
+// each stack ends the process on an overflow (FatalSignal.h logs it), before another fiber's stack is overwritten.
 //
-// A stack allocator as Boost.Context defines it. Stacks of fibers that have ended are used again, the last one first,
-// since its pages are most likely still in the cache; none is returned to the system. A fiber must end on the thread
-// that started it, as all fibers of FiberRuntime do.
+// Stacks of ended fibers are reused, the most recent one first because its pages are most likely in the cache. Memory
+// is never returned to the system. A fiber must end on the thread that started it, as all fibers of FiberRuntime do.
 class FiberStacks {
 public:
-    // Throws std::bad_alloc when the system gives no memory.
+    // Throws std::bad_alloc if the system provides no memory.
     boost::context::stack_context allocate();
     void deallocate(boost::context::stack_context&) noexcept;
 };
--- a/Source/Common/HopByHop.cpp
+++ b/Source/Common/HopByHop.cpp
@@ -8,7 +8,7 @@
 
 namespace Brassladder::Common {
 
-// RFC 9110, 7.6.1, the older Keep-Alive and Proxy-Connection, and the fields that a proxy sets anew.
+// RFC 9110, 7.6.1, the older Keep-Alive and Proxy-Connection, and the fields that a proxy sets itself.
 static constexpr std::array<std::string_view, 11> s_fixedFields { "connection", "content-length", "expect",
     "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding",
     "upgrade" };
--- a/Source/Common/HopByHop.h
+++ b/Source/Common/HopByHop.h
@@ -7,17 +7,17 @@
 
 namespace Brassladder::Common {
 
-// The header fields of one message that concern a single connection and must not be passed on by a proxy (RFC
-// 9110, 7.6.1): a fixed list, and those that the message's own `Connection` fields name. Fields that a proxy sets anew
-// for each connection (Content-Length, Expect) count as well. Names are compared without regard to case.
+// Hop-by-hop header fields of one message, which a proxy must not forward (RFC 9110, 7.6.1): a fixed list and those
+// that the `Connection` fields of the message list. Includes the fields that a proxy sets for each connection
+// (Content-Length, Expect). Names are case-insensitive.
 class HopByHopFields {
 public:
-    // The value of one `Connection` field of the message.
+    // Adds the options of one `Connection` field of the message.
     void addConnectionField(std::string_view value);
     bool contains(std::string_view name) const;
 
 private:
-    std::vector<std::string> m_connectionOptions; // By `Connection`, in lower case.
+    std::vector<std::string> m_connectionOptions; // In lower case.
 };
 
 } // namespace Brassladder::Common
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -13,7 +13,8 @@
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
 
-// Size of one piece of a relayed body. A token's event is 100 to 300 bytes; larger pieces cost memory for each stream.
+// Buffer for one chunk of a relayed body. The event of a token has 100 to 300 bytes; a larger buffer costs memory for
+// each stream.
 static constexpr size_t bodyChunkBytes = 4096;
 static constexpr unsigned httpVersion = 11; // HTTP/1.1, as Beast writes it.
 
@@ -65,7 +66,7 @@
         return ConnectionEnd::Reset;
     if (error == asio::error::eof || error == http::error::end_of_stream || error == http::error::partial_message)
         return ConnectionEnd::Closed;
-    // Closed on this side, when the caller has left.
+    // Closed on this side, for example after the caller disconnected.
     if (error == asio::error::operation_aborted || error == asio::error::bad_descriptor)
         return ConnectionEnd::None;
     return ConnectionEnd::Unusable;
@@ -81,7 +82,7 @@
     beast::error_code error;
     auto address = asio::ip::make_address(endpoint.address, error);
     if (error)
-        return makeError(ErrorKind::UpstreamConnect, "not an IP number: " + endpoint.address);
+        return makeError(ErrorKind::UpstreamConnect, "not an IP address: " + endpoint.address);
     m_stream.expires_after(timeout);
     auto result = awaitIo(
         [&](auto handler) { m_stream.async_connect(tcp::endpoint(address, endpoint.port), std::move(handler)); });
@@ -102,7 +103,7 @@
         m_stream.expires_after(m_responseTimeout);
 }
 
-// Reads `Keep-Alive: timeout=SECONDS`.
+// Parses `Keep-Alive: timeout=SECONDS`.
 static std::optional<Milliseconds> keepAliveTimeOf(const http::fields& fields)
 {
     static constexpr std::string_view key = "timeout=";
@@ -123,7 +124,7 @@
     m_broken = true;
     m_end = classifyConnectionEnd(error);
     auto kind = error == beast::error::timeout ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamBroken;
-    return makeError(kind, "no whole answer from the upstream: " + error.message());
+    return makeError(kind, "incomplete response from the upstream: " + error.message());
 }
 
 Result<HttpClientResponse> HttpConnection::start(const HttpClientRequest& call)
@@ -146,7 +147,7 @@
     if (!sent.ok())
         return responseError(sent.error);
     m_parser.emplace();
-    // Not boost::none: with it, Beast 1.74 takes any body for too large.
+    // Not boost::none, with which Beast 1.74 rejects every body as too large.
     m_parser->body_limit(std::numeric_limits<uint64_t>::max());
     if (call.method == "HEAD")
         m_parser->skip(true);
@@ -197,7 +198,7 @@
         body += valueOf(piece);
         if (body.size() > limit) {
             m_broken = true;
-            return makeError(ErrorKind::UpstreamBroken, "the answer is larger than the limit");
+            return makeError(ErrorKind::UpstreamBroken, "the response body exceeds the size limit");
         }
     }
 }
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -7,11 +7,10 @@
 
 namespace Brassladder::Common {
 
-// Largest response that is held whole; streams are relayed as they come. Chosen, not measured: far above any plain
-// response, and it bounds what one faulty upstream can make a process hold.
+// Limit for responses that are buffered in memory. Streamed responses are relayed without a limit.
 inline constexpr size_t maxBufferedResponseBytes = 16 * 1024 * 1024;
 
-// For callers that set no timeouts of their own, such as the operators' tool. Chosen, not measured.
+// Defaults for callers that set no timeouts, such as brassladder-ctl.
 inline constexpr Milliseconds defaultConnectTimeout { 1000 };
 inline constexpr Milliseconds defaultResponseTimeout { 10'000 };
 
@@ -21,9 +20,9 @@
     std::string body;
     std::vector<HttpHeader> headers;
     Milliseconds connectTimeout { defaultConnectTimeout };
-    // For the response head, and then for each piece of its body.
+    // Applies to the response head, and then to each chunk of the body.
     Milliseconds responseTimeout { defaultResponseTimeout };
-    std::optional<TimePoint> deadline; // When set, bounds the whole exchange in place of `responseTimeout`.
+    std::optional<TimePoint> deadline; // If set, limits the whole exchange in place of `responseTimeout`.
 };
 
 struct HttpClientResponse {
@@ -34,22 +33,22 @@
     std::string_view header(std::string_view name) const;
 };
 
-// How the other side, or the way to it, ended a connection.
+// How the remote side or the network ended a connection.
 enum class ConnectionEnd : uint8_t {
-    None, // It stands, or was closed on this side.
-    Refused, // Nobody listens at the address.
-    Closed, // In the middle of a response, or in place of one.
+    None, // Still open, or closed on this side.
+    Refused, // The connection was refused.
+    Closed, // Closed before the response was complete.
     Reset,
     TimedOut,
-    Unusable, // What came is no response to this request.
+    Unusable, // The data received is not a valid response.
 };
-// The value of the log field and metrics label `ended`.
+// Value of the log field and metrics label `ended`.
 std::string_view name(ConnectionEnd);
 
-// One HTTP/1.1 connection to an upstream or to the platform. Belongs to the fiber that uses it.
+// One HTTP/1.1 connection to an upstream or to the platform. Used by one fiber at a time.
 //
-// An error says what is known about the request: `Ran::No` as long as not one byte was handed to the kernel, else
-// `Ran::Maybe`. A reset on a connection after the first byte is never taken for a request that did not run.
+// Errors of `connect` carry `Ran::No`. Errors after the request is being sent carry `Ran::Maybe`, also if the
+// connection was reset, since the upstream may have executed the request.
 class HttpConnection {
 public:
     HttpConnection();
@@ -57,20 +56,21 @@
     Status connect(const Endpoint&, Milliseconds timeout);
     // Sends the request and reads the response head.
     Result<HttpClientResponse> start(const HttpClientRequest&);
-    // Reads the next piece of the body; empty at the end. An end without the announced length is UpstreamBroken.
+    // Returns the next chunk of the body, empty at its end. Returns UpstreamBroken if the connection ends before the
+    // response is complete, and UpstreamTimeout after a timeout.
     Result<std::string_view> readBodyChunk();
-    // The rest of the body.
+    // Reads the remaining body. Returns UpstreamBroken if it exceeds `limit` bytes.
     Result<std::string> readRemainingBody(size_t limit);
 
-    // May be called by another fiber of the same thread: the operation in progress fails at once.
+    // Closes the connection. Another fiber of the same thread may call it: the pending operation then fails at once.
     void close();
     bool isReusable() const;
-    // What the last error was due to.
+    // The cause of the last error.
     ConnectionEnd end() const { return m_end; }
-    // How long the other side keeps an idle connection open, by its last response (`Keep-Alive`); none when it did not
-    // say.
+    // How long the remote side keeps an idle connection open, from the `Keep-Alive` field of its last response; nullopt
+    // if the response had none.
     std::optional<Milliseconds> keepAliveTime() const { return m_keepAliveTime; }
-    // Whether an idle connection still looks open. The other side may close it right afterwards.
+    // Whether an idle connection appears to be open. The remote side may still close it right afterwards.
     bool looksOpen();
 
 private:
@@ -91,7 +91,8 @@
 
 HopByHopFields hopByHopFieldsOf(const HttpClientResponse&);
 
-// Connects, sends, and reads the whole response: for short calls where a connection pool would not pay.
+// Sends one request on a new connection and reads the whole response. For infrequent calls that need no connection
+// pool.
 Result<HttpClientResponse> callOnce(
     const Endpoint&, const HttpClientRequest&, size_t bodyLimit = maxBufferedResponseBytes);
 
--- a/Source/Common/HttpConnectionPool.cpp
+++ b/Source/Common/HttpConnectionPool.cpp
@@ -3,8 +3,7 @@
 
 namespace Brassladder::Common {
 
-// Idle connections for each endpoint and thread. Chosen, not measured: enough for the batch of one engine over two
-// threads.
+// For each endpoint and thread; enough for the batch of one engine over two threads.
 static constexpr size_t maxIdleConnections = 32;
 
 HttpConnectionPool& HttpConnectionPool::forCurrentThread()
@@ -35,7 +34,7 @@
     while (!idle.empty()) {
         auto idleTime = moment - idle.back().since;
         auto keepAliveTime = idle.back().connection->keepAliveTime();
-        // Those before it have rested longer still.
+        // The connections before it have been idle even longer.
         if (keepAliveTime && idleTime > *keepAliveTime / 2) {
             idle.clear();
             break;
--- a/Source/Common/HttpConnectionPool.h
+++ b/Source/Common/HttpConnectionPool.h
@@ -9,20 +9,22 @@
 
 namespace Brassladder::Common {
 
-// Idle connections of one thread, by endpoint. The other side may close an idle connection at the moment of the write,
-// and then nobody knows whether the request ran: a request that must not be repeated uses a new connection, or one that
-// was idle for much less time than the other side keeps them. Belongs to one thread.
+// Keeps idle connections of one thread, by endpoint. Not thread-safe.
+// The remote side may close an idle connection while a request is being written; it is then unknown whether the request
+// ran. A request that must not be repeated uses a new connection, or one that was idle for much less than the
+// keep-alive time of the remote side.
 class HttpConnectionPool {
 public:
     // The pool of the calling thread.
     static HttpConnectionPool& forCurrentThread();
 
-    // An idle connection of any age, or a new one. UpstreamConnect when there is none.
+    // Returns an idle connection of any age, or opens a new one. Returns UpstreamConnect if that fails.
     Result<std::unique_ptr<HttpConnection>> acquire(const Endpoint&, Milliseconds connectTimeout);
-    // The most recently used connection that was idle for at most `maxIdleTime`, or null. Connections that were idle
-    // for more than half of the time for which the other side keeps them are closed.
+    // Returns the most recently used connection that was idle for at most `maxIdleTime`, or null. Closes connections
+    // that were idle for more than half of the keep-alive time of the remote side.
     std::unique_ptr<HttpConnection> acquireIdle(const Endpoint&, Milliseconds maxIdleTime);
-    // Keeps the connection for another request, if its last response was read whole.
+    // Keeps the connection for another request. Closes it if its last response was not read completely or the pool is
+    // full.
     void release(const Endpoint&, std::unique_ptr<HttpConnection>);
 
 private:
--- a/Source/Common/HttpExchange.cpp
+++ b/Source/Common/HttpExchange.cpp
@@ -9,7 +9,7 @@
 using tcp = asio::ip::tcp;
 
 static constexpr unsigned httpVersion = 11; // HTTP/1.1, as Beast writes it.
-// A chunk's size in hexadecimal, its line end, and a final zero: 16 digits hold any size.
+// Chunk size of up to 16 hexadecimal digits, CRLF and a terminating zero.
 static constexpr size_t maxChunkHeaderBytes = 20;
 
 HttpExchange::HttpExchange(Socket& stream, const HttpRequest& request, const HttpLimits& limits)
@@ -145,7 +145,8 @@
         beast::error_code problem;
         socket.non_blocking(true, problem);
         size_t bytes = socket.receive(asio::buffer(&peeked, 1), tcp::socket::message_peek, problem);
-        // Bytes that are there belong to a pipelined request: the caller lives, and the wait would only spin on them.
+        // Received bytes belong to a pipelined request: the caller is still connected. Waiting again would return at
+        // once.
         if (bytes || problem == asio::error::would_block)
             return;
         watch->gone = true;
@@ -166,7 +167,7 @@
 {
     HttpResponse response { traits(error.kind).httpStatus, dumpJson(errorJson(error)), "application/json", {} };
     if (error.retryAfter.count() > 0) {
-        // Retry-After has whole seconds: rounded up, so that nobody comes back too early.
+        // Retry-After has whole seconds. Rounded up, since a caller must not retry too early.
         auto seconds = std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count();
         response.headers.push_back({ "Retry-After", std::to_string(seconds) });
     }
--- a/Source/Common/HttpExchange.h
+++ b/Source/Common/HttpExchange.h
@@ -13,14 +13,14 @@
 #include <string_view>
 #include <vector>
 
-// One request that this process received, and the means to answer it.
+// Server side of an HTTP request.
 namespace Brassladder::Common {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpStatus = boost::beast::http::status;
 
-// Limits that keep one caller from hurting its neighbours. The defaults are for servers that nobody configures
-// (readiness, metrics, stand-ins); they were chosen, not measured.
+// Limits on connections and requests, which protect callers from each other. The defaults apply to servers without
+// configuration (readiness, metrics, fakes).
 struct HttpLimits {
     static constexpr size_t defaultMaxConnections = 20'000;
     static constexpr Milliseconds defaultIdleTimeout { 60'000 };
@@ -42,11 +42,11 @@
 struct HttpResponse {
     unsigned status { 200 };
     std::string body;
-    std::string contentType { "application/json" }; // Empty: no such header but one among `headers`.
+    std::string contentType { "application/json" }; // Empty: no Content-Type header, unless `headers` has one.
     std::vector<HttpHeader> headers;
 };
 
-// One request on a connection and the means to answer it. Belongs to its fiber.
+// One request on a connection and the functions to respond to it. Owned by the fiber that handles it.
 class HttpExchange {
 public:
     using Socket = boost::beast::tcp_stream;
@@ -57,27 +57,27 @@
     const HttpRequest& request() const { return m_request; }
     std::string_view target() const { return { m_request.target().data(), m_request.target().size() }; }
     std::string_view path() const { return target().substr(0, target().find('?')); }
-    // The value of a query parameter, or empty. Values are not percent-decoded.
+    // Returns the value of a query parameter, or an empty string. Values are not percent-decoded.
     std::string_view query(std::string_view name) const;
     std::string_view header(std::string_view name) const;
 
-    // Answers at once. Returns false when the caller is gone.
+    // Sends the whole response. Returns false if the caller has disconnected.
     bool respond(const HttpResponse&);
-    // Responds piece by piece in chunked coding: begin, any number of writes, end. A stream that is not ended closes
-    // the connection without the last chunk, so that a caller can tell it from a whole response. The head is sent with
-    // the first piece.
+    // Send a response in chunked transfer coding: `beginStream`, any number of `write`, then `endStream`. The head is
+    // sent with the first chunk. A stream that is not ended closes the connection without the last chunk, which marks
+    // the response as incomplete.
     bool beginStream(const HttpResponse& head);
     bool write(std::string_view piece);
     bool endStream();
 
-    // Calls the hook once, on this thread, when the caller closes its side while no write is under way.
+    // Calls the hook once, on this thread, when the caller disconnects while no write is in progress.
     void watchCaller(std::function<void()> onGone);
     bool callerGone() const { return m_watch && m_watch->gone; }
 
     bool isAnswered() const { return m_answered; }
     bool mayKeepAlive() const { return m_keepAlive && !m_streaming; }
     void closeAfterResponse() { m_keepAlive = false; }
-    // Closes the connection without a response, or without the end of one that has begun.
+    // Closes the connection without a response, or without the end of a response that has begun.
     void abandon()
     {
         m_answered = true;
@@ -85,7 +85,7 @@
     }
 
 private:
-    // Shared with the wait handler, which may outlive the exchange.
+    // Shared with the handler of the wait, which may outlive the exchange.
     struct Watch {
         std::function<void()> onGone;
         bool gone { false };
@@ -107,7 +107,7 @@
 
 HopByHopFields hopByHopFieldsOf(const HttpRequest&);
 
-// The answer that callers get for an error: `{"error":{kind,message,ran,retry_after_ms}}` with the table's status.
+// Response for an error: `{"error":{kind,message,ran,retry_after_ms}}` with the HTTP status of its kind.
 HttpResponse errorResponse(const Error&);
 Json errorJson(const Error&);
 HttpResponse jsonResponse(const Json&, unsigned status = 200);
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -10,7 +10,7 @@
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
 
-// Room for one read of a request: most requests without a body fit. Chosen, not measured.
+// Most requests without a body fit into one read.
 static constexpr size_t readBytes = 4096;
 
 HttpServer::HttpServer(FiberRuntime& runtime, std::function<HttpLimits()> limits, HttpHandler handler)
@@ -59,7 +59,7 @@
 {
     std::lock_guard lock(m_idleMutex);
     for (auto* stream : m_idle) {
-        // On the connection's own thread, where it cannot end between the look and the call.
+        // Runs on the thread of the connection, where it cannot end between the check and the call.
         asio::post(stream->get_executor(), [this, stream] {
             std::lock_guard lockThere(m_idleMutex);
             beast::error_code ignored;
@@ -99,18 +99,19 @@
 using RequestParser = http::request_parser<http::string_body>;
 
 struct ReadResult {
-    beast::error_code error; // None: the request is whole.
-    bool hasTimedOut { false }; // The time for the request ran out.
+    beast::error_code error; // Not set: the request is complete.
+    bool hasTimedOut { false }; // The receive timeout passed.
 };
 
-// Why a request could not be read, for the response; none when the caller is gone.
+// Error that is sent for a request that could not be read.
 struct ReadFailure {
     ErrorKind kind;
     std::string message;
 };
 
-// The time for one request to arrive. Not the stream's own timeout, which closes the socket: a slow caller gets a
-// response. Ends the read that is pending; between two reads there is none, so `isExpired` is asked before each.
+// Limits the time to receive one request. It cancels the pending read instead of using the timeout of the stream, which
+// closes the socket: a slow caller still gets a response. Between two reads there is nothing to cancel, so `isExpired`
+// is checked before each read.
 class ReceiveTimer {
 public:
     ReceiveTimer(HttpExchange::Socket& stream, Milliseconds limit)
@@ -131,7 +132,7 @@
     bool isExpired() const { return m_state->isExpired; }
 
 private:
-    // Shared with the handler, which may run after the end of the timer.
+    // Shared with the handler, which may run after the timer is destroyed.
     struct State {
         bool isDisarmed { false };
         bool isExpired { false };
@@ -143,7 +144,7 @@
 
 } // namespace
 
-// Parses what the buffer holds. An incomplete request is no error.
+// Parses the bytes in the buffer. An incomplete request is not an error.
 static beast::error_code parseArrived(beast::flat_buffer& buffer, RequestParser& parser)
 {
     beast::error_code error;
@@ -151,11 +152,11 @@
     return error == http::error::need_more ? beast::error_code() : error;
 }
 
-// The buffer holds the first bytes of the request.
+// Reads the request whose first bytes are in the buffer.
 static ReadResult readRequest(
     Milliseconds limit, HttpExchange::Socket& stream, beast::flat_buffer& buffer, RequestParser& parser)
 {
-    std::optional<ReceiveTimer> timer; // Most requests are there as a whole and need none.
+    std::optional<ReceiveTimer> timer; // Not needed for requests that arrive in one read.
     parser.eager(true);
     while (true) {
         if (auto error = parseArrived(buffer, parser))
@@ -178,13 +179,13 @@
 {
     const auto& error = read.error;
     if (error == http::error::body_limit)
-        return ReadFailure { ErrorKind::BodyTooLarge, "the body is larger than the limit" };
+        return ReadFailure { ErrorKind::BodyTooLarge, "the request body exceeds the size limit" };
     if (error == http::error::header_limit)
-        return ReadFailure { ErrorKind::HeadersTooLarge, "the headers are larger than the limit" };
+        return ReadFailure { ErrorKind::HeadersTooLarge, "the request headers exceed the size limit" };
     if (read.hasTimedOut)
-        return ReadFailure { ErrorKind::RequestTimeout, "the request took too long to arrive" };
+        return ReadFailure { ErrorKind::RequestTimeout, "the request was not received before the timeout" };
     if (error.category() == make_error_code(http::error::bad_method).category())
-        return ReadFailure { ErrorKind::BadRequest, "not an HTTP/1.1 request: " + error.message() };
+        return ReadFailure { ErrorKind::BadRequest, "invalid HTTP/1.1 request: " + error.message() };
     return std::nullopt;
 }
 
@@ -208,7 +209,7 @@
         exchange.closeAfterResponse();
     m_handler(exchange);
     if (!exchange.isAnswered())
-        exchange.respond(errorResponse(makeError(ErrorKind::Internal, "the request was not answered")));
+        exchange.respond(errorResponse(makeError(ErrorKind::Internal, "the request handler sent no response")));
     return exchange.mayKeepAlive() ? Next::Request : Next::Close;
 }
 
--- a/Source/Common/HttpServer.h
+++ b/Source/Common/HttpServer.h
@@ -14,25 +14,25 @@
 
 using HttpHandler = std::function<void(HttpExchange&)>;
 
-// Listens on one port and runs the handler in a fiber for each connection, over all threads of the runtime.
+// HTTP/1.1 server on one port. Runs the handler in one fiber for each connection, on all threads of the runtime.
 class HttpServer {
 public:
     class Builder;
 
-    // The port in use; the kernel chooses it when the builder was given port 0.
+    // The port in use, which the kernel chooses if the builder was given port 0.
     uint16_t port() const { return m_port; }
-    // Accepts no more connections; open ones close after their next response.
+    // Stops accepting connections; open connections close after their next response.
     void stopAccepting();
-    // Closes the connections on which no request has begun. Those that become idle later are not closed.
+    // Closes the connections that are idle now. Connections that become idle later stay open.
     void closeIdle();
 
 private:
     HttpServer(FiberRuntime&, std::function<HttpLimits()>, HttpHandler);
     void serve(boost::asio::ip::tcp::socket);
-    // Whether another request may follow on the connection.
+    // Whether the connection is kept open for another request.
     enum class Next { Request, Close };
     IoResult awaitFirstByte(HttpExchange::Socket&, boost::beast::flat_buffer&);
-    // False when the connection ended, or was idle for too long, before the first byte of a request.
+    // Returns false if the connection ended or the idle timeout passed before the first byte of a request.
     bool awaitRequest(HttpExchange::Socket&, boost::beast::flat_buffer&);
     Next serveOne(HttpExchange::Socket&, boost::beast::flat_buffer&);
     void sendError(HttpExchange::Socket&, ErrorKind, std::string_view message);
@@ -43,7 +43,7 @@
     uint16_t m_port { 0 };
     std::atomic<size_t> m_connections { 0 };
     std::mutex m_idleMutex;
-    std::set<HttpExchange::Socket*> m_idle; // Wait for the first byte of a request.
+    std::set<HttpExchange::Socket*> m_idle; // Connections that wait for the first byte of a request.
     std::atomic<bool> m_stopping { false };
 };
 
@@ -62,7 +62,7 @@
     {
         return limits([fixed] { return fixed; });
     }
-    // Limits that may change while the server runs: the hook is called for each request, on any thread.
+    // Limits that may change at run time. The hook is called for each request, on any thread of the runtime.
     Builder& limits(std::function<HttpLimits()> current)
     {
         m_limits = std::move(current);
@@ -73,7 +73,7 @@
         m_handler = std::move(handler);
         return *this;
     }
-    // PlatformUnavailable when the port cannot be bound. The server lives until the process ends.
+    // Returns PlatformUnavailable if the port cannot be bound. The server is never destroyed.
     Result<HttpServer*> build();
 
 private:
--- a/Source/Common/HttpStatus.h
+++ b/Source/Common/HttpStatus.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-// Limits between the classes of HTTP status codes (RFC 9110, 15), and those by which a server asks for time.
+// First codes of the classes of HTTP status codes (RFC 9110, 15), and codes that may carry Retry-After.
 namespace Brassladder::Common {
 
 inline constexpr unsigned firstClientError = 400;
--- a/Source/UnitTests/Common/CompressionTest.cpp
+++ b/Source/UnitTests/Common/CompressionTest.cpp
@@ -28,10 +28,9 @@
 TEST(CompressionTest, InflateRejectsOversizedOrCorruptInput)
 {
     auto deflated = deflate(std::string(1'000'000, 'x'));
-    EXPECT_EQ(reasonOf(inflate(deflated, 999'999)), "longer than 999999 bytes");
-    EXPECT_EQ(
-        reasonOf(inflate(deflated.substr(0, deflated.size() - 1), 2'000'000)), "the deflated bytes are not whole");
-    EXPECT_EQ(reasonOf(inflate("", 1000)), "the deflated bytes are not whole");
+    EXPECT_EQ(reasonOf(inflate(deflated, 999'999)), "inflated data exceeds 999999 bytes");
+    EXPECT_EQ(reasonOf(inflate(deflated.substr(0, deflated.size() - 1), 2'000'000)), "truncated zlib data");
+    EXPECT_EQ(reasonOf(inflate("", 1000)), "truncated zlib data");
     EXPECT_EQ(reasonOf(inflate("not deflated", 1000)), "incorrect header check");
     deflated[deflated.size() - 2] ^= 1;
     EXPECT_EQ(reasonOf(inflate(deflated, 2'000'000)), "incorrect data check");
