--- a/Source/Common/Json.cpp
+++ b/Source/Common/Json.cpp
@@ -3,7 +3,7 @@
 
 namespace Brassladder::Common {
 
-// The position of the quote that ends the string whose text begins here, or the end of the text.
+// Returns the position of the quote that ends the string whose content begins at `begin`, or the end of the text.
 static size_t endOfString(std::string_view text, size_t begin)
 {
     while (true) {
@@ -20,7 +20,7 @@
     }
 }
 
-// Counts brackets outside of strings: exact for text that is JSON; the parser refuses what is not.
+// Counts brackets outside of strings. The count is exact for valid JSON; the parser rejects other text.
 static bool isNestedTooDeeply(std::string_view text)
 {
     size_t depth = 0;
--- a/Source/Common/Json.h
+++ b/Source/Common/Json.h
@@ -10,17 +10,17 @@
 
 using Json = nlohmann::json;
 
-// How deeply arrays and objects may lie in each other. Serialising and copying call themselves for each level, on the
-// small stack of a fiber (64 KB), which 400 levels fit and 450 overflow (measured, release build): 150 bytes a level.
+// Maximum nesting of arrays and objects. Serialising and copying recurse for each level, on the 64 KB stack of a fiber.
 inline constexpr size_t maxJsonDepth = 64;
 
-// Parses text without throwing. The value is `discarded` when the text is not JSON, not UTF-8 or nested too deeply.
+// Parses text without throwing. The value is `discarded` if the text is not JSON, not UTF-8 or nested deeper than
+// `maxJsonDepth`.
 Json parseJson(std::string_view text);
 
-// Serialises without throwing on bytes that are not UTF-8: they are replaced.
+// Serialises without throwing; bytes that are not UTF-8 are replaced.
 inline std::string dumpJson(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
-// Reads a member of the wanted type, or the fallback when it is absent or of another type.
+// Returns a member of type T, or the fallback if it is absent or has another type.
 template <typename T> T member(const Json& object, std::string_view key, T fallback)
 {
     if (!object.is_object())
--- a/Source/Common/KeyedHash.cpp
+++ b/Source/Common/KeyedHash.cpp
@@ -18,12 +18,12 @@
 };
 using Context = std::unique_ptr<EVP_MAC_CTX, FreeContext>;
 
-// Looked up once: that takes longer than hashing a small input.
+// Fetched once, since the lookup takes longer than hashing a small input.
 EVP_MAC* sipHash()
 {
     static auto* s_algorithm = EVP_MAC_fetch(nullptr, "SIPHASH", nullptr);
     if (!s_algorithm)
-        throw std::runtime_error("OpenSSL lacks SipHash");
+        throw std::runtime_error("OpenSSL does not provide SipHash");
     return s_algorithm;
 }
 
--- a/Source/Common/KeyedHash.h
+++ b/Source/Common/KeyedHash.h
@@ -8,16 +8,16 @@
 
 namespace Brassladder::Common {
 
-// SipHash-2-4 with 128 bits, from OpenSSL. Without the key nobody can make two inputs meet, which a caller could with
-// an unkeyed hash (Digest.h's `stableHash`); about as fast. Safe to use from several threads.
+// SipHash-2-4 with 128 bits, from OpenSSL. Without the key, a caller cannot construct collisions, unlike with the
+// unkeyed `stableHash` (Digest.h). Thread-safe.
 class KeyedHash {
 public:
     using Value = std::array<uint64_t, 2>;
 
-    // The same secret gives the same hashes in every process.
+    // The same secret results in the same hashes in every process.
     explicit KeyedHash(std::string_view secret);
 
-    // Of the parts in their order; where one ends and the next begins counts.
+    // Returns the hash of the parts in this order. Their boundaries are part of the input.
     Value of(std::span<const std::string_view> parts) const;
 
 private:
--- a/Source/Common/Listener.cpp
+++ b/Source/Common/Listener.cpp
@@ -8,7 +8,7 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// After a failed accept: out of descriptors, most likely. Trying again at once would only spin.
+// Delay after a failed accept, most likely for lack of file descriptors; an immediate retry would spin.
 static constexpr Milliseconds acceptRetryDelay { 50 };
 
 Listener::Listener(FiberRuntime& runtime, OnConnection onConnection)
--- a/Source/Common/Listener.h
+++ b/Source/Common/Listener.h
@@ -8,15 +8,16 @@
 
 namespace Brassladder::Common {
 
-// Accepts connections on one port and runs a fiber for each, in turn over the threads of the runtime. Lives until the
-// process ends.
+// Accepts connections on one port and runs the callback in a fiber for each; threads are assigned round-robin. Must
+// live until the process ends.
 class Listener {
 public:
     using OnConnection = std::function<void(boost::asio::ip::tcp::socket)>;
 
     Listener(FiberRuntime&, OnConnection);
 
-    // The port in use, which the kernel chooses for port 0; PlatformUnavailable when it cannot be had.
+    // Returns the port, which the kernel chooses for port 0. Returns PlatformUnavailable if the endpoint cannot be
+    // bound.
     Result<uint16_t> listen(const Endpoint&);
     void stop();
 
@@ -25,7 +26,7 @@
 
     FiberRuntime& m_runtime;
     OnConnection m_onConnection;
-    std::unique_ptr<boost::asio::ip::tcp::acceptor> m_acceptor; // Touched on the first thread once it listens.
+    std::unique_ptr<boost::asio::ip::tcp::acceptor> m_acceptor; // Used only on the first thread once it listens.
     std::atomic<bool> m_stopping { false };
 };
 
--- a/Source/Common/Log.cpp
+++ b/Source/Common/Log.cpp
@@ -15,10 +15,9 @@
 
 namespace Brassladder::Common {
 
-// Room of the queue to the writing thread. A writer of lines would have to wait when it is full, so lines are left out
-// from half of it on.
+// Capacity of the queue to the writing thread. Callers would block on a full queue.
 static constexpr unsigned queueCapacityLines = 16384;
-// Lines that may wait for the writer.
+// Lines are suppressed when the queue is half full, before callers would block.
 static constexpr uint64_t maxPendingLines = queueCapacityLines / 2;
 
 static std::string s_instance;
@@ -28,7 +27,8 @@
 
 namespace {
 
-// log4cplus 2.0 has no layout for JSON. The message is the event's JSON object; the layout adds what the event carries.
+// log4cplus 2.0 has no JSON layout. The message is the JSON object of the line; the layout adds time, level, package
+// and instance.
 class JsonLayout final : public log4cplus::Layout {
 public:
     void formatAndAppend(log4cplus::tostream& output, const log4cplus::spi::InternalLoggingEvent& event) override
--- a/Source/Common/Log.h
+++ b/Source/Common/Log.h
@@ -9,21 +9,21 @@
 
 enum class LogLevel { Debug, Info, Warning, Error };
 
-// Writes log lines to standard output, one JSON object a line, from a thread of its own so that a slow pipe blocks no
-// fiber. Each line has the field `instance`.
+// Starts logging to standard output, one JSON object per line, each with the field `instance`. A separate thread writes
+// the lines, so a slow pipe does not block fibers.
 //
-// The volume is bounded: beyond `maxLogLinesPerSecond`, and while the reader of standard output does not keep up, lines
-// are left out. How many is logged in a line `log.left_out` once there is room again. Errors are left out last.
+// Lines are suppressed beyond `maxLogLinesPerSecond` and while too many lines are queued. The next line written is
+// preceded by a line `log.left_out` with their number. Lines of level Error are exempt from the rate limit.
 void startLogging(LogLevel minimumLevel, std::string_view instance);
 
-// Log lines of one process in a second (docs/OPERATIONS.md). Chosen, not measured.
+// Rate limit of one process (docs/OPERATIONS.md).
 inline constexpr unsigned maxLogLinesPerSecond = 200;
 
-// Writes one line, or leaves it out; never waits. It has time, level, package, event and the fields given. Events are
+// Writes or suppresses one line; never blocks. A line has time, level, package, event and the given fields. Events are
 // named `subject.what`.
 void log(LogLevel, std::string_view package, std::string_view event, Json fields = Json::object());
 
-// Writes out what still waits; to be called before the process ends.
+// Writes the queued lines. Must be called before the process ends.
 void stopLogging();
 
 } // namespace Brassladder::Common
--- a/Source/Common/LogRateLimiter.h
+++ b/Source/Common/LogRateLimiter.h
@@ -8,7 +8,7 @@
 
 namespace Brassladder::Common {
 
-// Bounds the log lines of a second, and counts those that were left out. Safe to use from several threads.
+// Limits the number of log lines per second and counts the suppressed ones. Thread-safe.
 class LogRateLimiter {
 public:
     explicit LogRateLimiter(unsigned perSecond)
@@ -16,7 +16,7 @@
     {
     }
 
-    // Whether one more line may be written now.
+    // Returns whether one more line may be written now, and counts it if so.
     bool tryAcquire(TimePoint now)
     {
         std::lock_guard lock(m_mutex);
@@ -36,7 +36,7 @@
         ++m_suppressed;
     }
 
-    // How many lines were left out since the last call.
+    // Returns the number of suppressed lines since the last call.
     uint64_t takeSuppressedCount()
     {
         std::lock_guard lock(m_mutex);
--- a/Source/Common/Metrics.cpp
+++ b/Source/Common/Metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace Brassladder::Common::Metrics {
 
-// InsertBehavior::Merge lets a family be named again from another place.
+// InsertBehavior::Merge allows several places to register the same family.
 static prometheus::Registry& registry()
 {
     static auto* s_registry = new prometheus::Registry(prometheus::Registry::InsertBehavior::Merge);
--- a/Source/Common/Metrics.h
+++ b/Source/Common/Metrics.h
@@ -11,14 +11,14 @@
 
 using Labels = std::map<std::string, std::string>;
 
-// Each finds or makes the series. Labels are classes, tiers, pools and reasons; never workspaces or request ids, whose
-// number has no bound. Code on a request's path keeps the reference.
+// Each function returns the series, which it creates on first use. Labels are classes, tiers, pools and reasons; never
+// workspaces or request ids, whose number is unbounded. Code on the request path keeps the reference.
 prometheus::Counter& counter(const std::string& name, const std::string& help, const Labels& labels = {});
 prometheus::Gauge& gauge(const std::string& name, const std::string& help, const Labels& labels = {});
-// Buckets are in seconds, from 1 ms to 1 hour, so that histograms of several instances can be added up.
+// Buckets are in seconds, from 1 ms to 1 hour, and the same in all instances, which allows aggregation.
 prometheus::Histogram& durationHistogram(const std::string& name, const std::string& help, const Labels& labels = {});
 
-// All series in Prometheus' text format.
+// All series in the Prometheus text format.
 std::string expose();
 
 } // namespace Brassladder::Common::Metrics
--- a/Source/Common/Precompiled.h
+++ b/Source/Common/Precompiled.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #pragma once
 
-// <utility> first: Asio 1.74 uses std::exchange in awaitable.hpp without including it.
+// <utility> comes first: Asio 1.74 uses std::exchange in awaitable.hpp without including it.
 #include <utility>
 
 #include <boost/asio.hpp>
--- a/Source/Common/Program.cpp
+++ b/Source/Common/Program.cpp
@@ -29,7 +29,7 @@
     absl::SetProgramUsageMessage(usage);
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("brassladder " BRASSLADDER_VERSION "\n"); };
-    // Our own flags, without those of the libraries.
+    // Lists the flags of this project, not those of the libraries.
     config.contains_helpshort_flags
         = [](absl::string_view file) { return file.find("Source/") != absl::string_view::npos; };
     config.contains_help_flags = config.contains_helpshort_flags;
@@ -61,13 +61,13 @@
     return readJsonFile(path);
 }
 
-// BadRequest when an override is no such pair.
+// Returns BadRequest if an override does not have the form /json/pointer=value.
 static Status applyOverrides(Json& file)
 {
     for (const auto& item : absl::GetFlag(FLAGS_set)) {
         auto equals = item.find('=');
         if (equals == std::string::npos || !item.starts_with('/'))
-            return makeError(ErrorKind::BadRequest, "--set takes /json/pointer=value, got " + item);
+            return makeError(ErrorKind::BadRequest, "invalid --set, expected /json/pointer=value, got " + item);
         file[Json::json_pointer(item.substr(0, equals))] = overrideValue(item.substr(equals + 1));
     }
     return Done {};
@@ -115,7 +115,7 @@
     auto path = absl::GetFlag(FLAGS_ready_file);
     if (path.empty())
         return;
-    // Renamed into place, so that a reader never sees half of it.
+    // Renaming is atomic: a reader never sees a partial file.
     auto temporaryPath = path + ".draft";
     {
         std::ofstream file(temporaryPath);
--- a/Source/Common/Program.h
+++ b/Source/Common/Program.h
@@ -14,32 +14,32 @@
 // Exit codes of all programs.
 enum class ExitCode : int { Success = 0, Failure = 1, Usage = 2 };
 
-// Parses the command line (with --help and --version); the words that are no flags, without the program's name.
+// Parses the command line (with --help and --version). Returns the positional arguments without the program name.
 std::vector<std::string> parseCommandLine(int argc, char** argv, const std::string& usage);
 
-// Reads --settings, lays the --set overrides over it and checks it against the table. Prints all faults, or with
-// --check_settings the outcome, and ends the process with Usage or Success where the program should not go on.
+// Reads the settings file, applies the --set overrides and validates the result against the table. Prints all faults
+// or, with --check_settings, the result. Ends the process with Usage or Success if the program must not continue.
 Settings loadSettings(std::span<const SettingSpec>);
 
-// Reads and checks the same settings once more, while the program runs.
+// Reads and validates the settings without ending the process, also while the program runs.
 std::variant<Settings, std::vector<Fault>> readSettings(std::span<const SettingSpec>);
 
-// Reads ADDRESS:PORT off the command line; ends the process with Usage when it is none.
+// Parses an argument ADDRESS:PORT; ends the process with Usage if it is invalid.
 Endpoint endpointOrExit(const std::string&);
 
-// Writes the file named by --ready_file in one step, for whoever waits for the program to listen.
+// Atomically writes the file named by --ready_file, which signals that the program listens.
 void writeReadyFile(const Json&);
 
-// Starts logging at the level of --log_level; fatal signals are logged as well (FatalSignal.h). To be called before the
-// first thread starts.
+// Starts logging at the level of --log_level and installs the handler for fatal signals (FatalSignal.h). Must be called
+// before the first thread starts.
 void startProgramLogging(std::string_view instance);
 
-// Waits for SIGTERM or SIGINT, and calls the hook at each SIGHUP: the settings file may have changed. Signals must be
-// blocked by `blockSignals` before the first thread starts.
+// `waitForStopSignal` blocks until SIGTERM or SIGINT, and calls the hook at each SIGHUP, which requests a reload of the
+// settings. `blockSignals` must be called before the first thread starts.
 void blockSignals();
 void waitForStopSignal(const std::function<void()>& onReload = nullptr);
 
-// Ends the process at once, without waiting for fibers that wait for peers.
+// Ends the process at once, without waiting for fibers that are blocked on a peer.
 [[noreturn]] void exitProcess(ExitCode);
 
 } // namespace Brassladder::Common
--- a/Source/Common/Rcu.h
+++ b/Source/Common/Rcu.h
@@ -7,7 +7,7 @@
 
 namespace Brassladder::Common {
 
-// Registers a thread as a reader with liburcu for as long as it lives. One per thread.
+// Registers a thread as a liburcu reader during its lifetime. One per thread.
 class RcuThread {
 public:
     RcuThread() { rcu_register_thread(); }
@@ -15,12 +15,12 @@
     RcuThread(const RcuThread&) = delete;
     RcuThread& operator=(const RcuThread&) = delete;
 
-    // Registers the calling thread if it is not registered yet. One registration serves all cells.
+    // Registers the calling thread if necessary. One registration serves all cells.
     static void ensureRegistered() { thread_local RcuThread s_registration; }
 };
 
-// A pointer to an immutable value that many threads read and few replace. Readers take a reference inside a read-side
-// section that holds no fiber switch; the writer waits for a grace period before it drops the old value.
+// A pointer to an immutable value with many readers and few writers. Readers copy the shared_ptr in a read-side
+// critical section without a fiber switch. The writer waits for a grace period before it deletes the old pointer.
 template <typename T> class RcuCell {
 public:
     explicit RcuCell(std::shared_ptr<const T> initial)
@@ -40,7 +40,7 @@
         return copy;
     }
 
-    // Blocks for a grace period. Call it from one writer at a time, never inside a read-side section.
+    // Blocks for a grace period. Only one writer may call it at a time, and never within a read-side critical section.
     void store(std::shared_ptr<const T> next)
     {
         RcuThread::ensureRegistered();
--- a/Source/Common/RetryAfter.cpp
+++ b/Source/Common/RetryAfter.cpp
@@ -10,7 +10,7 @@
 
 namespace Brassladder::Common {
 
-// The preferred form of an HTTP date (RFC 9110, 5.6.7): Sun, 06 Nov 1994 08:49:37 GMT.
+// Preferred format of an HTTP date (RFC 9110, 5.6.7): Sun, 06 Nov 1994 08:49:37 GMT.
 static constexpr std::string_view httpDateFormat = "%a, %d %b %Y %H:%M:%S GMT";
 
 static std::optional<absl::Time> parseHttpDate(std::string_view text)
--- a/Source/Common/Settings.cpp
+++ b/Source/Common/Settings.cpp
@@ -79,7 +79,7 @@
     return false;
 }
 
-// An object that only groups settings is known by being a prefix of a row's pointer.
+// An object that only groups settings is a prefix of the pointer of a setting.
 static bool isKnownGroup(std::span<const SettingSpec> table, const std::string& pointer)
 {
     return std::any_of(
@@ -161,7 +161,7 @@
     text << file.rdbuf();
     Json json = parseJson(text.str());
     if (json.is_discarded())
-        return makeError(ErrorKind::BadRequest, path + " is not JSON");
+        return makeError(ErrorKind::BadRequest, path + " is not valid JSON");
     return json;
 }
 
--- a/Source/Common/Settings.h
+++ b/Source/Common/Settings.h
@@ -13,28 +13,28 @@
 
 enum class SettingType { Integer, Number, Boolean, Text, EndpointText, ListenText, EndpointList };
 
-// One row of a program's table of settings.
+// Describes one setting of a program.
 struct SettingSpec {
     std::string_view pointer; // JSON pointer into the settings file.
     SettingType type;
-    Json defaultValue; // Null: the setting must be given.
+    Json defaultValue; // Null: the setting is required.
     std::string_view unit;
     int64_t minimum { 0 };
     int64_t maximum { 0 };
     std::string_view help;
-    std::vector<std::string_view> choices {}; // Of a text; empty: any.
+    std::vector<std::string_view> choices {}; // Allowed values of a text; empty: any.
 };
 
-// What is wrong with one place of a file.
+// A validation error at one place of a file.
 struct Fault {
     std::string pointer;
     std::string message;
 };
 
-// Checked settings: every row of the table has a value of its type and within its bounds.
+// Validated settings: every setting of the table has a value of its type and within its bounds.
 class Settings {
 public:
-    // Checks the whole file and returns all faults in one go; none means that the settings may be read.
+    // Validates the whole file. Returns the settings, or all faults.
     static std::variant<Settings, std::vector<Fault>> check(std::span<const SettingSpec>, const Json& file);
 
     int64_t integer(std::string_view pointer) const;
@@ -53,13 +53,13 @@
     Json m_values;
 };
 
-// Reads a JSON file; the error names the file.
+// Reads a JSON file. Returns BadRequest with the path if the file cannot be read or is not JSON.
 Result<Json> readJsonFile(const std::string& path);
 
-// The faults as lines for a person: pointer, what is wrong.
+// Formats the faults, one per line: pointer and message.
 std::string describe(std::span<const Fault>);
 
-// The table as lines for a person: pointer, type, unit, bounds, default, help.
+// Formats the table, one setting per line: pointer, type, unit, bounds, default and help.
 std::string describe(std::span<const SettingSpec>);
 
 } // namespace Brassladder::Common
--- a/Source/Common/SignalSafeLine.cpp
+++ b/Source/Common/SignalSafeLine.cpp
@@ -9,12 +9,12 @@
 
 namespace Brassladder::Common {
 
-// Digits of any 64-bit number, with a sign.
+// Digits of a 64-bit number with its sign.
 static constexpr size_t maxDigits = 21;
 static constexpr int hexBase = 16;
 static constexpr int decimalBase = 10;
 static constexpr long nanosecondsInMillisecond = 1'000'000;
-// For a reader of the output that does not keep up; a process that ends must not hang on it. Chosen, not measured.
+// A process that ends must not block on a slow reader of its output.
 static constexpr int maxWriteWaitMs = 100;
 
 void SignalSafeLine::text(std::string_view text)
