--- a/Source/Common/Program.cpp
+++ b/Source/Common/Program.cpp
@@ -14,13 +14,13 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(std::string, settings, "",
-    "Settings file (JSON); when not given, the file that the variable BRASSLADDER_SETTINGS names");
-ABSL_FLAG(std::vector<std::string>, set, {}, "Overrides, separated by commas: /json/pointer=value");
-ABSL_FLAG(bool, check_settings, false, "Check the settings, print what is wrong, and end");
-ABSL_FLAG(bool, describe_settings, false, "Print all settings with type, unit, bounds and default, and end");
-ABSL_FLAG(std::string, ready_file, "", "Written once the program listens: a JSON object with its addresses");
-ABSL_FLAG(std::string, log_level, "info", "Least level of log lines: debug, info, warning or error");
+ABSL_FLAG(std::string, settings, "", "Settings file (JSON); defaults to the environment variable BRASSLADDER_SETTINGS");
+ABSL_FLAG(std::vector<std::string>, set, {}, "Comma-separated overrides: /json/pointer=value");
+ABSL_FLAG(bool, check_settings, false, "Validate the settings, print the faults, and exit");
+ABSL_FLAG(bool, describe_settings, false, "Print all settings with type, unit, bounds and default, and exit");
+ABSL_FLAG(
+    std::string, ready_file, "", "File that is written once the program listens: a JSON object with its addresses");
+ABSL_FLAG(std::string, log_level, "info", "Minimum log level: debug, info, warning or error");
 
 namespace Brassladder::Common {
 
--- a/Source/Operator/Commands.cpp
+++ b/Source/Operator/Commands.cpp
@@ -143,7 +143,7 @@
     return exit;
 }
 
-// Any instance may have taken the request, so all are asked.
+// Any router may have handled the request, so they are queried in turn.
 static CtlExit explain(const std::string& id, const CtlOptions& options)
 {
     for (const auto& router : options.routers) {
@@ -166,7 +166,7 @@
         }
         return CtlExit::Success;
     }
-    std::cerr << "no instance that answered remembers this request\n";
+    std::cerr << "no reachable router has a record of this request\n";
     return CtlExit::Failure;
 }
 
@@ -174,7 +174,7 @@
 {
     if (!json) {
         for (const auto& entry : entries)
-            std::cout << entry.time << "  " << entry.instance << "  " << (entry.isRequestLine ? "" : "(knew) ")
+            std::cout << entry.time << "  " << entry.instance << "  " << (entry.isRequestLine ? "" : "(state change) ")
                       << entry.event << "  " << Common::dumpJson(entry.details) << "\n";
         return;
     }
@@ -195,10 +195,10 @@
         timeline.read(file);
     }
     if (timeline.unreadableLines())
-        std::cerr << timeline.unreadableLines() << " lines are no log lines of routers\n";
+        std::cerr << timeline.unreadableLines() << " lines are not log lines of routers\n";
     auto entries = timeline.entries();
     if (entries.empty()) {
-        std::cerr << "no log knows this request\n";
+        std::cerr << "no log contains this request\n";
         return CtlExit::Failure;
     }
     printTimeline(entries, options.json);
@@ -227,12 +227,12 @@
     }
     auto view = parseRouterView(address, valueOf(answer).body);
     if (!view)
-        std::cerr << address.text() << "  no router that serves routes\n";
+        std::cerr << address.text() << "  not a router that serves routes\n";
     return view;
 }
 
-// Who is a hub, who reads the store, who holds the duties, how old each router's state is, and which are behind or do
-// not answer.
+// Shows the role, the duties and the age of the state of each router. Reports routers that are behind or do not
+// respond.
 static CtlExit fleet(const CtlOptions& options)
 {
     std::vector<RouterView> routers;
@@ -255,7 +255,7 @@
     return isAnyBehind ? CtlExit::Different : CtlExit::Success;
 }
 
-// Which requests are suspected of crashing upstreams, as all routers together know.
+// Shows the requests suspected of crashing upstreams, merged from all routers.
 static CtlExit suspects(const CtlOptions& options)
 {
     auto exit = CtlExit::Success;
@@ -281,7 +281,7 @@
     return exit;
 }
 
-// One router that knows the request is enough: it tells the others.
+// Stops at the first router that accepts the request; it notifies the others.
 static CtlExit lift(const std::string& identity, const CtlOptions& options)
 {
     for (const auto& address : options.metrics) {
@@ -290,20 +290,20 @@
         std::cout << "lifted at " << address.text() << "\n";
         return CtlExit::Success;
     }
-    std::cerr << "no router that answered knows this request\n";
+    std::cerr << "no reachable router has a record of this suspect\n";
     return CtlExit::Failure;
 }
 
-// What a command needs, beside its name.
+// The arguments and options that a command requires.
 struct CommandSpec {
     std::string_view name;
-    bool takesArgument { false }; // A folder or a request id.
+    bool takesArgument { false }; // A folder, a request id or the identity of a suspect.
     bool needsRouters { false };
     bool needsLog { false };
     bool needsMetrics { false };
 };
 
-// Name, takes a word, needs routers, needs the log, needs metrics addresses.
+// Name, takesArgument, needsRouters, needsLog, needsMetrics.
 static constexpr std::array s_commands { CommandSpec { "validate", true, false, false },
     CommandSpec { "diff", true, false, true }, CommandSpec { "publish", true, false, true },
     CommandSpec { "status", false, true, false }, CommandSpec { "explain", true, true, false },
--- a/Source/Operator/FleetReport.cpp
+++ b/Source/Operator/FleetReport.cpp
@@ -28,18 +28,18 @@
 
 std::string toLine(const RouterView& router, const std::string& behind)
 {
-    // Widths of columns, in characters: an IPv4 address with its port, and the longest role.
+    // Column widths in characters: an IPv4 address with its port, and the longest role.
     static constexpr int addressWidth = 22;
     static constexpr int roleWidth = 12;
     std::ostringstream line;
     line << std::left << std::setw(addressWidth) << router.metrics.text() << std::setw(roleWidth) << roleOf(router)
          << " configuration " << router.configurationVersion << ", " << std::fixed << std::setprecision(1)
-         << router.configurationAgeSeconds << " s old, upstreams " << router.upstreamsAgeSeconds << " s old, knows "
-         << router.fleetSize << ", store calls " << router.storeCalls;
+         << router.configurationAgeSeconds << " s old, upstreams " << router.upstreamsAgeSeconds
+         << " s old, fleet size " << router.fleetSize << ", store calls " << router.storeCalls;
     if (router.upstreamsInCooldown)
-        line << ", " << router.upstreamsInCooldown << " upstreams have asked it for rest";
+        line << ", " << router.upstreamsInCooldown << " upstreams in cooldown";
     if (router.limitedUpstreams)
-        line << ", " << router.limitedUpstreams << " upstreams have named a limit";
+        line << ", " << router.limitedUpstreams << " upstreams with a limit";
     if (router.dutiesToken)
         line << ", token " << router.dutiesToken << ", usage reported before window " << router.usageReportedBefore;
     if (!behind.empty())
--- a/Source/Operator/FleetReport.h
+++ b/Source/Operator/FleetReport.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-// What `brassladder-ctl fleet` shows of a router. `behind`: why its state is too old; empty when it is not.
+// Output of `brassladder-ctl fleet` for one router. `behind` is the reason why its state is stale, or empty.
 namespace Brassladder::Operator {
 
 Common::Json toJson(const RouterView&, const std::string& behind);
--- a/Source/Operator/FleetView.cpp
+++ b/Source/Operator/FleetView.cpp
@@ -6,14 +6,14 @@
 
 namespace Brassladder::Operator {
 
-// Whether a line of the text is a sample of that metric, with or without labels.
+// Whether the line is a sample of the metric, with or without labels.
 static bool isSampleOf(const std::string& line, std::string_view name)
 {
     return line.starts_with(name) && line.size() > name.size()
         && (line[name.size()] == ' ' || line[name.size()] == '{');
 }
 
-// The sum of a metric over its labels; none when the text does not have it.
+// Returns the sum of a metric over its labels, or nullopt if the text does not contain it.
 static std::optional<double> sumOfMetric(std::string_view text, std::string_view name)
 {
     std::optional<double> sum;
@@ -60,7 +60,7 @@
     for (const auto& other : fleet)
         newest = std::max(newest, other.configurationVersion);
     if (router.configurationVersion < newest)
-        return "configuration " + std::to_string(newest) + " is in force elsewhere";
+        return "configuration " + std::to_string(newest) + " is active on another router";
     auto limit = Common::toSeconds(maxAge);
     if (router.configurationAgeSeconds > limit)
         return "configuration not confirmed";
--- a/Source/Operator/FleetView.h
+++ b/Source/Operator/FleetView.h
@@ -11,30 +11,31 @@
 #include <string_view>
 #include <vector>
 
-// What the metrics of all routers that serve routes say of the fleet. Pure.
+// State of the fleet, from the metrics of routers that serve routes. Pure functions.
 namespace Brassladder::Operator {
 
-// One router, as its metrics tell.
+// State of one router, from its metrics.
 struct RouterView {
     Common::Endpoint metrics;
     bool isHub { false };
     bool readsStore { false };
     uint64_t configurationVersion { 0 }; // 0: none yet.
-    double configurationAgeSeconds { 0 }; // Since it was confirmed to be the newest.
+    double configurationAgeSeconds { 0 }; // Time since the configuration was confirmed as the newest.
     double upstreamsAgeSeconds { 0 };
-    uint64_t fleetSize { 0 }; // Routers that it knows, itself included; 0 before it knows them.
-    uint64_t storeCalls { 0 }; // Since its start.
-    uint64_t upstreamsInCooldown { 0 }; // That have asked this router for rest.
-    uint64_t limitedUpstreams { 0 }; // That have named a limit for all routers together.
-    uint64_t dutiesToken { 0 }; // The fencing token under which it does the fleet's duties; 0: it does not hold them.
-    uint64_t usageReportedBefore { 0 }; // Usage windows before this one are reported or given up, as far as it knows.
+    uint64_t fleetSize { 0 }; // Number of known routers, itself included; 0 before the roster is known.
+    uint64_t storeCalls { 0 }; // Since the start of the router.
+    uint64_t upstreamsInCooldown { 0 }; // Upstreams whose Retry-After cooldown is active on this router.
+    uint64_t limitedUpstreams { 0 }; // Upstreams that announced a limit for all routers together.
+    uint64_t dutiesToken { 0 }; // Fencing token of the duties; 0: the router does not hold them.
+    // All usage windows before this one are reported or given up, as far as the router knows.
+    uint64_t usageReportedBefore { 0 };
 };
 
-// From a response in Prometheus' text format. None when it is of no router that serves routes.
+// Parses metrics in the Prometheus text format. Returns nullopt if they are not from a router that serves routes.
 std::optional<RouterView> parseRouterView(const Common::Endpoint& metrics, std::string_view text);
 
-// Why a router is behind the others: an older configuration, or state that was confirmed longer ago than `maxAge`.
-// Empty when it is not.
+// Returns why a router is behind: its configuration is older than that of another router, or its state was last
+// confirmed more than `maxAge` ago. Returns an empty string if it is not behind.
 std::string staleReason(const RouterView&, std::span<const RouterView> fleet, Common::Milliseconds maxAge);
 
 } // namespace Brassladder::Operator
--- a/Source/Operator/LogTimeline.cpp
+++ b/Source/Operator/LogTimeline.cpp
@@ -13,10 +13,10 @@
 using Common::Json;
 using Common::member;
 
-// Changes this long before a request may still explain it.
+// State changes at most this long before a request are listed as well.
 static constexpr absl::Duration stateChangeLookback = absl::Seconds(5);
 
-// Events by which a router changes what it knows or may use, or loses or regains what it depends on.
+// Events that report a change of a router's state or of its dependencies.
 static constexpr std::array<std::string_view, 14> stateChangeEvents { "configuration.adopted",
     "configuration.unreadable", "dependency.lost", "dependency.regained", "hub.role", "hub.silent", "listening",
     "drain.start", "drain.end", "suspect.lifted", "upstream.asked_rest", "upstream.limit_ended", "upstream.names_limit",
@@ -27,7 +27,7 @@
     return std::find(stateChangeEvents.begin(), stateChangeEvents.end(), event) != stateChangeEvents.end();
 }
 
-// The line tells which requests were under way at an upstream that crashed.
+// Whether the line of a crash lists the request among those in flight at the upstream.
 static bool listsRequest(const Json& line, const std::string& requestId)
 {
     auto requests = line.find("requests");
@@ -76,7 +76,7 @@
     return time;
 }
 
-// When a router had the request.
+// The time during which a router handled the request.
 struct RequestInterval {
     absl::Time from;
     absl::Time until;
@@ -87,7 +87,7 @@
     std::map<std::string, RequestInterval> intervals;
     for (const auto& entry : entries) {
         auto until = timeOf(entry);
-        // The last line of a request tells how long it was there.
+        // The last line of a request has its duration.
         auto from = until - absl::Milliseconds(member<int64_t>(entry.details, "ms", 0));
         auto [interval, isNew] = intervals.try_emplace(entry.instance, RequestInterval { from, until });
         interval->second.from = std::min(interval->second.from, from);
--- a/Source/Operator/LogTimeline.h
+++ b/Source/Operator/LogTimeline.h
@@ -11,15 +11,15 @@
 
 namespace Brassladder::Operator {
 
-// What the structured logs of all routers say of one request: its own lines, and those by which a router that served it
-// changed what it knew while the request was there or shortly before.
+// Timeline of one request from the structured logs of routers: the log lines of the request, and the state changes of
+// the routers that handled it, during the request or shortly before.
 class LogTimeline {
 public:
     struct Entry {
-        std::string time; // As logged: UTC, ISO 8601 with milliseconds, which sorts as text.
+        std::string time; // UTC, ISO 8601 with milliseconds, which sorts as text.
         std::string instance;
         std::string event;
-        bool isRequestLine { false }; // Else a change of what the router knew.
+        bool isRequestLine { false }; // Otherwise a state change of the router.
         Common::Json details; // The other fields of the line.
     };
 
@@ -28,12 +28,13 @@
     {
     }
 
-    // Reads one log; a line may bear a prefix of whatever collected it. May be called for several.
+    // Adds the lines of one log. A line may have a prefix, for example of a log collector. May be called for several
+    // logs.
     void read(std::istream&);
 
-    // In the order of time; empty when no log knows the request.
+    // Returns the entries ordered by time; empty if no log contains the request.
     std::vector<Entry> entries() const;
-    // Lines that are no JSON object of ours.
+    // Number of non-empty lines that are not JSON log lines of a router.
     size_t unreadableLines() const { return m_unreadableLines; }
 
 private:
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -16,9 +16,8 @@
 using Common::Result;
 using namespace std::chrono_literals;
 
-// How often an append whose fate is unknown is sent again, and the pause in between.
+// Attempts to append a record, as long as it is unknown whether it was appended.
 static constexpr int maxPublishAttempts = 20;
-// Chosen, not measured.
 static constexpr Common::Milliseconds publishRetryDelay = 250ms;
 
 Result<FileSet> readConfigurationFolder(const std::string& path)
@@ -133,7 +132,7 @@
             if (exists && found->second.publishId == record.publishId)
                 return PublishResult { record.file, ClassServing::Config::FoldVerdict::Accepted,
                     found->second.version };
-            // Another version stands where ours could have: ours was refused, or is now too late.
+            // Another version took the place of this record: the append was rejected, or would now be too late.
             if (!isError(appended) || valueOf(fold).versionOf(record.file) != record.base)
                 return PublishResult { record.file, ClassServing::Config::FoldVerdict::Conflict,
                     valueOf(fold).versionOf(record.file) };
--- a/Source/Operator/Publisher.h
+++ b/Source/Operator/Publisher.h
@@ -10,30 +10,31 @@
 #include <string>
 #include <vector>
 
-// What operators do: check, compare and publish configuration. Calls suspend the calling fiber.
+// Validates, compares and publishes configuration.
 namespace Brassladder::Operator {
 
-// Configuration files by name, as text.
+// Content of configuration files, by name.
 using FileSet = std::map<std::string, std::string>;
 
-// Reads a folder: `pools.json`, `classes.json`, `workspace/NAME.json`. BadRequest when it cannot be read.
+// Reads a folder with `pools.json`, `classes.json` and `workspace/NAME.json`. Returns BadRequest if it cannot be read
+// or has no such files.
 Common::Result<FileSet> readConfigurationFolder(const std::string& path);
 
-// All faults of the files, each by itself and together; the pointer begins with the file's name.
+// Validates each file and then all files together. Returns all faults, whose pointers begin with the name of the file.
 std::vector<Common::Fault> validate(const FileSet&);
 
 enum class Change { Same, New, Changed };
 struct FileChange {
     std::string file;
     Change change { Change::Same };
-    uint64_t version { 0 }; // In force.
-    Common::Json patch; // JSON patch (RFC 6902) from what is in force.
+    uint64_t version { 0 }; // The active version.
+    Common::Json patch; // JSON patch (RFC 6902) from the active version.
 };
 
 struct PublishResult {
     std::string file;
     ClassServing::Config::FoldVerdict verdict { ClassServing::Config::FoldVerdict::Conflict };
-    uint64_t version { 0 }; // Of the accepted record, or of the one that won.
+    uint64_t version { 0 }; // Version of the accepted record, or of the conflicting one.
 };
 
 class Publisher {
@@ -43,11 +44,11 @@
     {
     }
 
-    // What the log adds up to now.
+    // Reads the log and returns its fold, the active configuration.
     Common::Result<ClassServing::Config::Fold> readFold();
     Common::Result<std::vector<FileChange>> diff(const FileSet&);
-    // Publishes what differs, each file against the version in force, or against `baseVersions` where a version is
-    // given there. The verdict is read back from the log, so that an append whose answer was lost is settled too.
+    // Publishes the files that differ from the active version. The base of a file is its active version, or its entry
+    // in `baseVersions`. The verdict is read back from the log, which also settles an append whose response was lost.
     Common::Result<std::vector<PublishResult>> publish(
         const FileSet&, const std::map<std::string, uint64_t>& baseVersions = {});
 
--- a/Source/Operator/RouterCall.cpp
+++ b/Source/Operator/RouterCall.cpp
@@ -19,7 +19,7 @@
         return errorOf(answer);
     if (valueOf(answer).status != statusOk)
         return Common::makeError(Common::ErrorKind::PlatformUnavailable,
-            router.text() + " answered " + std::to_string(valueOf(answer).status));
+            router.text() + " responded with status " + std::to_string(valueOf(answer).status));
     return Common::parseJson(valueOf(answer).body);
 }
 
--- a/Source/Operator/RouterCall.h
+++ b/Source/Operator/RouterCall.h
@@ -9,8 +9,8 @@
 
 namespace Brassladder::Operator {
 
-// A call of the operator to one router, with the fleet's key; the body of its answer. PlatformUnavailable when it
-// answered with anything but 200.
+// Calls one router with the fleet key and returns the parsed body of its response. Returns PlatformUnavailable if the
+// status is not 200.
 Common::Result<Common::Json> callRouter(
     const Common::Endpoint&, const std::string& fleetKey, std::string method, std::string target);
 
--- a/Source/Operator/SuspectReport.cpp
+++ b/Source/Operator/SuspectReport.cpp
@@ -46,7 +46,7 @@
 std::string toText(const Json& suspect)
 {
     auto text = member<std::string>(suspect, "identity", "?") + "  " + member<std::string>(suspect, "state", "?") + "  "
-        + std::to_string(member<uint64_t>(suspect, "in_turn", 0)) + " crashes in turn of "
+        + std::to_string(member<uint64_t>(suspect, "in_turn", 0)) + " consecutive crashes of "
         + std::to_string(member<uint64_t>(suspect, "crashes", 0)) + "  workspace "
         + member<std::string>(suspect, "workspace", "") + "  " + member<std::string>(suspect, "target", "") + "  "
         + std::to_string(member<uint64_t>(suspect, "body_bytes", 0)) + " bytes";
--- a/Source/Operator/SuspectReport.h
+++ b/Source/Operator/SuspectReport.h
@@ -6,13 +6,14 @@
 #include <span>
 #include <string>
 
-// What `brassladder-ctl suspects` shows. Pure.
+// Output of `brassladder-ctl suspects`. Pure functions.
 namespace Brassladder::Operator {
 
-// The lists of several routers as one: of each request the entry of the router that knows most of it, the most
-// suspicious first. A router knows its own crashes, and of others those of requests with two or more.
+// Merges the lists of several routers. Keeps for each suspect the entry with the most evidence (consecutive crashes,
+// then all crashes, then trials) and sorts by it, most first. A router lists its own crashes, and those of other
+// routers only for requests with two or more.
 Common::Json mergeSuspects(std::span<const Common::Json> lists);
-// One suspect: its state, caller, target and identity, then a line for each run that a crash ended.
+// Formats one suspect: its state, workspace, target and identity, then one line for each crash.
 std::string toText(const Common::Json& suspect);
 
 } // namespace Brassladder::Operator
--- a/Source/Programs/Ctl/Main.cpp
+++ b/Source/Programs/Ctl/Main.cpp
@@ -16,25 +16,26 @@
 ABSL_FLAG(std::string, log, "", "The platform's log service, ADDRESS:PORT");
 ABSL_FLAG(std::vector<std::string>, routers, {}, "Routers, ADDRESS:PORT separated by commas");
 ABSL_FLAG(
-    std::vector<std::string>, base, {}, "publish: NAME@VERSION that a file was written against; else the one in force");
-ABSL_FLAG(std::vector<std::string>, logs, {}, "explain: files with the logs of routers, separated by commas");
+    std::vector<std::string>, base, {}, "publish: base versions of files, NAME@VERSION; default: the active version");
+ABSL_FLAG(std::vector<std::string>, logs, {}, "explain: log files of routers, separated by commas");
 ABSL_FLAG(std::vector<std::string>, metrics, {},
-    "fleet, suspects, lift: where routers that serve routes expose metrics, ADDRESS:PORT separated by commas");
-ABSL_FLAG(absl::Duration, max_age, absl::Seconds(4), "fleet: state that was confirmed longer ago is behind");
+    "fleet, suspects, lift: metrics endpoints of routers that serve routes, ADDRESS:PORT separated by commas");
+ABSL_FLAG(absl::Duration, max_age, absl::Seconds(4),
+    "fleet: maximum time since state was confirmed, before a router is behind");
 ABSL_FLAG(bool, json, false, "Print JSON");
 
-static constexpr const char* usage = R"(Checks, publishes and explains.
-  brassladder-ctl validate FOLDER                  check configuration files
-  brassladder-ctl diff FOLDER --log=A:P            compare them with what is in force
-  brassladder-ctl publish FOLDER --log=A:P         put them in force
-  brassladder-ctl status --routers=A:P,...         state of instances
-  brassladder-ctl explain ID --routers=A:P,...     what happened to a request
-  brassladder-ctl explain ID --logs=FILE,...       the same from the logs of routers, whatever interface they served
+static constexpr const char* usage = R"(Validates and publishes configuration, and inspects routers.
+  brassladder-ctl validate FOLDER                  validate configuration files
+  brassladder-ctl diff FOLDER --log=A:P            compare them with the active configuration
+  brassladder-ctl publish FOLDER --log=A:P         publish them
+  brassladder-ctl status --routers=A:P,...         state of routers
+  brassladder-ctl explain ID --routers=A:P,...     timeline of a request
+  brassladder-ctl explain ID --logs=FILE,...       the same from the logs of routers of either interface
   brassladder-ctl fleet --metrics=A:P,...          roles and age of state of routers that serve routes
-  brassladder-ctl suspects --metrics=A:P,...       requests under which upstreams crashed, and which are held back
-  brassladder-ctl lift ID --metrics=A:P,...        send one of them on again
-  brassladder-ctl drain --routers=A:P,...          planned stop of instances
-The fleet's key is read from the environment variable BRASSLADDER_FLEET_KEY.
+  brassladder-ctl suspects --metrics=A:P,...       requests suspected of crashing upstreams, and their state
+  brassladder-ctl lift ID --metrics=A:P,...        release a suspected request
+  brassladder-ctl drain --routers=A:P,...          drain routers before a stop
+The fleet key is read from the environment variable BRASSLADDER_FLEET_KEY.
 Exit codes: 0 done, 1 failed, 2 usage, 3 invalid files, 4 conflict, 5 files differ or
 routers are behind.)";
 
@@ -47,7 +48,7 @@
         auto digits = at == std::string::npos ? std::string() : item.substr(at + 1);
         auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), version);
         if (digits.empty() || problem != std::errc {} || *end) {
-            std::cerr << "--base takes NAME@VERSION, got " << item << "\n";
+            std::cerr << "invalid --base, expected NAME@VERSION, got " << item << "\n";
             Common::exitProcess(Common::ExitCode::Usage);
         }
         baseVersions[item.substr(0, at)] = version;
--- a/Source/Programs/Demo/Main.cpp
+++ b/Source/Programs/Demo/Main.cpp
@@ -10,7 +10,7 @@
 
 using namespace Brassladder;
 
-// One organisation of the examples, at its real size.
+// An example organisation.
 struct Site {
     std::string folder;
     int engines;
@@ -19,7 +19,7 @@
     std::vector<std::string> domains;
 };
 
-// A streamed, a whole and a plain call through every router, printed as they came back.
+// Sends one call of each kind of the plan through every router and prints the results.
 static bool runSampleCalls(Testing::Harness::Cluster& cluster, const Testing::Load::Plan& plan)
 {
     bool success = true;
@@ -31,7 +31,7 @@
             auto record = cluster.runtime().call([&] { return Testing::Load::callRouter(router, call); });
             std::cout << "  " << router.text() << "  " << arrivals.requestClass
                       << (arrivals.servicePath.empty() ? arrivals.stream ? " (stream)" : " (whole)" : " (service)")
-                      << "  " << (record.whole ? "whole answer" : "NO WHOLE ANSWER " + record.refusal)
+                      << "  " << (record.whole ? "complete response" : "INCOMPLETE RESPONSE " + record.refusal)
                       << "  first after " << static_cast<int>(record.firstSeconds * 1000) << " ms, " << record.tokens
                       << " tokens, request " << record.requestId << "\n";
             success = success && record.whole && !record.wrong;
@@ -47,7 +47,7 @@
     auto files = Operator::readConfigurationFolder(examples + "/" + site.folder + "/config");
     auto scenario = Common::readJsonFile(examples + "/" + site.folder + "/demo-load.json");
     if (isError(files) || isError(scenario)) {
-        std::cerr << "the examples cannot be read\n";
+        std::cerr << "cannot read the examples\n";
         return false;
     }
     auto plan = std::get<Testing::Load::Plan>(Testing::Load::parsePlan(valueOf(scenario)));
@@ -72,13 +72,14 @@
 int main(int argc, char** argv)
 {
     auto words = Common::parseCommandLine(
-        argc, argv, "Shows both example organisations at work.\n  brassladder-demo EXAMPLES-FOLDER");
+        argc, argv, "Runs the load of both example organisations.\n  brassladder-demo EXAMPLES-FOLDER");
     if (words.size() != 1)
         Common::exitProcess(Common::ExitCode::Usage);
     auto& runtime = Common::FiberRuntime::start(2);
     bool success = runSite(runtime, words[0], { "cantabrica", 9, "orders", 3, { "bilbao", "santander", "oviedo" } });
     success = runSite(runtime, words[0], { "charge-trust", 12, "bays", 3, { "hobart-a", "hobart-b", "kingston" } })
         && success;
-    std::cout << (success ? "\nevery answer was whole and its caller's own\n" : "\nSOMETHING WENT WRONG\n");
+    std::cout << (success ? "\nevery response was complete and matched its request\n"
+                          : "\nFAILED: incomplete or mismatched responses\n");
     Common::exitProcess(success ? Common::ExitCode::Success : Common::ExitCode::Failure);
 }
--- a/Source/Programs/Experiment/Main.cpp
+++ b/Source/Programs/Experiment/Main.cpp
@@ -10,10 +10,10 @@
 
 using namespace Brassladder;
 
-ABSL_FLAG(int, seeds, 5, "Runs, with seeds from 1");
+ABSL_FLAG(int, seeds, 5, "Number of runs; seeds start at 1");
 ABSL_FLAG(std::string, json, "", "File for the results");
 
-// Median, least and most over the seeds.
+// Formats median, minimum and maximum over the seeds.
 static std::string formatSpread(std::vector<double> values, double factor)
 {
     std::sort(values.begin(), values.end());
@@ -25,7 +25,7 @@
 
 static void printOutcomes(const std::vector<Testing::Harness::Outcome>& outcomes)
 {
-    std::cout << "\n" << outcomes.size() << " seeds: median (least to most)\n";
+    std::cout << "\n" << outcomes.size() << " seeds: median (minimum to maximum)\n";
     std::vector<double> goodput;
     std::vector<double> finish;
     std::vector<double> wasted;
--- a/Source/Programs/Fakes/Main.cpp
+++ b/Source/Programs/Fakes/Main.cpp
@@ -36,7 +36,7 @@
     SettingSpec { "/lag_ms", SettingType::Integer, 200, "ms", 0, 600'000, "List: its lag" },
 };
 
-// The handler of the role; background fibers are started. Stand-ins live until the process ends.
+// Creates the fake and returns its handler; starts its background fiber. Fakes live until the process ends.
 static Common::HttpHandler makeRole(Common::FiberRuntime& runtime, const Common::Settings& settings)
 {
     auto role = settings.text("/role");
@@ -67,8 +67,8 @@
 
 int main(int argc, char** argv)
 {
-    Common::parseCommandLine(argc, argv,
-        "Stand-ins for engines, services and the platform.\n  brassladder-fakes --set=/role=engine,/pool=language");
+    Common::parseCommandLine(
+        argc, argv, "Fake engines, services and platform.\n  brassladder-fakes --set=/role=engine,/pool=language");
     auto settings = Common::loadSettings(s_table);
     Common::blockSignals();
     auto& runtime = Common::FiberRuntime::start(1);
--- a/Source/Programs/Load/Main.cpp
+++ b/Source/Programs/Load/Main.cpp
@@ -24,7 +24,7 @@
         std::cerr << errorOf(file).message << "\n";
         Common::exitProcess(Common::ExitCode::Usage);
     }
-    // A scenario of an experiment holds the plan as its part `load`.
+    // In a scenario of an experiment, the plan is the member `load`.
     bool isScenario = valueOf(file).is_object() && valueOf(file).contains("load");
     auto parsed = Testing::Load::parsePlan(isScenario ? valueOf(file)["load"] : valueOf(file));
     if (const auto* faults = std::get_if<std::vector<Common::Fault>>(&parsed)) {
@@ -35,7 +35,7 @@
     for (const auto& router : absl::GetFlag(FLAGS_routers))
         plan.routers.push_back(Common::endpointOrExit(router));
     if (plan.routers.empty()) {
-        std::cerr << "--routers names no router\n";
+        std::cerr << "--routers is required\n";
         Common::exitProcess(Common::ExitCode::Usage);
     }
     return plan;
@@ -44,7 +44,7 @@
 int main(int argc, char** argv)
 {
     auto words = Common::parseCommandLine(
-        argc, argv, "Sends open-loop load and checks every answer.\n  brassladder-load run FILE --routers=A:P,...");
+        argc, argv, "Sends open-loop load and verifies every response.\n  brassladder-load run FILE --routers=A:P,...");
     auto plan = planOrExit(words);
     Common::blockSignals();
     auto& runtime = Common::FiberRuntime::start(static_cast<unsigned>(std::max(1, absl::GetFlag(FLAGS_threads))));
--- a/Source/Programs/Router/Main.cpp
+++ b/Source/Programs/Router/Main.cpp
@@ -34,7 +34,7 @@
     Common::blockSignals();
     Common::startProgramLogging(settings.id);
     auto& runtime = Common::FiberRuntime::start(settings.threads);
-    // Lives until the process ends: fibers refer to it.
+    // Never destroyed: fibers refer to it.
     auto& router = *new ClassServing::Frontend::ClassRouter(runtime, settings);
     if (auto status = router.start(); isError(status))
         exitOnStartupError(errorOf(status));
@@ -47,8 +47,7 @@
     router.drain();
 }
 
-// The settings in force are those of the start: what the file says now is checked and told, and holds from the next
-// start.
+// Validates the settings file and logs the result. Changes take effect at the next start.
 static void logSettingsReload()
 {
     auto checked = Common::readSettings(RouteServing::Gateway::GatewaySettings::table());
@@ -88,7 +87,7 @@
     } else if (served == "routes") {
         serveRoutes();
     } else {
-        std::cerr << "--serve takes classes or routes, got " << served << "\n";
+        std::cerr << "invalid --serve, expected classes or routes, got " << served << "\n";
         Common::exitProcess(Common::ExitCode::Usage);
     }
     Common::stopLogging();
--- a/Source/UnitTests/Common/FatalSignalTest.cpp
+++ b/Source/UnitTests/Common/FatalSignalTest.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Each test runs in a new process, since the test program has threads.
+// Each test runs in a new process, since the test program has several threads.
 class FatalSignalTest : public testing::Test {
 protected:
     void SetUp() override
@@ -28,7 +28,7 @@
         testing::GTEST_FLAG(death_test_style) = "threadsafe";
     }
 
-    // The lines go to standard output; a death test reads standard error.
+    // The handler writes to standard output; a death test reads standard error.
     static void installHandler()
     {
         dup2(STDERR_FILENO, STDOUT_FILENO);
@@ -38,7 +38,7 @@
     static constexpr int frameBytes = 1024;
     static constexpr int fiberStackBytes = 64 * 1024;
 
-    // Uses a little more than so many frames of the stack, and returns.
+    // Uses a little more than `frames` KB of stack, and returns.
     static int useStack(int frames)
     {
         volatile char frame[frameBytes];
@@ -49,7 +49,7 @@
 
     static void readInvalidAddress()
     {
-        // 16 is no address that a process may read.
+        // Address 16 is never mapped.
         volatile uintptr_t address = 16;
         static_cast<void>(*reinterpret_cast<volatile int*>(address));
     }
@@ -120,7 +120,7 @@
         {
             installHandler();
             auto& runtime = FiberRuntime::start(1);
-            // Another fiber's stack is likely to be the next one.
+            // The stack of another fiber is likely to be adjacent.
             runtime.spawn([] { sleepFor(std::chrono::hours(1)); });
             runtime.call([] { return useStack(fiberStackBytes / frameBytes + 1); });
             std::_Exit(0);
--- a/Source/UnitTests/Common/HttpServerTest.cpp
+++ b/Source/UnitTests/Common/HttpServerTest.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-// Far above what any of the tests takes: a failure, not a measurement.
+// Far longer than any test needs; a test that reaches it has failed.
 constexpr auto readTimeout = 10s;
 
-// Responds with the body that it got.
+// Starts a server that echoes the request body.
 uint16_t startServer(const HttpLimits& limits)
 {
     auto server = HttpServer::Builder(testRuntime())
@@ -30,19 +30,19 @@
     return valueOf(server)->port();
 }
 
-// A caller that writes bytes as it likes.
+// A client that writes raw bytes.
 class RawCaller {
 public:
     explicit RawCaller(uint16_t port) { m_socket.connect({ boost::asio::ip::address_v4::loopback(), port }); }
 
-    // False when the server has closed the connection.
+    // Returns false if the server has closed the connection.
     bool write(std::string_view bytes)
     {
         boost::system::error_code error;
         boost::asio::write(m_socket, boost::asio::buffer(bytes), error);
         return !error;
     }
-    // All until the server closes; none when it does not.
+    // Reads until the server closes the connection. Returns nullopt if it does not.
     std::optional<std::string> readToEnd()
     {
         auto text = std::async(std::launch::async, [this] {
@@ -113,7 +113,7 @@
              { post(101), "413" },
              { "GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(3'000, 'x') + "\r\n\r\n", "431" },
              { "no request at all\r\n\r\n", "400" },
-             { "GET / HTTP/1.1\r\nHost: h\r\n", "408" }, // And then nothing.
+             { "GET / HTTP/1.1\r\nHost: h\r\n", "408" }, // The rest never arrives.
              { post(50) + "and then nothing", "408" },
          }) {
         RawCaller caller(port);
@@ -124,7 +124,7 @@
     }
 }
 
-// The time runs out while bytes flow, when no read is pending that the timer could end; then the caller stalls.
+// The receive timeout must also apply when no read is pending that the timer can cancel.
 TEST(HttpServerTest, ReceiveTimeoutAppliesWhileBytesArrive)
 {
     HttpLimits limits;
@@ -137,7 +137,7 @@
     bool isOpen = true;
     for (int pieces = 0; isOpen && pieces < 800 && std::chrono::steady_clock::now() < sendUntil; ++pieces)
         isOpen = caller.write(piece);
-    EXPECT_TRUE(!isOpen || caller.readToEnd()) << "the server holds the connection without a limit";
+    EXPECT_TRUE(!isOpen || caller.readToEnd()) << "the server keeps the connection open without a limit";
 }
 
 } // namespace Brassladder::Common
--- a/Source/UnitTests/Common/JsonTest.cpp
+++ b/Source/UnitTests/Common/JsonTest.cpp
@@ -9,7 +9,7 @@
 
 static std::string nested(size_t depth) { return std::string(depth, '[') + std::string(depth, ']'); }
 
-// Whatever was parsed is serialised on a fiber's small stack, by a function that calls itself for each level.
+// Guards against a stack overflow: serialising recurses for each level on the small stack of a fiber.
 TEST(JsonTest, TextNestedTooDeeplyIsDiscarded)
 {
     EXPECT_TRUE(parseJson(nested(5000)).is_discarded());
--- a/Source/UnitTests/Common/RetryAfterTest.cpp
+++ b/Source/UnitTests/Common/RetryAfterTest.cpp
@@ -26,15 +26,15 @@
     EXPECT_EQ(parse("3"), 3000ms);
     EXPECT_EQ(parse(" 0.25 "), 250ms);
     EXPECT_EQ(parse("0"), 0ms);
-    EXPECT_EQ(parse("0.0001"), 1ms) << "rounded up: nobody comes back too early";
+    EXPECT_EQ(parse("0.0001"), 1ms) << "rounded up, so no retry comes too early";
 }
 
 TEST(RetryAfterTest, HttpDateIsRelativeToTheDateHeader)
 {
     EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT", "Sun, 06 Nov 1994 08:49:40 GMT"), 7000ms);
-    EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT"), 10'000ms) << "without one, from now";
+    EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT"), 10'000ms) << "without a Date header, relative to now";
     EXPECT_EQ(parse("Sun, 06 Nov 1994 08:49:47 GMT", "yesterday"), 10'000ms);
-    EXPECT_EQ(parse("Sun, 06 Nov 1994 08:00:00 GMT"), 0ms) << "it is over";
+    EXPECT_EQ(parse("Sun, 06 Nov 1994 08:00:00 GMT"), 0ms) << "a date in the past";
 }
 
 TEST(RetryAfterTest, OutOfRangeValuesAreClampedAndMalformedOnesRejected)
--- a/Source/UnitTests/Main.cpp
+++ b/Source/UnitTests/Main.cpp
@@ -21,11 +21,11 @@
 int main(int argc, char** argv)
 {
     testing::InitGoogleTest(&argc, argv);
-    // The same cases on each run.
+    // Fixed seed: RapidCheck generates the same cases on each run.
     setenv("RC_PARAMS", "seed=20261202", 1);
     std::signal(SIGPIPE, SIG_IGN);
     int result = RUN_ALL_TESTS();
-    // Fibers of the runtime wait for peers for good; the process ends without them.
+    // Fibers of the runtime may wait for peers forever; _Exit ends the process without joining them.
     std::fflush(nullptr);
     std::_Exit(result);
 }
--- a/Source/UnitTests/Operator/FleetViewTest.cpp
+++ b/Source/UnitTests/Operator/FleetViewTest.cpp
@@ -58,9 +58,9 @@
     EXPECT_NE(toLine(view, "").find("token 12, usage reported before window 353"), std::string::npos);
     EXPECT_NE(toLine(view, "old").find("BEHIND: old"), std::string::npos);
     EXPECT_EQ(toJson(view, "")["duties_token"], 12);
-    EXPECT_EQ(toLine(view, "").find("rest"), std::string::npos);
+    EXPECT_EQ(toLine(view, "").find("cooldown"), std::string::npos);
     view.upstreamsInCooldown = 3;
-    EXPECT_NE(toLine(view, "").find("3 upstreams have asked it for rest"), std::string::npos);
+    EXPECT_NE(toLine(view, "").find("3 upstreams in cooldown"), std::string::npos);
     EXPECT_EQ(toJson(view, "")["resting_upstreams"], 3);
     view.limitedUpstreams = 2;
     EXPECT_EQ(toJson(view, "")["limited_upstreams"], 2);
@@ -82,7 +82,7 @@
 {
     std::vector<RouterView> fleet { router(7, 0.5, 0.5), router(6, 0.5, 0.5), router(7, 5, 0.5), router(7, 0.5, 5) };
     EXPECT_EQ(staleReason(fleet[0], fleet, 4s), "");
-    EXPECT_EQ(staleReason(fleet[1], fleet, 4s), "configuration 7 is in force elsewhere");
+    EXPECT_EQ(staleReason(fleet[1], fleet, 4s), "configuration 7 is active on another router");
     EXPECT_EQ(staleReason(fleet[2], fleet, 4s), "configuration not confirmed");
     EXPECT_EQ(staleReason(fleet[3], fleet, 4s), "upstreams not confirmed");
 }
--- a/Source/UnitTests/Operator/LogTimelineTest.cpp
+++ b/Source/UnitTests/Operator/LogTimelineTest.cpp
@@ -39,7 +39,7 @@
         std::istringstream log(text);
         timeline.read(log);
     }
-    // Not the version of six seconds before, not what came after its end, not what another router lost.
+    // Excluded: a change six seconds before the request, one after its end, and one of another router.
     EXPECT_EQ(eventsOf(timeline),
         (std::vector<std::string> { "r1 configuration.adopted", "r1 try.failed", "r1 request.end" }));
     EXPECT_EQ(timeline.unreadableLines(), 1U);
@@ -48,7 +48,7 @@
     EXPECT_EQ(end.details, (Common::Json { { "ms", 1000 }, { "status", 502 } }));
 }
 
-// From the id of a request that is held back to the crashes that led to it, and from there to what it ran beside.
+// The line of a crash lists the requests in flight and belongs to the timeline of each of them.
 TEST(LogTimelineTest, CrashIsListedForTheRequestsInFlight)
 {
     LogTimeline timeline("a1");
--- a/Source/UnitTests/Operator/SuspectReportTest.cpp
+++ b/Source/UnitTests/Operator/SuspectReportTest.cpp
@@ -10,7 +10,7 @@
 
 using Common::Json;
 
-// A router knows its own crashes; of others, those of requests with two or more.
+// A router has its own crashes, and those of other routers only for requests with two or more.
 TEST(SuspectReportTest, MergeKeepsTheEntryWithMostCrashes)
 {
     std::vector<Json> lists { Json::array({ { { "identity", "a" }, { "crashes", 1 }, { "in_turn", 1 } } }),
@@ -29,7 +29,7 @@
         { "body_bytes", 12 }, { "crashes", 4 }, { "in_turn", 3 }, { "next_trial_in_ms", 60'500 },
         { "runs", { { { "upstream", "i-1" }, { "ago_ms", 2500 }, { "ms", 407 }, { "request", "a1" } } } } };
     EXPECT_EQ(toText(suspect),
-        "00ff  held  3 crashes in turn of 4  workspace w  /x  12 bytes  next trial in 60 s\n"
+        "00ff  held  3 consecutive crashes of 4  workspace w  /x  12 bytes  next trial in 60 s\n"
         "    i-1  crashed 2 s ago, 407 ms after request a1 was sent there\n");
 }
 
--- a/Source/UnitTests/TestRuntime.h
+++ b/Source/UnitTests/TestRuntime.h
@@ -5,7 +5,7 @@
 
 namespace Brassladder {
 
-// The fiber runtime that the tests of one process share.
+// The fiber runtime shared by all tests of the process.
 Common::FiberRuntime& testRuntime();
 
 } // namespace Brassladder
