--- a/Source/Common/FatalSignal.cpp
+++ b/Source/Common/FatalSignal.cpp
@@ -166,7 +166,7 @@
     line.writeTo(STDOUT_FILENO);
 }
 
-// The signal is blocked in the handler, so that the process ends when the handler returns.
+// The signal is blocked while the handler runs; it ends the process when the handler returns.
 static void raiseWithDefaultAction(int signal)
 {
     std::signal(signal, SIG_DFL);
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -36,7 +36,7 @@
 // How the remote side or the network ended a connection.
 enum class ConnectionEnd : uint8_t {
     None, // Still open, or closed on this side.
-    Refused, // The connection was refused.
+    Refused, // No process listens at the address.
     Closed, // Closed before the response was complete.
     Reset,
     TimedOut,
@@ -47,8 +47,8 @@
 
 // One HTTP/1.1 connection to an upstream or to the platform. Used by one fiber at a time.
 //
-// Errors of `connect` carry `Ran::No`. Errors after the request is being sent carry `Ran::Maybe`, also if the
-// connection was reset, since the upstream may have executed the request.
+// Errors of `connect` carry `Ran::No`. Errors of later operations carry `Ran::Maybe`, even if the connection was reset,
+// since the upstream may have executed the request.
 class HttpConnection {
 public:
     HttpConnection();
--- a/Source/Common/HttpConnectionPool.h
+++ b/Source/Common/HttpConnectionPool.h
@@ -10,6 +10,7 @@
 namespace Brassladder::Common {
 
 // Keeps idle connections of one thread, by endpoint. Not thread-safe.
+//
 // The remote side may close an idle connection while a request is being written; it is then unknown whether the request
 // ran. A request that must not be repeated uses a new connection, or one that was idle for much less than the
 // keep-alive time of the remote side.
--- a/Source/Common/HttpServer.h
+++ b/Source/Common/HttpServer.h
@@ -23,7 +23,7 @@
     uint16_t port() const { return m_port; }
     // Stops accepting connections; open connections close after their next response.
     void stopAccepting();
-    // Closes the connections that are idle now. Connections that become idle later stay open.
+    // Closes the connections that are idle now. Does not close connections that become idle later.
     void closeIdle();
 
 private:
