--- a/Source/Common/Program.cpp
+++ b/Source/Common/Program.cpp
@@ -14,13 +14,13 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(std::string, settings, "",
-    "Settings file (JSON); when not given, the file that the variable BRASSLADDER_SETTINGS names");
-ABSL_FLAG(std::vector<std::string>, set, {}, "Overrides, separated by commas: /json/pointer=value");
-ABSL_FLAG(bool, check_settings, false, "Check the settings, print what is wrong, and end");
-ABSL_FLAG(bool, describe_settings, false, "Print all settings with type, unit, bounds and default, and end");
-ABSL_FLAG(std::string, ready_file, "", "Written once the program listens: a JSON object with its addresses");
-ABSL_FLAG(std::string, log_level, "info", "Least level of log lines: debug, info, warning or error");
+ABSL_FLAG(std::string, settings, "", "Settings file (JSON); defaults to the environment variable BRASSLADDER_SETTINGS");
+ABSL_FLAG(std::vector<std::string>, set, {}, "Comma-separated overrides: /json/pointer=value");
+ABSL_FLAG(bool, check_settings, false, "Validate the settings, print the faults, and exit");
+ABSL_FLAG(bool, describe_settings, false, "Print all settings with type, unit, bounds and default, and exit");
+ABSL_FLAG(
+    std::string, ready_file, "", "File that is written once the program listens: a JSON object with its addresses");
+ABSL_FLAG(std::string, log_level, "info", "Minimum log level: debug, info, warning or error");
 
 namespace Brassladder::Common {
 
@@ -29,7 +29,7 @@
     absl::SetProgramUsageMessage(usage);
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("brassladder " BRASSLADDER_VERSION "\n"); };
-    // Our own flags, without those of the libraries.
+    // Lists the flags of this project, not those of the libraries.
     config.contains_helpshort_flags
         = [](absl::string_view file) { return file.find("Source/") != absl::string_view::npos; };
     config.contains_help_flags = config.contains_helpshort_flags;
@@ -61,13 +61,13 @@
     return readJsonFile(path);
 }
 
-// BadRequest when an override is no such pair.
+// Returns BadRequest if an override does not have the form /json/pointer=value.
 static Status applyOverrides(Json& file)
 {
     for (const auto& item : absl::GetFlag(FLAGS_set)) {
         auto equals = item.find('=');
         if (equals == std::string::npos || !item.starts_with('/'))
-            return makeError(ErrorKind::BadRequest, "--set takes /json/pointer=value, got " + item);
+            return makeError(ErrorKind::BadRequest, "invalid --set, expected /json/pointer=value, got " + item);
         file[Json::json_pointer(item.substr(0, equals))] = overrideValue(item.substr(equals + 1));
     }
     return Done {};
@@ -115,7 +115,7 @@
     auto path = absl::GetFlag(FLAGS_ready_file);
     if (path.empty())
         return;
-    // Renamed into place, so that a reader never sees half of it.
+    // Renaming is atomic: a reader never sees a partial file.
     auto temporaryPath = path + ".draft";
     {
         std::ofstream file(temporaryPath);
