--- a/Source/ClassServing/Claims/ClaimClient.h
+++ b/Source/ClassServing/Claims/ClaimClient.h
@@ -9,19 +9,18 @@
 
 namespace Brassladder::ClassServing::Claims {
 
-// The entry's side of claims: sends a claim to the claim router of the key's partition, and sends it again with the
-// same request id when that router is lost. Repeats are harmless: all claims of one request id are one claim. Safe to
-// use from several threads.
+// Sends the claims of an entry to the claim router of the key's partition. It resends a claim with the same request id
+// until a verdict arrives, because the claim router may fail or change. Resending is safe because claims with the same
+// request id count as one claim. Thread-safe.
 class ClaimClient {
 public:
     struct Hooks {
         std::function<void(const std::string& peer, Inner::Wire::Item)> send;
         std::function<std::string(uint32_t partition)> claimRouterOf;
     };
-    // For the whole claim: a little above the claim router's own timeout, so that its verdict still arrives. Chosen,
-    // not measured.
+    // Timeout of a whole claim; exceeds ClaimRouter::defaultTimeout to leave time for the verdict to arrive.
     static constexpr Common::Milliseconds defaultTimeout { 2000 };
-    // The claim router may be lost: asks the next one after this. Chosen, not measured: eight group commits.
+    // A claim without a verdict is resent at this interval to the claim router of the current view.
     static constexpr Common::Milliseconds defaultResendInterval { 400 };
 
     struct Options {
@@ -36,11 +35,12 @@
     {
     }
 
-    // Suspends the calling fiber until the verdict is known or the timeout is over. With `readOnly` nothing is claimed.
+    // Suspends the calling fiber until a verdict arrives. Returns Unavailable after the timeout. With `readOnly`,
+    // reads the state of the key without a claim.
     Verdict claim(const KeyAndRequest&, bool readOnly);
-    // The claimant withdraws its claim and will never send its request.
+    // Reports that the claim is withdrawn. The claimant must not send its request afterwards.
     void reportFreed(const KeyAndRequest& what) { update(what, true); }
-    // The claimant's request has run to its end.
+    // Reports that the request has completed.
     void reportEnded(const KeyAndRequest& what) { update(what, false); }
 
     void onVerdict(const Inner::Wire::ClaimVerdict&);
--- a/Source/ClassServing/Claims/ClaimFold.h
+++ b/Source/ClassServing/Claims/ClaimFold.h
@@ -11,15 +11,16 @@
 #include <unordered_set>
 #include <vector>
 
-// Claims of keys of requests that may not be repeated: the first claim of a key in log order wins.
+// Claims ensure that a request which must not be repeated runs at most once. The first claim of a key in log order
+// wins.
 namespace Brassladder::ClassServing::Claims {
 
 enum class Verdict : uint8_t {
-    Won, // The key is this request's.
-    Taken, // Another request holds the key; it may run, have run, or have been lost.
-    Ended, // Another request held the key, and it ran to its end.
-    Unclaimed, // Only for a read without a claim.
-    Unavailable, // The log did not confirm in time. The claim may still take effect.
+    Won, // This request holds the key.
+    Taken, // Another request holds the key. Whether that request has run is unknown.
+    Ended, // Another request holds the key and has completed.
+    Unclaimed, // No request holds the key. Only returned for a read without a claim.
+    Unavailable, // The log did not confirm the claim in time. The claim may still take effect.
 };
 
 std::string_view name(Verdict);
@@ -29,19 +30,20 @@
     std::string requestId;
 };
 
-// One record of a claim stream: what one claim router collected within an interval.
+// One record of a claim stream: the claims and updates that a claim router collected within one interval.
 struct ClaimBatch {
     std::vector<KeyAndRequest> claimed;
-    std::vector<KeyAndRequest> freed; // Withdrawn before anything was sent.
+    std::vector<KeyAndRequest> freed; // Withdrawn before the request was sent.
     std::vector<KeyAndRequest> ended;
     bool isEmpty() const { return claimed.empty() && freed.empty() && ended.empty(); }
 };
 
 std::string encodeBatch(const ClaimBatch&);
-// Empty when the text is not a batch.
+// Returns an empty batch if the text is not a valid batch. Skips malformed pairs.
 ClaimBatch decodeBatch(std::string_view);
 
-// The state of one partition's keys. A claim holds for the horizon, counted on the log's clock.
+// The state of the keys of one partition, built from the records of its claim stream. A claim expires after the
+// horizon, measured by the clock of the log. Not thread-safe.
 class ClaimFold {
 public:
     explicit ClaimFold(Common::Milliseconds horizon)
@@ -51,9 +53,9 @@
 
     void apply(int64_t timeMs, const ClaimBatch&);
     void expire(int64_t nowMs);
-    // How a request stands with a key: Won, Taken, Ended or Unclaimed.
+    // Returns the state of a key as seen by a request: Won, Taken, Ended or Unclaimed.
     Verdict verdict(const std::string& key, const std::string& requestId) const;
-    // The request that holds a key; empty when none does.
+    // Returns the id of the request that holds the key, or an empty string if there is none.
     std::string holder(const std::string& key) const;
     size_t size() const { return m_claims.size(); }
 
@@ -70,7 +72,8 @@
 
     Common::Milliseconds m_horizon;
     std::unordered_map<std::string, Claim> m_claims;
-    // A claim record that arrives after the claimant withdrew must not take the key.
+    // Ids of withdrawn requests. Their claims are ignored, because a resent claim may be recorded after the
+    // withdrawal.
     std::unordered_set<std::string> m_freedRequests;
     std::deque<Expiry> m_expiries;
 };
--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -12,9 +12,7 @@
 using Common::LogLevel;
 using namespace std::chrono_literals;
 
-// A long poll of a claim stream. Chosen, not measured.
 static constexpr Common::Milliseconds longPollTimeout = 1s;
-// After a failed read. Chosen, not measured.
 static constexpr Common::Milliseconds readRetryDelay = 100ms;
 
 ClaimRouter::ClaimRouter(BackingServices::LogService log, Options options)
@@ -71,7 +69,8 @@
     partition->updates.ended.push_back(std::move(what));
 }
 
-// Answers what the log has settled and what has waited too long.
+// Calls the handlers of claims that the log decides. Claims that have timed out receive Unavailable, and so do all
+// undecided claims while the log is unreachable.
 void ClaimRouter::resolvePending(Partition& partition)
 {
     std::vector<std::pair<VerdictHandler, Verdict>> answers;
@@ -125,8 +124,8 @@
 void ClaimRouter::applyPage(Partition& partition, const BackingServices::LogPage& page)
 {
     std::lock_guard lock(partition.mutex);
-    // A log that keeps less than the horizon could forget a claim that still holds, and one whose offsets went back
-    // has forgotten some: no claim is settled on either.
+    // If the retention is shorter than the horizon, the log may drop a claim that is still valid. If the next offset
+    // has decreased, the log has lost records. In both cases no verdict is returned.
     bool retentionTooShort = page.retentionMs && page.retentionMs < m_options.horizon.count();
     if (retentionTooShort || page.next < partition.nextOffset) {
         partition.caughtUp = false;
@@ -149,7 +148,8 @@
     partition.caughtUp = partition.nextOffset >= page.next;
 }
 
-// Writes what is pending, once an interval, until the log shows it.
+// Appends pending claims and updates once per interval. Claims stay pending, and are appended again, until their
+// record is read back from the log.
 void ClaimRouter::appendLoop(const std::shared_ptr<Partition>& partition)
 {
     static auto& s_appends
@@ -182,7 +182,8 @@
         partition->appending = false;
         if (!isError(appended))
             continue;
-        // The claims stay pending and go out again; so must the updates. All of them may safely stand twice.
+        // Claims stay pending and are appended again, so the updates are returned to the queue too. Duplicate records
+        // have no effect.
         auto& updates = partition->updates;
         updates.freed.insert(updates.freed.end(), batch.freed.begin(), batch.freed.end());
         updates.ended.insert(updates.ended.end(), batch.ended.begin(), batch.ended.end());
--- a/Source/ClassServing/Claims/ClaimRouter.h
+++ b/Source/ClassServing/Claims/ClaimRouter.h
@@ -9,21 +9,21 @@
 
 namespace Brassladder::ClassServing::Claims {
 
-// Settles the claims of the partitions that this router is the claim router of. Claims that arrive within one interval
-// are written as one record (group commit). A verdict is only ever read from the log: an append whose response was lost
-// is settled by the record itself, and a resend of it changes nothing. So two claim routers for one partition, or one
-// that was stopped and goes on, cannot give different verdicts. Safe to use from several threads.
+// Decides the claims of the partitions that this router is responsible for. Claims that arrive within one interval are
+// appended as one record (group commit). Verdicts are derived only from records that were read back from the log. Two
+// claim routers of one partition, or one that resumes after a pause, therefore return the same verdicts. If the
+// response to an append is lost, the record is still read from the log, and a repeated record has no effect.
+// Thread-safe.
 class ClaimRouter {
 public:
     using VerdictHandler = std::function<void(Verdict)>;
-    // How long a key holds: a day, in which callers repeat what they heard nothing of.
+    // Time after which a claim expires. Callers may retry a request with the same key within this time.
     static constexpr Common::Milliseconds defaultHorizon = std::chrono::hours(24);
-    // Between two appends to one partition: at most 20 a second, of the log's hundred (brief).
+    // Minimum interval between two appends to one partition; limits the rate of appends to the log.
     static constexpr Common::Milliseconds defaultInterval { 50 };
-    // For one claim, until it is answered Unavailable. Chosen, not measured.
+    // Time after which an undecided claim receives the verdict Unavailable.
     static constexpr Common::Milliseconds defaultTimeout { 1500 };
-    // A partition that was not asked for in this time is no longer followed; its state is read again when needed.
-    // Chosen, not measured.
+    // A partition without requests for this time is closed. Its state is read from the log again when it is needed.
     static constexpr Common::Milliseconds defaultIdleTime = std::chrono::minutes(2);
 
     struct Options {
@@ -35,7 +35,8 @@
 
     ClaimRouter(BackingServices::LogService, Options);
 
-    // Calls the hook at once, or later from another fiber. With `readOnly` nothing is claimed.
+    // Calls the handler before it returns, or later from another fiber. With `readOnly`, reads the state of the key
+    // without a claim.
     void request(uint32_t partition, KeyAndRequest, bool readOnly, const VerdictHandler&);
     void markFreed(uint32_t partition, KeyAndRequest);
     void markEnded(uint32_t partition, KeyAndRequest);
@@ -55,9 +56,10 @@
         bool caughtUp { false };
         bool reachable { true };
         std::vector<Pending> pending;
-        ClaimBatch updates; // Freed and ended, to go out with the next append.
-        bool appending { false }; // Updates of a failed append come back.
-        // Requests whose claims are being freed: until the log shows it, their keys are neither theirs nor taken.
+        ClaimBatch updates; // Freed and ended requests for the next append.
+        bool appending { false }; // An append is in progress. Its updates return to `updates` if it fails.
+        // Requests whose withdrawal is not read back from the log yet. No verdict is returned for their keys until
+        // then.
         std::unordered_set<std::string> freeingRequests;
         Common::TimePoint lastUsed;
         explicit Partition(Common::Milliseconds horizon)
--- a/Source/UnitTests/ClassServing/Claims/ClaimFoldTest.cpp
+++ b/Source/UnitTests/ClassServing/Claims/ClaimFoldTest.cpp
@@ -32,7 +32,7 @@
     ClaimFold fold(1h);
     fold.apply(0, { { { "k", "first" } }, {}, {} });
     fold.apply(1, { {}, { { "k", "first" } }, {} });
-    // A resend of the first claim, which the log took late.
+    // A resent claim of the first request, recorded after its withdrawal.
     fold.apply(2, { { { "k", "first" } }, {}, {} });
     EXPECT_EQ(fold.verdict("k", "second"), Verdict::Unclaimed);
     fold.apply(3, { { { "k", "second" } }, {}, {} });
--- a/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
+++ b/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
@@ -12,8 +12,8 @@
 using namespace std::chrono_literals;
 using BackingServices::LogPage;
 
-// While a withdrawal is being appended, its partition is in use however long that takes: when the append fails, the
-// withdrawal goes out again.
+// Guards against a partition that is closed as idle during a slow append, which would lose the withdrawal if the
+// append fails.
 TEST(ClaimRouterTest, WithdrawalIsAppendedAgainAfterAFailedAppend)
 {
     // Fibers of the router outlive the test.
@@ -26,7 +26,7 @@
     service.append = [](std::string_view, std::string_view) -> Common::Result<uint64_t> {
         if (++s_log.appends > 1)
             return uint64_t { 1 };
-        // Fails once the partition's follower has had many looks at it, or has given it up.
+        // Fails after the read loop has checked the partition many times, or has closed it.
         int before = s_log.reads;
         auto limit = Common::now() + 300ms;
         while (s_log.reads < before + 20 && Common::now() < limit)
@@ -49,7 +49,7 @@
     auto limit = Common::now() + 3s;
     while (s_log.appends < 2 && Common::now() < limit)
         std::this_thread::sleep_for(1ms);
-    EXPECT_EQ(s_log.appends, 2) << "the key stays taken for the whole horizon";
+    EXPECT_EQ(s_log.appends, 2) << "the withdrawal is lost, so the key stays taken until the horizon";
 }
 
 } // namespace Brassladder::ClassServing::Claims
