--- a/Source/ClassServing/Config/Fold.cpp
+++ b/Source/ClassServing/Config/Fold.cpp
@@ -61,7 +61,7 @@
     auto found = m_files.find(publish.file);
     uint64_t version = found == m_files.end() ? 0 : found->second.version;
     if (version && found->second.publishId == publish.publishId) {
-        // The accepted record itself, read after a peer had sent the file, or a resend of it.
+        // Either the accepted record itself, read after a peer sent the file, or a resend of it.
         if (offset == version)
             found->second.recordedMs = timeMs;
         return FoldVerdict::Repeated;
--- a/Source/ClassServing/Config/Fold.h
+++ b/Source/ClassServing/Config/Fold.h
@@ -13,17 +13,17 @@
 
 namespace Brassladder::ClassServing::Config {
 
-// An accepted file. Its version is the offset of the record that published it, so versions rise with log order.
+// An accepted file. Its version is the offset of the record that published it, so versions increase in log order.
 struct AcceptedFile {
     uint64_t version { 0 };
     std::string publishId;
     std::string digest; // SHA-256 of the content.
     std::string content;
-    int64_t recordedMs { 0 }; // The log's time of the youngest record that holds this file.
+    int64_t recordedMs { 0 }; // Log time of the newest record that contains this version.
     bool operator==(const AcceptedFile&) const = default;
 };
 
-// An operator's publish of a file, valid only against the version that it was written for.
+// A file that an operator publishes. It is accepted only if `base` is the version in force.
 struct PublishRecord {
     std::string file;
     uint64_t base { 0 }; // 0: the file does not exist yet.
@@ -32,7 +32,7 @@
     std::string content;
 };
 
-// An accepted file written anew, so that it outlives the log's retention.
+// A copy of an accepted file, appended before the original record exceeds the retention of the log.
 struct SnapshotRecord {
     std::string file;
     AcceptedFile state;
@@ -41,22 +41,24 @@
 using ConfigRecord = std::variant<PublishRecord, SnapshotRecord>;
 
 std::string encodeRecord(const ConfigRecord&);
-// None when the text is not a record; every reader skips such records.
+// Returns nullopt if the text is not a valid record. Every reader skips such records.
 std::optional<ConfigRecord> decodeRecord(std::string_view);
 
 enum class FoldVerdict { Accepted, Conflict, Repeated, Malformed, Snapshot };
 
-// The state that the records of the stream add up to. The rule does not depend on the program's version: a publish is
-// accepted if and only if its base is the version in force and its publish id is not the accepted one.
+// The configuration that results from the records of the stream. All program versions must apply the same rule: a
+// publish is accepted if and only if its base is the version in force and its publish id is not the accepted one. Not
+// thread-safe.
 class Fold {
 public:
     FoldVerdict apply(uint64_t offset, int64_t timeMs, std::string_view data);
-    // Adopts a file of a peer when its version is higher and its digest right.
+    // Adopts a file from a peer if its version is higher and its digest matches its content. Returns whether it was
+    // adopted.
     bool merge(const std::string& file, const AcceptedFile&);
 
     const std::map<std::string, AcceptedFile>& files() const { return m_files; }
     uint64_t versionOf(const std::string& file) const;
-    // Equal for equal sets of versions.
+    // Returns a hash of all file names and versions, independent of their order.
     uint64_t digest() const;
 
 private:
--- a/Source/ClassServing/Config/Model.cpp
+++ b/Source/ClassServing/Config/Model.cpp
@@ -10,16 +10,15 @@
 using Common::Json;
 using Common::Milliseconds;
 
-// Bounds: a day is the longest that an overnight class may wait; claims are kept for longer than that.
+// Upper bound of all configured durations; long enough for classes that run overnight.
 static constexpr int64_t maxDurationMs = 24 * 3600 * 1000;
 static constexpr size_t digestHexLength = 64; // SHA-256 in hexadecimal.
-// A class may use guaranteed slots after this long without a slot, unless its file says otherwise. Chosen, not
-// measured.
+// Default of `guarantee_after_ms`.
 static constexpr int64_t defaultGuaranteeAfterMs = 30'000;
 
 namespace {
 
-// Reads the members of one object and collects what is wrong with them.
+// Reads the members of a JSON object and collects all faults.
 class ObjectReader {
 public:
     ObjectReader(const Json& object, std::string pointer, std::vector<Fault>& faults)
@@ -37,7 +36,7 @@
         if (!value)
             return {};
         if (!value->is_string() || value->get_ref<const std::string&>().empty())
-            return fault(key, "expected a string that is not empty"), std::string();
+            return fault(key, "expected a non-empty string"), std::string();
         return value->get<std::string>();
     }
 
@@ -82,7 +81,7 @@
         bool fits = value->is_array() && !value->empty();
         fits = fits && std::all_of(value->begin(), value->end(), [](const Json& item) { return item.is_string(); });
         if (!fits)
-            return fault(key, "expected an array of strings that is not empty"), list;
+            return fault(key, "expected a non-empty array of strings"), list;
         return value->get<std::vector<std::string>>();
     }
 
@@ -96,7 +95,7 @@
         return value->get<std::vector<Json>>();
     }
 
-    // To be called last: members that were not read by then are unknown.
+    // Reports members that were not read. Must be called last.
     void rejectUnknownMembers()
     {
         if (!m_object.is_object())
@@ -163,12 +162,12 @@
     result.policy.preemptible = reader.boolean("preemptible");
     result.noRepeat = reader.boolean("no_repeat");
     result.vouchedAttempts = reader.boolean("vouched_attempts");
-    result.maxAttempts = static_cast<uint32_t>(reader.integer("max_attempts", "tries", 1, 10, 3));
+    result.maxAttempts = static_cast<uint32_t>(reader.integer("max_attempts", "attempts", 1, 10, 3));
     reader.rejectUnknownMembers();
     if (result.noRepeat && result.policy.preemptible)
-        reader.fault("preemptible", "a request that may not be repeated is never preempted");
+        reader.fault("preemptible", "cannot be combined with no_repeat");
     if (result.vouchedAttempts && !result.noRepeat)
-        reader.fault("vouched_attempts", "only for classes with no_repeat");
+        reader.fault("vouched_attempts", "requires no_repeat");
     return result;
 }
 
@@ -184,14 +183,14 @@
     workspace.weight = static_cast<double>(reader.integer("weight", "shares", 1, 1000, 1));
     reader.rejectUnknownMembers();
     if (std::string(workspacePrefix) + workspace.name != name)
-        reader.fault("name", "differs from the file's name");
+        reader.fault("name", "differs from NAME in the file name workspace/NAME");
     for (const auto& digest : workspace.keyDigests) {
         if (digest.size() != digestHexLength || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
             reader.fault("key_digests", "expected SHA-256 digests in lower-case hexadecimal");
     }
     if (std::find(workspace.classes.begin(), workspace.classes.end(), workspace.defaultClass)
         == workspace.classes.end())
-        reader.fault("default_class", "not among the classes");
+        reader.fault("default_class", "not listed in classes");
     return file;
 }
 
@@ -214,7 +213,7 @@
     std::set<std::string> names;
     for (const auto& item : list) {
         if (!names.insert(nameOf(item)).second)
-            faults.push_back({ "/" + std::string(key), "the name " + nameOf(item) + " stands twice" });
+            faults.push_back({ "/" + std::string(key), "the name " + nameOf(item) + " is used more than once" });
     }
 }
 
@@ -233,7 +232,7 @@
     } else if (name.starts_with(workspacePrefix) && name.size() > workspacePrefix.size()) {
         file = readWorkspace(name, json, faults);
     } else {
-        faults.push_back({ "", "a file is named pools, classes or workspace/NAME" });
+        faults.push_back({ "", "unknown file name: expected pools, classes or workspace/NAME" });
     }
     if (!faults.empty())
         return faults;
@@ -242,7 +241,7 @@
 
 namespace {
 
-// What the other files may refer to.
+// Names that other files may refer to.
 struct KnownNames {
     std::set<std::string> pools;
     std::set<std::string> classes;
@@ -272,7 +271,7 @@
     if (const auto* classesFile = std::get_if<ClassesFile>(&file)) {
         for (const auto& each : classesFile->classes) {
             if (!known.pools.contains(each.pool))
-                faults.push_back({ name, "class " + each.policy.name + " names the unknown pool " + each.pool });
+                faults.push_back({ name, "class " + each.policy.name + " refers to the unknown pool " + each.pool });
         }
     }
     if (const auto* workspaceFile = std::get_if<WorkspaceFile>(&file)) {
--- a/Source/ClassServing/Config/Model.h
+++ b/Source/ClassServing/Config/Model.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-// What operators declare. A file is the unit: `pools`, `classes` and one `workspace/NAME` for each workspace.
+// The configuration that operators publish, in files: `pools`, `classes` and one `workspace/NAME` per workspace.
 namespace Brassladder::ClassServing::Config {
 
 enum class PoolKind { Engine, Service };
@@ -20,15 +20,16 @@
     std::string name;
     PoolKind kind { PoolKind::Engine };
     uint32_t slotsPerUpstream { 8 };
-    uint32_t shardSize { 16 }; // Upstreams that one home schedules.
-    uint32_t guaranteedSlots { 1 }; // Of each shard, for classes that have waited past their bound.
+    uint32_t shardSize { 16 }; // Maximum number of upstreams in a shard.
+    uint32_t guaranteedSlots { 1 }; // Per shard, for classes whose requests waited longer than guaranteeAfter.
 };
 
 struct RequestClass {
     Scheduling::ClassPolicy policy;
     std::string pool;
     bool noRepeat { false };
-    // Each request with an Idempotency-Key states which attempt it is, and only the first may run while the log is out.
+    // Each request with an Idempotency-Key states its attempt number. Only the first attempt may run while the log is
+    // unavailable.
     bool vouchedAttempts { false };
     uint32_t maxAttempts { 3 };
 };
@@ -37,7 +38,7 @@
     std::string name;
     std::vector<std::string> keyDigests; // SHA-256 of the keys, hexadecimal.
     std::string defaultClass;
-    std::vector<std::string> classes; // Those it may use.
+    std::vector<std::string> classes; // The classes that the workspace may use.
     double weight { 1 };
 };
 
@@ -57,10 +58,10 @@
 inline constexpr std::string_view classesName = "classes";
 inline constexpr std::string_view workspacePrefix = "workspace/";
 
-// Reads one file; all faults in one go, each with its JSON pointer.
+// Parses one file. Returns all faults at once, each with its JSON pointer.
 std::variant<File, std::vector<Common::Fault>> parseFile(std::string_view name, const Common::Json&);
 
-// Checks that the files agree: classes name pools that exist, workspaces name classes that exist.
+// Checks that each class refers to an existing pool and each workspace refers to existing classes.
 std::vector<Common::Fault> checkCrossReferences(const std::map<std::string, File>&);
 
 } // namespace Brassladder::ClassServing::Config
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -12,16 +12,12 @@
 using Common::LogLevel;
 using namespace std::chrono_literals;
 
-// A long poll of the configuration stream: an idle router reads four times a minute, and notices a dead connection.
-// Chosen, not measured.
+// Upper bound of a long poll, which also bounds the time until a broken connection is detected.
 static constexpr Common::Milliseconds longPollTimeout = 15s;
-// A snapshot is due at half of the retention, so a read never waits for more than this part of it. Chosen, not
-// measured.
+// Minimum number of reads within the retention of the log. Due snapshots are checked after each read.
 static constexpr int readsPerRetention = 8;
-// After a failed read. Chosen, not measured.
 static constexpr Common::Milliseconds readRetryDelay = 250ms;
-// How long a new instance waits for its peers before it trusts the log alone, and how often it checks meanwhile.
-// Chosen, not measured: the default silence after which a peer counts as gone.
+// Time that a new instance waits for the configuration of a peer before it reads the log.
 static constexpr Common::Milliseconds peerTimeout = 1500ms;
 static constexpr Common::Milliseconds peerPollInterval = 50ms;
 
@@ -61,8 +57,8 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        // Offsets only grow. A smaller one means that the log was replaced: the configuration in force stays, and the
-        // error log asks for an operator.
+        // Offsets never decrease, so a smaller one means that the log was replaced. The configuration stays in force
+        // until an operator intervenes.
         if (page.next < m_next) {
             if (!std::exchange(m_logReplaced, true))
                 Common::log(LogLevel::Error, "config", "log.replaced",
@@ -100,8 +96,8 @@
     s_changes.Increment();
 }
 
-// Any router writes a snapshot of a file whose youngest record has passed half of the retention. The jitter by file and
-// router spreads the writers over a quarter of it, and those that come later see the first one's record.
+// Appends a snapshot of each file whose newest record is older than half of the retention. A random margin of up to a
+// quarter of the retention spreads the routers, so most of them read the snapshot of another router first.
 void Store::writeDueSnapshots(const BackingServices::LogPage& page)
 {
     if (!page.retentionMs || m_logReplaced)
--- a/Source/ClassServing/Config/Store.h
+++ b/Source/ClassServing/Config/Store.h
@@ -10,8 +10,8 @@
 
 namespace Brassladder::ClassServing::Config {
 
-// Owns the configuration in force: follows the log, fetches from peers what is missing, writes snapshots before the
-// log's retention ends, and publishes the compiled table. Safe to use from several threads.
+// Owns the configuration in force. It reads the configuration stream of the log, requests missing files from peers,
+// appends snapshots before the retention of the log ends, and publishes the compiled table. Thread-safe.
 class Store {
 public:
     struct Hooks {
@@ -21,17 +21,17 @@
 
     Store(BackingServices::LogService, Hooks);
 
-    // Follows the log until the process ends; to be run in a fiber of its own. Before it reads the log it asks the
-    // peers that `peers` names, so that a log that has lost old records does not mislead a new instance.
+    // Reads the log until the process ends; must run in a fiber of its own. First requests the files of the peers that
+    // `peers` returns, because a log that has lost old records is not sufficient for a new instance.
     void follow(const std::function<std::vector<std::string>()>& peers);
 
     std::shared_ptr<const Table> table() const { return m_table.load(); }
-    // True once the router has some configuration and has caught up with the log or a peer.
+    // Returns true as soon as the router has received a configuration file from the log or a peer.
     bool isReady() const { return m_ready; }
     uint64_t digest() const;
     Common::Json status() const;
 
-    // A peer's heartbeat shows another set of versions: requests from it what differs.
+    // Requests newer files from the peer if `digest`, from the peer's heartbeat, differs from the router's own digest.
     void requestIfDifferent(const std::string& peer, uint64_t digest);
     void onRequest(const std::string& peer, const Inner::Wire::ConfigRequest&);
     void onState(const Inner::Wire::ConfigState&);
--- a/Source/ClassServing/Config/Table.h
+++ b/Source/ClassServing/Config/Table.h
@@ -8,29 +8,30 @@
 
 namespace Brassladder::ClassServing::Config {
 
-// The configuration in force, compiled for the path of a request. Immutable; published by read-copy-update.
+// The configuration in force, indexed for lookups by requests. Immutable; published by read-copy-update.
 struct Table {
     std::map<std::string, Pool, std::less<>> pools;
-    // Shared, since schedulers hold on to policies across changes.
+    // Shared, because schedulers keep references to policies after a configuration change.
     std::map<std::string, std::shared_ptr<const RequestClass>, std::less<>> classes;
     std::map<std::string, Workspace, std::less<>> workspaces;
-    std::unordered_map<std::string, const Workspace*> byKeyDigest; // Into `workspaces`.
+    std::unordered_map<std::string, const Workspace*> byKeyDigest; // Points into `workspaces`.
     std::map<std::string, uint64_t> versions;
 
     const Pool* pool(std::string_view name) const;
     std::shared_ptr<const RequestClass> requestClass(std::string_view name) const;
-    // The workspace that a caller's key belongs to. The key's digest is what is looked up, so the time of the search
-    // tells nothing about the key; the digest found is compared in constant time.
+    // Returns the workspace of a caller's API key, or nullptr. Looks up the digest of the key and compares it in
+    // constant time, so the duration does not reveal the key.
     const Workspace* workspaceOfKey(std::string_view key) const;
 };
 
-// The outcome of compiling: files that do not compile are held back, with the last good content in their place.
+// A compiled table. `heldBack` lists the faults of invalid files; the last valid version of these files stays in
+// force.
 struct CompileResult {
     std::shared_ptr<const Table> table;
     std::map<std::string, std::vector<Common::Fault>> heldBack;
 };
 
-// Compiles files one by one and remembers the last good one of each.
+// Compiles the files of a configuration and keeps the last valid version of each. Not thread-safe.
 class Compiler {
 public:
     CompileResult compile(const Fold&);
@@ -39,7 +40,7 @@
     struct ValidFile {
         uint64_t version { 0 };
         File file;
-        // Kept from one table to the next while the file stays, since schedulers compare and hold policies by address.
+        // Shared by all tables until the file changes, because schedulers keep pointers to policies.
         std::vector<std::shared_ptr<const RequestClass>> classes;
     };
     static ValidFile makeValidFile(uint64_t version, File);
--- a/Source/UnitTests/ClassServing/Config/FoldTest.cpp
+++ b/Source/UnitTests/ClassServing/Config/FoldTest.cpp
@@ -59,8 +59,8 @@
         EXPECT_EQ(fold.apply(1, 0, text), FoldVerdict::Malformed) << text;
 }
 
-// Any history of publishes and snapshots: versions only rise, and a reader that begins with a peer's state and reads
-// the log from any offset on ends where one ends that has read it all.
+// For any history of publishes and snapshots, versions never decrease. A reader that starts with the state of a peer
+// and reads the log from an earlier offset reaches the same state as a reader of the whole log.
 TEST(FoldTest, VersionsIncreaseAndLateReadersConverge)
 {
     bool holds = rc::check("fold", [] {
--- a/Source/UnitTests/ClassServing/Config/ModelTest.cpp
+++ b/Source/UnitTests/ClassServing/Config/ModelTest.cpp
@@ -12,7 +12,7 @@
 struct InvalidFile {
     const char* name;
     const char* text;
-    std::vector<std::string> pointers; // All that must be named, in one go.
+    std::vector<std::string> pointers; // Faults that must be reported by one call.
 };
 
 class InvalidFileTest : public testing::TestWithParam<InvalidFile> { };
