--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -8,13 +8,11 @@
 using Inner::Wire::Item;
 using namespace std::chrono_literals;
 
-// A request of the highest tier suspects its home after this long without a response. Chosen, not measured: two
-// heartbeats.
+// A home that does not respond to a request of the highest tier within this time is reported as unresponsive.
 static constexpr Common::Milliseconds homeResponseTimeout = 500ms;
-// A home answers every request by its deadline; this long after it, no home is there to answer. Chosen, not measured: a
-// lost home is replaced within about two seconds.
+// A home responds to each request by its deadline. The additional time covers the replacement of a lost home.
 static constexpr Common::Milliseconds homeReplacementGrace = 2s;
-// A request that waits is sent to its home again after this, in case the home forgot this router. Chosen, not measured.
+// Waiting requests are resent at this interval, in case the home dropped the state of this router.
 static constexpr Common::Duration waitingResendInterval = 2s;
 
 void RequestSignal::setOnPreempt(std::function<void()> hook)
@@ -30,7 +28,7 @@
     std::lock_guard lock(m_mutex);
     if (sequence != m_sequence)
         return;
-    // The home may want the slot back before the request's fiber has begun with it.
+    // The home may preempt the request before its fiber has set the hook.
     if (m_onPreempt)
         m_onPreempt();
     else
@@ -114,7 +112,8 @@
     std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
-        // Under the lock: a view that changes now either is the one read here or finds this request.
+        // Read under the lock: if the view changes concurrently, either it is already read here or onViewChanged finds
+        // this request.
         home = homeOf(*m_hooks.view(), request.shard);
         sequence = ++m_lastSequence;
         auto& pending = m_pending[sequence];
@@ -122,7 +121,7 @@
         ++m_outstanding[request.shard];
         item = askItem(sequence, pending, now);
     }
-    // Before any home can have heard of it.
+    // Must precede the send, because a local home may respond during it.
     signal->beginWait(sequence);
     m_hooks.send(home, std::move(item));
     return sequence;
@@ -140,7 +139,7 @@
         if (signal.m_changed.wait_until(lock, timeout, settled))
             break;
         if (Common::now() < deadline) {
-            // The home may have confirmed meanwhile that the request is queued; then it waits on.
+            // The home may have confirmed meanwhile that the request is queued.
             if (signal.m_queued)
                 continue;
             lock.unlock();
@@ -148,16 +147,16 @@
             lock.lock();
             continue;
         }
-        // Paused work has no deadline: it waits as long as its home answers for the upstream.
+        // A paused request has no deadline; it waits until its home grants or refuses it.
         if (!request.pinned.empty()) {
             deadline = Common::now() + homeReplacementGrace;
             continue;
         }
-        return Common::makeError(ErrorKind::WaitExpired, "no slot came free in time");
+        return Common::makeError(ErrorKind::WaitExpired, "no home granted or refused a slot in time");
     }
     if (signal.m_outcome)
         return *signal.m_outcome;
-    return Common::makeError(ErrorKind::CallerGone, "the caller went away while it waited");
+    return Common::makeError(ErrorKind::CallerGone, "the caller disconnected while the request waited for a slot");
 }
 
 std::string GrantClient::homeOfPending(uint64_t sequence) const
@@ -213,8 +212,8 @@
     {
         std::lock_guard lock(m_mutex);
         auto found = m_pending.find(grant.sequence());
-        // A grant of a former home, or for a request that has ended, is void. The home learns it from the release or
-        // withdrawal; here the grant must only not be used.
+        // Ignores a grant from a previous home or for a request that has ended. The release that was sent to that home
+        // frees the slot.
         bool current = found != m_pending.end() && found->second.home == home;
         if (!current || !found->second.upstream.empty())
             return;
@@ -237,7 +236,7 @@
     }
     if (refusal.kind() >= Common::errorTable().size())
         return;
-    auto error = Common::makeError(static_cast<ErrorKind>(refusal.kind()), "refused by the scheduler");
+    auto error = Common::makeError(static_cast<ErrorKind>(refusal.kind()), "the scheduler refused the request");
     error.retryAfter = Common::Milliseconds(refusal.retry_after_ms());
     deliverOutcome(signal, std::move(error));
 }
@@ -286,7 +285,7 @@
             auto place = moved.find(pending.request.shard);
             if (place == moved.end())
                 continue;
-            // The old home, if it is alive, forgets the request; the new one gets it.
+            // Removes the request from the previous home, which may still be alive, and sends it to the new home.
             if (pending.home != place->second)
                 messages.emplace_back(pending.home,
                     releaseItem(sequence, pending.request.shard, { {}, Scheduling::SlotOutcome::Cancelled, 0, {} }));
@@ -299,7 +298,7 @@
         m_hooks.send(peer, std::move(item));
 }
 
-// One request at a time, so that those that begin and end meanwhile wait for one message only.
+// Locks m_sendOrderMutex per request, so requests that start or end concurrently wait for only one message.
 void GrantClient::resendAsk(const std::string& home, uint64_t sequence)
 {
     auto now = Common::now();
@@ -324,7 +323,7 @@
         reset.mutable_reset();
         m_hooks.send(home, std::move(reset));
     }
-    // Listed after the reset: what begins later is asked for after it anyway.
+    // Collected after the reset is sent. Requests that start later are sent after the reset anyway.
     std::vector<uint64_t> sequences;
     {
         std::lock_guard lock(m_mutex);
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -12,7 +12,7 @@
 
 namespace Brassladder::ClassServing::Dispatch {
 
-// What a request needs a slot for.
+// A request for a slot of a shard.
 struct SlotRequest {
     ShardKey shard;
     std::shared_ptr<const Config::RequestClass> requestClass;
@@ -23,7 +23,7 @@
     std::string avoid;
 };
 
-// A slot that was granted, until it is released.
+// A granted slot. Its owner must pass it to GrantClient::release.
 struct Slot {
     uint64_t sequence { 0 };
     std::string upstream;
@@ -32,11 +32,12 @@
     explicit operator bool() const { return sequence; }
 };
 
-// Ends a request's wait for a slot when its caller leaves, and delivers a preemption to a running request. Shared
-// between the request's fiber and the threads that receive messages.
+// Cancels the wait for a slot when the caller disconnects, and delivers a preemption to a running request. Shared by
+// the request's fiber and the threads that receive messages. Thread-safe.
 class RequestSignal {
 public:
-    // A preemption that came since the slot was granted is delivered at once. The hook must not call back.
+    // If a preemption has arrived since the slot was granted, calls the hook before it returns. The hook must not call
+    // this object, because a lock is held.
     void setOnPreempt(std::function<void()> hook);
     void preempt(uint64_t sequence);
     void cancel();
@@ -44,28 +45,29 @@
 
 private:
     friend class GrantClient;
-    // Forgets what an earlier wait of the same request left.
+    // Resets the state of an earlier wait of the same request.
     void beginWait(uint64_t sequence);
 
-    // A thread mutex, not a fiber mutex: homes call with their own locks held and must not be suspended.
+    // A thread mutex, not a fiber mutex, because homes call with their locks held and must not be suspended.
     std::mutex m_mutex;
     boost::fibers::condition_variable_any m_changed;
     std::optional<Common::Result<Slot>> m_outcome;
     bool m_queued { false };
-    uint64_t m_sequence { 0 }; // Of the wait, and of the slot that came of it.
-    bool m_preemptionPending { false }; // And nobody was told yet.
+    uint64_t m_sequence { 0 }; // Of the current wait and of the slot granted for it.
+    bool m_preemptionPending { false }; // A preemption arrived before the hook was set.
     std::atomic<bool> m_cancelled { false };
     std::function<void()> m_onPreempt;
 };
 
-// The entry's side of granting. Owns, for each request of this router, what it asked of which home, and sends it again
-// to the next home when one is lost, so that the homes' state can always be rebuilt. Safe to use from several threads.
+// Obtains slots from homes for the requests of this router, the entry. It owns the state of each waiting or running
+// request. When the home of a shard changes or reconnects, it resends this state, from which the home rebuilds its
+// own. Thread-safe.
 class GrantClient {
 public:
     struct Hooks {
         std::function<void(const std::string& peer, Inner::Wire::Item)> send;
         std::function<std::shared_ptr<const Membership::View>()> view;
-        // A home did not answer the highest tier and sends nothing else either.
+        // The home did not respond to a request of the highest tier in time.
         std::function<void(const std::string& home)> onHomeUnresponsive;
     };
 
@@ -74,8 +76,8 @@
     {
     }
 
-    // Suspends the calling fiber until a slot is granted or the request is refused, withdrawn (CallerGone) or, as a
-    // last resort when no home answers, expired (WaitExpired).
+    // Suspends the calling fiber until a slot is granted or the request is refused. Returns CallerGone if the request
+    // is cancelled, or WaitExpired if no home responds until some time after the deadline.
     Common::Result<Slot> acquire(const SlotRequest&, const std::shared_ptr<RequestSignal>&);
     void release(const Slot&, const ShardKey&, const Scheduling::Release&);
 
@@ -84,9 +86,10 @@
     void onPreemption(const std::string& home, const Inner::Wire::Preemption&);
     void onQueued(const Inner::Wire::Queued&);
     void onViewChanged(const Membership::View&);
-    // A new connection to a home is open: sends everything again.
+    // Called when a new connection to a home is open. Resends all requests of that home.
     void onConnected(const std::string& home);
-    // Sends requests that have waited long again, in case the home forgot this router while it was silent.
+    // Resends requests that are still waiting, in case the home dropped the state of this router. Must be called
+    // periodically.
     void resendWaiting();
 
     size_t outstanding(const ShardKey&) const;
@@ -96,14 +99,14 @@
         SlotRequest request;
         std::string home;
         std::shared_ptr<RequestSignal> signal;
-        std::string upstream; // Empty while it waits.
+        std::string upstream; // Empty while the request waits.
         bool guaranteed { false };
         Common::TimePoint lastSent;
     };
 
     Inner::Wire::Item askItem(uint64_t sequence, const Pending&, Common::TimePoint now) const;
     uint64_t sendAsk(const SlotRequest&, const std::shared_ptr<RequestSignal>&);
-    // Nothing is sent for a request that has ended or whose home has changed.
+    // Sends nothing if the request has ended or its home has changed.
     void resendAsk(const std::string& home, uint64_t sequence);
     Common::Result<Slot> awaitOutcome(uint64_t sequence, const SlotRequest&, RequestSignal&);
     std::string homeOfPending(uint64_t sequence) const;
@@ -111,9 +114,9 @@
     void deliverOutcome(const std::shared_ptr<RequestSignal>&, Common::Result<Slot>);
 
     Hooks m_hooks;
-    // Held over each change and the message that tells a home of it, so that messages leave in the order of the
-    // changes: a home that heard of a request after its release would hold a slot for nobody. Locked before m_mutex;
-    // sending does not suspend, and what a home does at once in response takes only the locks below.
+    // Held during a state change and the send of its message, so messages are sent in the order of the changes. A home
+    // that received a request after its release would never free the slot. Locked before m_mutex. Sending does not
+    // suspend. A local home may respond during the send; the handlers of its responses must not lock this mutex.
     std::mutex m_sendOrderMutex;
     mutable std::mutex m_mutex;
     std::map<uint64_t, Pending> m_pending;
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -62,7 +62,8 @@
     auto fresh = std::make_shared<Shard>(Scheduling::ShardOptions { .guaranteedSlots = pool->guaranteedSlots });
     fresh->key = key;
     fresh->scheduler.setCollectionEnd(Common::now() + collectionTime);
-    // Locked before others can find it, and filled once they can: a change of the view is either seen here or finds it.
+    // The shard is locked before it is inserted, and its upstreams are read after that. If the view changes
+    // concurrently, either it is already read here or onViewChanged finds the shard.
     std::lock_guard filling(fresh->mutex);
     {
         std::lock_guard lock(m_mutex);
@@ -121,7 +122,7 @@
     Scheduling::ShardScheduler::Decisions decisions;
     shard->scheduler.ask(ask, now, decisions);
     decideLocked(*shard, decisions);
-    // Confirms to the highest tier at once that its home is alive, so that it does not look for another.
+    // Confirms the highest tier at once. Without a response, the entry would report this home as unresponsive.
     bool granted = shard->granted.contains(ask.id);
     if (!granted && requestClass->policy.tier == 0) {
         Item item;
@@ -154,7 +155,7 @@
     uint64_t number = entryNumber(sender);
     std::set<uint64_t> gone { number };
     {
-        // Earlier incarnations of the same instance are gone for good.
+        // Includes earlier incarnations of the same instance, which have ended.
         std::lock_guard lock(m_mutex);
         for (const auto& [other, name] : m_entries) {
             if (name == sender.id)
@@ -206,11 +207,12 @@
     }
     for (const auto& shard : shards()) {
         std::lock_guard lock(shard->mutex);
-        // Under the lock: of two changes on two threads, the one that is applied last has read the later view.
+        // The view is read under the lock, so of two concurrent changes the one applied last uses the later view.
         shard->scheduler.setUpstreams(upstreamsOf(shard->key));
         if (owned.contains(shard->key) && !before.contains(shard->key))
             shard->scheduler.setCollectionEnd(Common::now() + collectionTime);
-        // Requests of an entry that is no longer alive run on by themselves; their slots are free for others.
+        // Drops the requests of entries that are no longer alive and frees their slots, although engines may still
+        // process these requests.
         std::set<uint64_t> dead;
         for (const auto& [id, granted] : shard->granted) {
             if (granted.entry != m_self && !std::binary_search(view.routers.begin(), view.routers.end(), granted.entry))
--- a/Source/ClassServing/Dispatch/Home.h
+++ b/Source/ClassServing/Dispatch/Home.h
@@ -11,10 +11,10 @@
 
 namespace Brassladder::ClassServing::Dispatch {
 
-// Schedules the shards that this router is the home of, by Scheduling/ShardScheduler.h. Its state is soft: when it is
-// lost, the entries report to the next home what waits and what runs. It accepts every request, also when its own view
-// names another home: two homes for a moment admit too much at worst, which the engines' priorities absorb. Safe to use
-// from several threads.
+// Schedules the shards whose home is this router, with one ShardScheduler each. Its state is soft: after a loss, the
+// entries report their waiting and running requests to the next home. A home accepts each request, even if its own
+// view names another home. Two homes may therefore briefly grant too many slots; the priorities of the engines
+// compensate for that. Thread-safe.
 class Home {
 public:
     struct Hooks {
@@ -22,8 +22,8 @@
         std::function<std::shared_ptr<const Membership::View>()> view;
         std::function<std::shared_ptr<const Config::Table>()> table;
     };
-    // After a shard moved here, lower tiers wait this long for the entries to report what runs. Chosen, not measured:
-    // one heartbeat and a round trip.
+    // After a shard has moved to this home, lower tiers are not granted for this time, while the entries report their
+    // running requests.
     static constexpr Common::Milliseconds collectionTime { 300 };
 
     Home(std::string self, Hooks);
@@ -31,14 +31,14 @@
     void onAsk(const Inner::Mesh::Sender&, const Inner::Wire::Ask&);
     void onRelease(const Inner::Mesh::Sender&, const Inner::Wire::Release&);
     void onReset(const Inner::Mesh::Sender&, const Inner::Wire::Reset&);
-    // Sends an entry its grants again, since its connection is new.
+    // Called when a new connection to an entry is open. Resends the grants of that entry.
     void onEntryConnected(const std::string& entry);
     void onViewChanged(const Membership::View&);
     void report(const ShardKey&, std::string_view upstream, const Scheduling::LoadReport&);
-    // Expires, preempts and grants where only time decides. To be called every few milliseconds.
+    // Makes the decisions that depend only on time. Must be called every few milliseconds.
     void tick();
 
-    // The shards whose home this router is, in its own view, with their upstreams.
+    // Returns the shards whose home is this router in its own view, with their upstreams.
     std::vector<std::pair<ShardKey, std::vector<Membership::Upstream>>> ownShards() const;
     Common::Json status() const;
 
@@ -54,7 +54,7 @@
         std::mutex mutex;
         Scheduling::ShardScheduler scheduler;
         std::unordered_map<Scheduling::AskId, GrantedSlot> granted;
-        // Policies that the scheduler still refers to; cleared when it holds nothing.
+        // Keeps the policies alive that the scheduler refers to. Cleared when the scheduler has no requests.
         std::set<std::shared_ptr<const Config::RequestClass>> policies;
         explicit Shard(Scheduling::ShardOptions options)
             : scheduler(options)
--- a/Source/ClassServing/Dispatch/Sharding.h
+++ b/Source/ClassServing/Dispatch/Sharding.h
@@ -8,7 +8,8 @@
 #include <string_view>
 #include <vector>
 
-// The two sides of granting: the home, which schedules a shard, and the entry, which asks for slots.
+// Slots are granted by homes and used by entries. The home of a shard schedules its slots; the entry is the router
+// that received the request from its caller.
 namespace Brassladder::ClassServing::Dispatch {
 
 struct ShardKey {
@@ -18,13 +19,13 @@
     std::string text() const { return pool + "/" + std::to_string(index); }
 };
 
-// How many shards a pool of this many upstreams is divided into.
+// Returns the number of shards of a pool with this many upstreams; at least 1.
 uint32_t shardCount(const Config::Pool&, size_t upstreams);
-// The shard of an upstream, by rendezvous hashing, so that a change of the count moves few upstreams.
+// Returns the shard of an upstream by rendezvous hashing. A change of `count` moves few upstreams.
 uint32_t shardOf(std::string_view pool, std::string_view upstream, uint32_t count);
-// The router that schedules the shard, in this view; empty when no router is alive.
+// Returns the router that schedules the shard in this view, or an empty string if no router is alive.
 std::string homeOf(const Membership::View&, const ShardKey&);
-// The claim router of a partition, in this view.
+// Returns the claim router of a partition in this view, or an empty string if no router is alive.
 std::string claimRouterOf(const Membership::View&, uint32_t partition);
 
 } // namespace Brassladder::ClassServing::Dispatch
--- a/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// An entry whose messages are noted, under a view that the test sets.
+// A client whose messages are recorded. The test sets its view.
 class GrantClientTest : public testing::Test {
 protected:
     GrantClientTest()
@@ -87,7 +87,7 @@
 
 } // namespace
 
-// Word that the request is queued may come while the wait for a silent home runs: the request waits on.
+// The confirmation that a request is queued may arrive during the timeout for the first response of its home.
 TEST_F(GrantClientTest, QueuedRequestKeepsWaitingForALateGrant)
 {
     auto slot = acquire();
@@ -116,7 +116,7 @@
     EXPECT_EQ(items[3].first, "r2");
     EXPECT_TRUE(items[3].second.has_ask());
     m_client.onGrant("r1", grantOf(1));
-    EXPECT_EQ(slot.wait_for(50ms), std::future_status::timeout) << "a grant of the home that was left is void";
+    EXPECT_EQ(slot.wait_for(50ms), std::future_status::timeout) << "the grant of a previous home must be ignored";
     m_client.onGrant("r2", grantOf(1));
     EXPECT_FALSE(isError(slot.get()));
 }
@@ -132,7 +132,7 @@
     EXPECT_TRUE(sent().back().second.has_release());
 }
 
-// A request that arrived after the time at which a change of home was noticed has waited for nothing, not for weeks.
+// A request may arrive after the time that its message is based on. A negative age would wrap to several weeks.
 TEST_F(GrantClientTest, WaitedTimeIsNeverNegative)
 {
     m_request.arrived = Common::now() + 1h;
@@ -143,7 +143,7 @@
     slot.wait();
 }
 
-// The home grants, and at once wants the slot back for a higher tier, before the request's fiber has run.
+// The home grants the slot and preempts the request before the fiber of the request has run.
 TEST_F(GrantClientTest, PreemptionBeforeTheAttemptStartsIsDelivered)
 {
     auto slot = acquire();
@@ -155,18 +155,18 @@
     ASSERT_FALSE(isError(slot.get()));
     bool notified = false;
     m_signal->setOnPreempt([&] { notified = true; });
-    EXPECT_TRUE(notified) << "the home counts on this slot and preempts nobody else";
+    EXPECT_TRUE(notified) << "the preemption was lost";
 }
 
-// What a home hears last of a request must be its release: asked for again after that, it is granted for nobody, and
-// the slot never comes back. Here the caller leaves while the entry tells a home everything again.
+// The release must be the last message for a request. If an ask followed, the home would grant a slot that is never
+// released. Here the caller disconnects while the client resends all requests to a home.
 TEST_F(GrantClientTest, NoAskIsSentAfterTheReleaseOfARequest)
 {
     auto slot = acquire();
     awaitSent(1);
     m_onReset = [&] {
         m_signal->cancel();
-        slot.wait_for(200ms); // It may have to wait for this thread.
+        slot.wait_for(200ms); // The other thread may have to wait for this one.
     };
     m_client.onConnected("r1");
     slot.wait();
--- a/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A home whose view and table the test sets, and whose messages are noted.
+// A home whose messages are recorded. The test sets its view and table.
 class HomeTest : public testing::Test {
 protected:
     HomeTest()
@@ -83,7 +83,8 @@
         m_home.onRelease(m_entry, release);
     }
 
-    // On another thread. Returns once that has ended, or has to wait for this one.
+    // Changes the view on another thread. Returns when that thread has finished, or after a while if it waits for this
+    // one.
     std::future<void> changeViewOnAnotherThread(const std::vector<std::string>& engines)
     {
         auto done = std::async(std::launch::async, [this, engines] {
@@ -94,7 +95,7 @@
         return done;
     }
 
-    // The engine that a request was granted; empty when it was not.
+    // Returns the engine that was granted to a request, or an empty string.
     std::string grantOf(uint64_t sequence)
     {
         std::lock_guard lock(m_mutex);
@@ -116,7 +117,7 @@
 
 } // namespace
 
-// The policies of an idle shard are dropped; nothing may look at them after the next change of configuration.
+// Guards against a use after free: the policies of an idle shard are released, and the next table may destroy them.
 TEST_F(HomeTest, PolicyOfAnIdleClassIsNotReadAfterTheConfigurationChanged)
 {
     ask(1, "slow");
@@ -130,13 +131,13 @@
     EXPECT_EQ(grantOf(2), "e1");
 }
 
-// Between the look at the view and the entry into the map of shards the view changes, on another thread.
+// Guards against stale upstreams if the view changes on another thread while a shard is opened.
 TEST_F(HomeTest, ShardOpenedDuringAViewChangeHasTheNewUpstreams)
 {
     setView({ "e1" });
     std::atomic<int> tables { 0 };
     std::future<void> other;
-    // onAsk, shard and upstreamsOf look at the table; the last one after it has looked at the view.
+    // onAsk, findOrOpenShard and upstreamsOf read the table. upstreamsOf reads the view before that.
     m_onTable = [&] {
         if (++tables != 3)
             return;
@@ -146,17 +147,18 @@
     other.wait();
     release(9);
     ask(1, "urgent");
-    EXPECT_EQ(grantOf(1), "e2") << "e1 is gone";
+    EXPECT_EQ(grantOf(1), "e2") << "e1 is not in the current view";
 }
 
-// Changes of the configuration and of the view reach the home on two threads; the newer one must win.
+// Changes of the configuration and of the view arrive on two threads. Guards against a stale view that is applied
+// last.
 TEST_F(HomeTest, LaterViewIsNotOverwrittenByAnEarlierOne)
 {
     ask(1, "urgent");
     release(1);
     std::atomic<int> tables { 0 };
     std::future<void> other;
-    // ownShards and upstreamsOf look at the table; the last one after it has looked at the view.
+    // ownShards and upstreamsOf read the table. upstreamsOf reads the view before that.
     m_onTable = [&] {
         if (++tables != 2)
             return;
@@ -165,7 +167,7 @@
     m_home.onViewChanged(*m_view.load());
     other.wait();
     ask(2, "urgent");
-    EXPECT_EQ(grantOf(2), "e2") << "e1 is gone";
+    EXPECT_EQ(grantOf(2), "e2") << "e1 is not in the current view";
 }
 
 } // namespace Brassladder::ClassServing::Dispatch
