--- a/Source/ClassServing/Scheduling/FairQueue.cpp
+++ b/Source/ClassServing/Scheduling/FairQueue.cpp
@@ -7,8 +7,7 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// Flows that have nothing waiting are kept, so that their charge is not forgotten, until there are more than this.
-// Chosen, not measured: twice the workspaces of the two-year target.
+// Idle flows keep their charge until there are more than this. Then those without excess charge are evicted.
 static constexpr size_t maxIdleFlows = 8192;
 
 uint64_t FairQueue::flowKey(const Ask& ask) { return Common::stableHash(ask.policy->name, ask.workspace); }
@@ -21,7 +20,7 @@
     flow.key = key;
     flow.weight = waiting.ask.weight;
     if (flow.queue.empty()) {
-        // A flow that was idle gets no credit for the time in which it asked for nothing.
+        // A flow earns no credit while it is idle.
         flow.virtualTime = std::max(flow.virtualTime, m_virtualNow);
         m_active.insert({ flow.virtualTime, key });
     }
--- a/Source/ClassServing/Scheduling/FairQueue.h
+++ b/Source/ClassServing/Scheduling/FairQueue.h
@@ -12,19 +12,19 @@
 
 struct WaitingRequest;
 
-// The requests of one class and one workspace that wait in one tier, in order of arrival.
+// The waiting requests of one class and workspace in one tier, in order of arrival.
 struct Flow {
     uint64_t key { 0 };
     double weight { 1 };
-    double virtualTime { 0 }; // In slot-seconds over weight.
+    double virtualTime { 0 }; // In slot-seconds divided by weight.
     std::list<WaitingRequest*> queue;
 };
 
-// A request that waits for a slot, with its places in the queues that hold it, so that it can leave all at once.
+// A request that waits for a slot. Stores its positions in all queues, so it is removed without a search.
 struct WaitingRequest {
     Ask ask;
     TimePoint deadline;
-    double slotSeconds { 0 }; // Expected slot-seconds, as counted into the tier's sum.
+    double slotSeconds { 0 }; // Expected value, as included in the sum of the tier.
     uint64_t flowKey { 0 };
     Flow* flow { nullptr };
     std::list<WaitingRequest*>::iterator inFlow;
@@ -32,19 +32,21 @@
     std::multimap<TimePoint, WaitingRequest*>::iterator inDeadlines; // Valid while `flow` is set.
 };
 
-// Start-time fair queueing between the flows of one tier: each flow advances on a virtual clock by the work it was
-// given over its weight, and the flow that is furthest behind goes next. Logarithmic in the number of active flows.
+// Start-time fair queueing between the flows of one tier. A served request advances the virtual time of its flow by
+// its expected slot-seconds divided by the weight. The flow with the lowest virtual time is served next. Logarithmic
+// in the number of active flows, except lastOfLongestFlow, which is linear. Not thread-safe.
 class FairQueue {
 public:
     void push(WaitingRequest&);
     void remove(WaitingRequest&);
-    // The next request in turn, or null. It stays in the queue.
+    // Returns the next request without removing it, or nullptr.
     WaitingRequest* front() const;
-    // The last request of the flow with the most waiting work, or null: the one to give up when room must be made.
+    // Returns the last request of the flow with the most waiting requests, or nullptr. It is evicted if the queue is
+    // full.
     WaitingRequest* lastOfLongestFlow() const;
-    // Takes the request out and charges its flow.
+    // Removes the request and charges its flow.
     void serve(WaitingRequest&);
-    // Corrects a flow's charge once the true work is known.
+    // Adjusts the charge of a flow when the actual slot-seconds of a request are known.
     void adjustCharge(uint64_t flowKey, double slotSecondsDifference);
 
     bool isEmpty() const { return m_active.empty(); }
--- a/Source/ClassServing/Scheduling/Rendezvous.h
+++ b/Source/ClassServing/Scheduling/Rendezvous.h
@@ -7,8 +7,8 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// Chooses among the nodes by rendezvous hashing: all who see the same nodes choose the same one, and a node that comes
-// or goes moves only its own part. Empty when there are no nodes.
+// Selects a node for the subject by rendezvous hashing. The result depends only on the set of nodes. A node that is
+// added or removed moves only its own subjects. Returns an empty string if there are no nodes.
 std::string rendezvous(std::span<const std::string> nodes, std::string_view subject);
 
 } // namespace Brassladder::ClassServing::Scheduling
--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -7,23 +7,19 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// A token bucket that bounds the retries against one pool to a fraction of its requests, plus a few a second so that an
-// idle pool can be retried at all. A pool that fails as a whole then gets at most that fraction of extra load.
-//
-// Route serving has another limit, RouteServing/Routing/RetryWindow.h, because its operators set a ratio within a
-// window; there, unused retries must not be saved up. Safe to use from several threads.
+// A token bucket that limits the retries of one pool to a fraction of its requests, plus a constant rate for pools
+// with little traffic. Retries therefore cannot overload a failing pool.
+// Route serving uses RouteServing/Routing/RetryWindow.h instead, because its operators configure a ratio within a
+// window, where unused retries must not accumulate. Thread-safe.
 class RetryBudget {
 public:
-    // Chosen, not measured: a tenth of extra load is what a pool near its capacity can still bear.
     static constexpr double retriesPerRequest = 0.1;
-    // So that an idle pool can be retried at all. Chosen, not measured.
     static constexpr double retriesPerSecond = 1;
-    // The most retries that are saved up: ten seconds of the trickle, or what a hundred requests earn. Chosen, not
-    // measured.
+    // Capacity of the bucket, in retries.
     static constexpr double maxSavedRetries = 10;
 
     void deposit();
-    // True when a retry may be made now; it is paid for.
+    // Takes a retry from the bucket. Returns false if less than one is left.
     bool withdraw(Common::TimePoint now);
 
 private:
--- a/Source/ClassServing/Scheduling/RetryRule.h
+++ b/Source/ClassServing/Scheduling/RetryRule.h
@@ -3,19 +3,19 @@
 
 #include "Common/Error.h"
 
-// When a failed attempt may be followed by another one. Pure. How many retries a pool can afford is bounded by
-// RetryBudget.h; how many a class wants is its `max_attempts`.
+// Decides whether a failed attempt may be retried. RetryBudget.h limits the retries of a pool, and `max_attempts`
+// limits the attempts of a request.
 namespace Brassladder::ClassServing::Scheduling {
 
 struct FailedAttempt {
     const Common::Error& error;
     bool callerGone { false };
-    bool hasRelayed { false }; // Something of a response has gone to the caller.
-    bool mustNotRepeat { false }; // The class allows no repeat.
+    bool hasRelayed { false }; // A part of a response was sent to the caller.
+    bool mustNotRepeat { false }; // The class sets `no_repeat`.
 };
 
-// A request is tried again only when it provably did not run, or when its class allows repeats; and only while the
-// caller is there and has nothing of a response yet.
+// Returns true if the request certainly did not run or its class allows repeats, provided that the caller is connected
+// and no part of a response was sent.
 inline bool mayRetry(const FailedAttempt& attempt)
 {
     if (attempt.callerGone || attempt.error.kind == Common::ErrorKind::CallerGone || attempt.hasRelayed)
@@ -23,7 +23,7 @@
     return attempt.error.ran == Common::Ran::No || !attempt.mustNotRepeat;
 }
 
-// Whether only the chosen upstream is to blame, so that another one may do.
+// Returns whether the error concerns only the selected upstream, so another one may serve the request.
 inline bool isUpstreamGone(const Common::Error& error)
 {
     return error.kind == Common::ErrorKind::UpstreamLostState || error.kind == Common::ErrorKind::UpstreamRefused;
--- a/Source/ClassServing/Scheduling/ShardScheduler.cpp
+++ b/Source/ClassServing/Scheduling/ShardScheduler.cpp
@@ -9,10 +9,10 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// A waiting request preempts a lower one after this part of its target: a slot often comes free by itself sooner.
-// Chosen, not measured; preemption itself is guarded by TierOrderTest.
+// A waiting request preempts a lower tier after this fraction of its target, because a slot may become free before
+// that.
 static constexpr int preemptionDivisor = 8;
-// Bounds on the computed time after which a refused caller may come back. Chosen, not measured.
+// Bounds of the retry time in refusals.
 static constexpr Milliseconds minRetryAfter = 200ms;
 static constexpr Milliseconds maxRetryAfter = 60s;
 
@@ -40,7 +40,7 @@
     auto wait
         = std::min(m_estimator.expectedWait(m_tiers, policy.tier, flowKey, slotSeconds, m_ledger.capacity(now), now),
             guaranteedWait(policy, slotSeconds));
-    // What was paused has been accepted before: it waits on, and is not judged again.
+    // A paused request was accepted before, so its deadline is not checked again.
     if (ask.pinned.empty() && now + wait > ask.arrived + policy.maxWait) {
         decisions.push_back(Refusal { ask.id, ErrorKind::DeadlineUnreachable, retryAfterFor(wait, policy) });
         return;
@@ -56,9 +56,9 @@
 {
     if (!policy.tier || !m_options.guaranteedSlots)
         return Duration::max();
-    // Classes that wait take turns at the guaranteed slots; of one class, one request runs there at a time.
+    // Waiting classes share the guaranteed slots in turn. Each class uses at most one of them at a time.
     size_t classes = 1;
-    size_t ahead = 1; // What runs until a slot is free.
+    size_t ahead = 1; // The request that currently occupies a slot.
     for (const auto& [name, queue] : m_classes) {
         if (name == policy.name)
             ahead += queue.waiting.size() + queue.runningGuaranteed;
@@ -70,7 +70,7 @@
     return policy.guaranteeAfter + std::chrono::duration_cast<Duration>(turnsTime);
 }
 
-// A full queue gives up the lowest waiting request, if that is lower than the one that comes.
+// Refuses a waiting request of the lowest tier below `tier`. Returns false if there is none.
 bool ShardScheduler::refuseLowerTier(Tier tier, Decisions& decisions)
 {
     for (Tier lowest = tierCount - 1; lowest > tier; --lowest) {
@@ -86,7 +86,7 @@
 
 Milliseconds ShardScheduler::retryAfterFor(Duration wait, const ClassPolicy& policy) const
 {
-    // When the queue has shrunk to what the class can wait for.
+    // The time until the expected wait has decreased to the maximum wait of the class.
     auto excess = std::chrono::duration_cast<Milliseconds>(wait - policy.maxWait);
     return std::clamp(excess, minRetryAfter, maxRetryAfter);
 }
@@ -192,7 +192,8 @@
             break;
         grantPinned(tier, now, decisions);
         grantTier(tier, now, decisions);
-        // Strict order: a lower tier gets nothing while a higher one still waits for a slot that it could use.
+        // A lower tier gets no slot while a higher one is waiting. Paused requests that wait for their upstream do not
+        // block lower tiers.
         if (!m_tiers[tier].isEmpty())
             break;
     }
@@ -210,8 +211,9 @@
     }
 }
 
-// The longest wait among the classes that may use a guaranteed slot now: those below the highest tier that have waited
-// past their bound and hold none yet. Null when there is none.
+// Returns the request that has waited longest among the first requests of classes that may use a guaranteed slot now,
+// or nullptr. These classes are below the highest tier, have waited longer than guaranteeAfter and hold no guaranteed
+// slot.
 WaitingRequest* ShardScheduler::longestWaitPastBound(TimePoint now)
 {
     WaitingRequest* longest = nullptr;
@@ -227,7 +229,7 @@
     return longest;
 }
 
-// Gives the guaranteed slots to the classes that have waited past their bound, the longest wait first.
+// Grants guaranteed slots, the longest wait first.
 void ShardScheduler::grantGuaranteed(TimePoint now, Decisions& decisions)
 {
     while (m_guaranteedInUse < m_options.guaranteedSlots) {
@@ -242,7 +244,7 @@
     }
 }
 
-// A paused generation goes on where its state is, also on an upstream that is leaving: it is not new work.
+// A paused generation resumes on the upstream that has its state, even if that upstream is leaving.
 void ShardScheduler::grantPinned(Tier tier, TimePoint now, Decisions& decisions)
 {
     auto& pinned = m_pinned[tier];
@@ -288,8 +290,8 @@
     decisions.push_back(Grant { ask.id, upstream, guaranteed });
 }
 
-// Preempts one lower request for each higher one that has waited for its part of the target and is not yet served by an
-// earlier preemption.
+// If the next request of a tier has waited for its fraction of the target, preempts one lower request for each waiting
+// request of the tier, minus preemptions that are in progress.
 void ShardScheduler::preempt(TimePoint now, Decisions& decisions)
 {
     uint32_t wanted = 0;
--- a/Source/ClassServing/Scheduling/ShardScheduler.h
+++ b/Source/ClassServing/Scheduling/ShardScheduler.h
@@ -12,24 +12,24 @@
 namespace Brassladder::ClassServing::Scheduling {
 
 struct ShardOptions {
-    // Slots that lower classes are sure of during a long burst. They are never part of the higher tiers' room.
+    // Slots that classes below the highest tier may use at once under rule 4 of ShardScheduler.
     uint32_t guaranteedSlots { 1 };
-    // Requests that may wait in one shard: about 18 MB at 350 bytes each (docs/CAPACITY.md). Chosen, not measured.
+    // Waiting requests per shard; bounds the memory of the queue (docs/CAPACITY.md).
     static constexpr size_t defaultMaxWaiting = 50'000;
     size_t maxWaiting { defaultMaxWaiting };
     bool preemption { true };
 };
 
-// The one queue and slot ledger of a shard of upstreams. It decides in strict order of tiers who runs, who waits, who
-// is refused and who is paused:
+// Owns the queue and the slot ledger of a shard of upstreams. Decides which requests are granted a slot, refused or
+// preempted, in strict order of tiers. Not thread-safe.
 //
-// 1. A free slot goes to the highest tier that waits; within a tier, to the flow that is furthest behind.
-// 2. While a higher tier waits and nothing is free, the lowest preemptible running request is paused.
-// 3. When the queue is full, a waiting request of the lowest tier is refused first.
-// 4. A class that has waited past its bound may use the guaranteed slots, whatever the higher tiers do.
-// 5. A request that cannot get a slot before its deadline is refused on arrival, with the time to come back.
+// 1. A free slot is granted to the highest waiting tier; within a tier, to the flow with the lowest virtual time.
+// 2. If no slot is free for a waiting request, a preemptible running request of the lowest tier is preempted.
+// 3. If the queue is full, a waiting request of the lowest tier is refused first.
+// 4. A class whose requests have waited longer than guaranteeAfter may use a guaranteed slot before higher tiers.
+// 5. A request that is not expected to get a slot before its deadline is refused on arrival, with a retry time.
 //
-// Each call appends its decisions to the caller's list.
+// Functions with a `Decisions` parameter append their decisions to it.
 class ShardScheduler {
 public:
     explicit ShardScheduler(ShardOptions options = {})
@@ -43,20 +43,19 @@
     void markLeaving(std::string_view upstream) { m_ledger.markLeaving(upstream); }
     void report(std::string_view upstream, const LoadReport& load) { m_ledger.report(upstream, load); }
 
-    // A request wants a slot. An ask with a known id is a repeat and changes nothing; when
-    // that request was granted already, the grant is told again.
+    // Queues or refuses a request. If the id is already waiting, does nothing; if it is running, repeats its grant.
     void ask(const Ask&, TimePoint now, Decisions&);
-    // A request that already runs, told again after the shard came here from another home.
+    // Adds a request that is already running, which its entry reports after the shard moved to this home.
     void restore(const Ask&, std::string_view upstream, bool guaranteed, TimePoint now);
-    // A slot is given back, or a waiting request is withdrawn.
+    // Releases the slot of a running request, or removes a waiting one.
     void release(const Release&, TimePoint now);
-    // Until this time only tier 0 is granted: the other entries are still telling what runs.
+    // Until this time only tier 0 is granted, because entries still report running requests.
     void setCollectionEnd(TimePoint time) { m_collectionEnd = time; }
 
-    // Grants, refuses and preempts until nothing more can be decided at this time.
+    // Makes all decisions that are due at this time.
     void decide(TimePoint now, Decisions&);
 
-    // All requests of an entry that is gone.
+    // Releases all requests of an entry.
     void dropEntry(uint64_t entry, TimePoint now);
 
     bool isIdle() const { return m_waiting.empty(); }
@@ -69,7 +68,7 @@
 private:
     struct ClassQueue {
         const ClassPolicy* policy { nullptr };
-        std::list<WaitingRequest*> waiting; // In order of arrival here.
+        std::list<WaitingRequest*> waiting; // In order of arrival at this scheduler.
         uint32_t runningGuaranteed { 0 };
     };
     struct RunningRequest {
@@ -100,8 +99,8 @@
     const AskId* victim(Tier above, TimePoint now) const;
     bool mayGrant(Tier tier, TimePoint now) const { return tier == 0 || now >= m_collectionEnd; }
     Common::Milliseconds retryAfterFor(Duration wait, const ClassPolicy&) const;
-    // How long a new request of the class waits until its guaranteed slot serves it, whatever higher tiers ask for.
-    // `slotSeconds`: of one request, in seconds of a slot.
+    // Returns the time until a guaranteed slot would serve a new request of the class, regardless of higher tiers.
+    // `slotSeconds`: expected value per request of the class.
     Duration guaranteedWait(const ClassPolicy&, double slotSeconds) const;
 
     ShardOptions m_options;
@@ -113,7 +112,8 @@
     std::multimap<TimePoint, WaitingRequest*> m_deadlines;
     std::map<std::string, ClassQueue, std::less<>> m_classes;
     std::unordered_map<AskId, RunningRequest> m_running;
-    // Requests that may be paused, by start: the one that started last has the least to lose.
+    // Requests that may be preempted, by start time. The latest one is preempted first, because it loses the least
+    // progress.
     std::array<std::set<RunningKey>, tierCount> m_preemptible;
     std::array<size_t, tierCount> m_runningByTier {};
     uint32_t m_guaranteedInUse { 0 };
--- a/Source/ClassServing/Scheduling/Types.h
+++ b/Source/ClassServing/Scheduling/Types.h
@@ -8,18 +8,18 @@
 #include <string>
 #include <variant>
 
-// Pure decisions: no I/O, no clock of their own (time is an argument), no locks.
+// Scheduling decisions without I/O, clocks or locks of their own; the time is an argument. RetryBudget alone has a
+// lock.
 namespace Brassladder::ClassServing::Scheduling {
 
 using Common::Duration;
 using Common::TimePoint;
 
-// Service tiers, 0 being the highest. Four are what the users ask for.
+// Service tier; 0 is the highest.
 using Tier = uint8_t;
-// Tiers in all (the users' two-year target, docs/CAPACITY.md).
 inline constexpr size_t tierCount = 4;
 
-// One request for a slot: the entry that asks, and its own number for it.
+// Identifies a request for a slot: the entry, and the sequence number that the entry assigned.
 struct AskId {
     uint64_t entry { 0 };
     uint64_t sequence { 0 };
@@ -27,25 +27,25 @@
     auto operator<=>(const AskId&) const = default;
 };
 
-// What the scheduler needs to know of a request class.
+// The scheduling parameters of a request class.
 struct ClassPolicy {
     std::string name;
     Tier tier { 0 };
-    Duration target {}; // Wanted time to the first token, or to the answer of a plain service.
-    Duration maxWait {}; // After this long without a slot the request is refused.
-    Duration guaranteeAfter {}; // After this long without a slot the class may use the guaranteed share.
+    Duration target {}; // Objective for the time to the first token, or to the response of a service.
+    Duration maxWait {}; // A request that waits longer is refused.
+    Duration guaranteeAfter {}; // A class that waits longer may use a guaranteed slot.
     bool preemptible { false };
 };
 
 struct Ask {
     AskId id;
-    const ClassPolicy* policy { nullptr }; // Outlives the scheduler.
+    const ClassPolicy* policy { nullptr }; // Must remain valid while the request is waiting or running.
     uint64_t workspace { 0 }; // A stable hash of the workspace's name.
-    double weight { 1 }; // The workspace's share within its tier.
+    double weight { 1 }; // Weight of the workspace within its tier.
     uint64_t prefix { 0 }; // Hash of the prompt's prefix; 0: none.
-    TimePoint arrived; // At its entry.
-    std::string pinned; // The upstream that holds the paused generation; empty: any.
-    std::string avoid; // The upstream that failed the last try; empty: none.
+    TimePoint arrived; // Time of arrival at the entry.
+    std::string pinned; // The upstream with the state of the paused generation; empty: any.
+    std::string avoid; // The upstream of the last failed attempt; empty: none.
 };
 
 struct Grant {
@@ -60,28 +60,28 @@
     Common::Milliseconds retryAfter { 0 };
 };
 
-// Tells the entry to pause a running request and to ask again for the rest of it.
+// Instructs the entry to pause a running request and to request a slot for the rest of it.
 struct Preemption {
     AskId id;
 };
 
 using Decision = std::variant<Grant, Refusal, Preemption>;
 
-// How a granted slot was given back.
+// The reason why a slot was released.
 enum class SlotOutcome : uint8_t {
     Completed,
     Preempted,
-    Cancelled, // The caller went away, or the request was withdrawn before it was sent.
-    ConnectFailed, // Did not run.
-    RefusedByUpstream, // Did not run; the upstream is leaving or full.
-    Broken, // The upstream failed while it ran.
+    Cancelled, // The caller disconnected, or the request was withdrawn before it was sent.
+    ConnectFailed, // The request did not run.
+    RefusedByUpstream, // The request did not run, because the upstream is leaving or full.
+    Broken, // The upstream failed while the request was running.
 };
 
 struct Release {
     AskId id;
     SlotOutcome outcome { SlotOutcome::Completed };
     uint32_t tokens { 0 };
-    Duration perToken {}; // Mean time between two tokens; zero when unknown.
+    Duration perToken {}; // Mean time between two tokens; 0: unknown.
 };
 
 } // namespace Brassladder::ClassServing::Scheduling
@@ -89,7 +89,7 @@
 template <> struct std::hash<Brassladder::ClassServing::Scheduling::AskId> {
     size_t operator()(const Brassladder::ClassServing::Scheduling::AskId& id) const noexcept
     {
-        // The entry's part is already a hash; the golden ratio (2^64 / phi) spreads the sequence.
+        // `entry` is already a hash. The multiplier (2^64 / phi) spreads sequential numbers.
         constexpr uint64_t goldenRatio = 0x9e3779b97f4a7c15ULL;
         return id.entry ^ (id.sequence * goldenRatio);
     }
--- a/Source/ClassServing/Scheduling/UpstreamLedger.cpp
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.cpp
@@ -8,29 +8,24 @@
 
 using namespace std::chrono_literals;
 
-// An upstream is slow when a token takes it more than this many times the shard's median. Chosen, not measured.
+// An upstream is slow if its time per token exceeds the median of the shard by this factor.
 static constexpr double slowFactor = 2.0;
-// A slow upstream's limit shrinks by this factor, at most once an interval (additive increase, multiplicative
-// decrease). Chosen, not measured.
+// The limit of a slow upstream is multiplied by this factor, at most once per interval.
 static constexpr double limitDecreaseFactor = 0.8;
 static constexpr Duration limitDecreaseInterval = 500ms;
-// Weight of the newest sample in an upstream's time for a token: about the last ten responses count. Chosen, not
-// measured.
+// Weight of a new sample in the moving average of the time per token.
 static constexpr double sampleWeight = 0.2;
-// The median moves slowly, so it is computed once in this many responses. Chosen, not measured.
+// The median changes slowly, so it is recomputed only after this many responses.
 static constexpr uint32_t samplesPerMedian = 16;
-// An upstream that fails is ejected this long; the time doubles with each failure in a row. Chosen, not measured. Route
-// serving has its own rule (RouteServing/Routing/UpstreamHealth.h), which has no slots to hand out and so no trial
-// request.
+// Ejection after the first failure; doubles with each consecutive failure. Route serving has a separate rule
+// (RouteServing/Routing/UpstreamHealth.h).
 static constexpr Duration initialEjection = 500ms;
 static constexpr Duration maxEjection = 10s;
-// Doublings until the bound above holds anyway: 0.5 s x 2^5 is 16 s.
+// Prevents an overflow of the shift; must be large enough to reach maxEjection.
 static constexpr uint32_t maxEjectionDoublings = 5;
-// The upstream that has the prefix cached is taken while its cost is at most this many times the best one's. Chosen,
-// not measured.
+// The upstream with the cached prefix is preferred if its cost is at most this multiple of the lowest cost.
 static constexpr double cachedPrefixTolerance = 1.25;
-// The upstream that failed the last attempt is used only when there is no other: a factor above any ratio of two costs.
-// Chosen, not measured.
+// Cost factor of the upstream of the last failed attempt. It exceeds any cost ratio, so that upstream is used last.
 static constexpr double avoidedCostFactor = 1000;
 
 void UpstreamLedger::setUpstreams(std::span<const UpstreamInfo> infos)
@@ -47,7 +42,7 @@
         upstream.limit = std::min<double>(upstream.limit, info.slots);
         next.emplace(info.id, std::move(upstream));
     }
-    // An upstream that left the list while our requests still run on it keeps its place until they end.
+    // An upstream that is no longer listed is kept while it has running requests.
     for (auto& [id, upstream] : m_upstreams) {
         if (upstream.running && !next.contains(id)) {
             upstream.info.leaving = true;
@@ -71,8 +66,8 @@
         return;
     LedgerEntry& upstream = found->second;
     upstream.info.leaving = upstream.info.leaving || load.leaving;
-    // A report lags behind our own grants in both directions, so only the surplus over them is taken for the load of
-    // others, and it never takes the last slot: a false report must not close an upstream.
+    // A report lags behind the grants, so only the surplus over them counts as external load. It grows by at most one
+    // per report and leaves at least one slot, because a wrong report must not exclude an upstream.
     uint32_t reported = load.running + load.waiting;
     uint32_t surplus = reported > upstream.running ? reported - upstream.running : 0;
     uint32_t smoothed = std::min(surplus, upstream.externalLoad + 1);
@@ -160,7 +155,7 @@
 {
     if (!acceptsNewRequests(upstream, now))
         return false;
-    // After a failure one request tries the upstream before it gets its full share again.
+    // After a failure, the upstream gets one request at a time until one succeeds.
     double limit = upstream.failures ? 1 : std::floor(upstream.limit);
     return upstream.running + upstream.externalLoad < limit;
 }
@@ -179,7 +174,7 @@
     return found != m_upstreams.end() && acceptsNewRequests(found->second, now);
 }
 
-// Expected time for a token, times the load.
+// Returns the expected time per token, multiplied by 1 plus the relative load.
 double UpstreamLedger::costOf(const LedgerEntry& upstream) const
 {
     double secondsPerToken = upstream.secondsPerToken > 0 ? upstream.secondsPerToken : m_medianSecondsPerToken;
@@ -204,7 +199,7 @@
             cached = &upstream;
             cachedCost = cost;
         }
-        // Equal costs go by the name, so that the choice does not hang on the order of a hash table.
+        // Equal costs are ordered by id, so the result does not depend on the order of the hash table.
         if (!best || cost < bestCost || (cost == bestCost && id < best->info.id)) {
             best = &upstream;
             bestCost = cost;
--- a/Source/ClassServing/Scheduling/UpstreamLedger.h
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.h
@@ -11,28 +11,28 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// An upstream as the instance list and the configuration describe it.
+// An upstream as described by the instance list and the configuration.
 struct UpstreamInfo {
     std::string id;
-    uint32_t slots { 1 }; // The most requests it states that it can run at once.
+    uint32_t slots { 1 }; // Maximum number of concurrent requests.
     bool leaving { false };
 };
 
-// What an upstream says of itself. It lags, and it may be false: it can narrow our view but never widen it.
+// The load that an upstream reports. It may be outdated or wrong, so it can only reduce the number of granted slots.
 struct LoadReport {
     uint32_t running { 0 };
     uint32_t waiting { 0 };
     bool leaving { false };
 };
 
-// Counts our own grants for each upstream of a shard and decides how many more each can take.
-//
-// The concurrency limit of an upstream adapts: it shrinks by a fifth while the upstream's time for a token stands at
-// more than twice the median of the shard, and grows back by one over the limit with each good answer (AIMD). A
-// upstream that fails is left out for a time that doubles with each failure in a row, and then tried with one request.
+// Counts the granted slots of each upstream of a shard and selects upstreams for requests. The concurrency limit of an
+// upstream adapts (AIMD): it decreases while the time per token is far above the median of the shard, and grows by 1 /
+// limit with each other measured response. A failed upstream is ejected. The ejection time doubles with each
+// consecutive failure, and afterwards the upstream gets one request at a time until one succeeds. Not thread-safe.
 class UpstreamLedger {
 public:
-    // Replaces the set of upstreams; what runs on those that stay is kept.
+    // Replaces the set of upstreams. An upstream that is no longer listed is kept, marked as leaving, while it has
+    // running requests.
     void setUpstreams(std::span<const UpstreamInfo>);
     void markLeaving(std::string_view upstream);
     void report(std::string_view upstream, const LoadReport&);
@@ -40,18 +40,18 @@
     void start(std::string_view upstream);
     void finish(std::string_view upstream, const Release&, TimePoint now);
 
-    // How the best upstream for a request is found: room first, then expected time, then the prefix it has cached.
-    // Empty when none has room.
+    // Selects an upstream that has room. Prefers the lowest expected cost, or the upstream that has the prefix cached
+    // if its cost is not much higher. Returns an empty string if no upstream has room.
     std::string pick(const Ask&, TimePoint now) const;
-    // Room to go on with a paused request: also on an upstream that is leaving, since it is no new work.
+    // Returns whether a paused request may resume on the upstream, even if the upstream is leaving.
     bool hasRoomToResume(std::string_view upstream, TimePoint now) const;
-    // Whether a slot freed there could be used by another request.
+    // Returns whether the upstream is known, not leaving and not ejected.
     bool acceptsNewRequests(std::string_view upstream, TimePoint now) const;
     bool isKnown(std::string_view upstream) const { return m_upstreams.contains(std::string(upstream)); }
-    // Where the request's prefix was sent last; the caches' own events come late and with gaps.
+    // Records the upstream that last received the prefix. Cache events of upstreams are delayed and incomplete.
     void rememberPrefix(uint64_t prefix, std::string_view upstream);
 
-    // The sum of the limits of the upstreams that take new work.
+    // Returns the sum of the concurrency limits of the upstreams that accept new requests.
     double capacity(TimePoint now) const;
     uint32_t runningOn(std::string_view upstream) const;
     bool isEmpty() const { return m_upstreams.empty(); }
@@ -62,8 +62,8 @@
         UpstreamInfo info;
         double limit { 1 };
         uint32_t running { 0 };
-        uint32_t externalLoad { 0 }; // Reported load that is not ours.
-        double secondsPerToken { 0 }; // Seconds, moving average; 0: unknown.
+        uint32_t externalLoad { 0 }; // Reported requests that were not granted by this ledger.
+        double secondsPerToken { 0 }; // Moving average; 0: unknown.
         uint32_t failures { 0 };
         TimePoint ejectedUntil {};
         TimePoint limitChanged {};
@@ -78,7 +78,7 @@
     std::unordered_map<std::string, LedgerEntry> m_upstreams;
     double m_medianSecondsPerToken { 0 };
     uint32_t m_samplesSinceMedian { 0 };
-    // A direct-mapped table: old prefixes give way to new ones, and memory is bounded.
+    // Size of a direct-mapped table, in which new prefixes replace old ones.
     static constexpr size_t prefixSlots = 4096;
     struct PrefixSlot {
         uint64_t prefix { 0 };
--- a/Source/ClassServing/Scheduling/WaitEstimator.cpp
+++ b/Source/ClassServing/Scheduling/WaitEstimator.cpp
@@ -6,15 +6,14 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// Expected slot time of a class before its first response. It only affects the first decisions. Chosen, not measured.
+// Expected slot time of a class before its first response.
 static constexpr double initialSlotSeconds = 0.25;
-// Weight of the newest response in the mean of its class: about the last twenty count. Chosen, not measured.
+// Weight of a new sample in the moving average of a class.
 static constexpr double sampleWeight = 0.1;
-// Time constant of the arrival rate: shorter than a burst, longer than the gap between two requests. Chosen, not
-// measured.
+// Time constant of the arrival rate; between the typical gap of two requests and the length of a burst.
 static constexpr double arrivalTimeConstantSeconds = 5;
-// Higher tiers are assumed to use at most this share of the capacity: otherwise a lower tier would refuse everything in
-// a short burst. Chosen, not measured.
+// Upper bound of the capacity share attributed to higher tiers. Without it, lower tiers would refuse all requests
+// during a short burst.
 static constexpr double maxHigherTierShare = 0.9;
 
 double WaitEstimator::expectedSlotSeconds(const ClassPolicy& policy) const
--- a/Source/ClassServing/Scheduling/WaitEstimator.h
+++ b/Source/ClassServing/Scheduling/WaitEstimator.h
@@ -10,19 +10,21 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// Nobody knows in advance how long an answer will be. This keeps a moving average, by class, of how long a request
-// holds its slot, and predicts from it how long a new request would wait.
+// Predicts how long a new request would wait for a slot. Maintains a moving average of the slot time per class,
+// because the length of a response is not known in advance. Not thread-safe.
 class WaitEstimator {
 public:
-    // Expected slot-seconds of a request of the class.
+    // Returns the mean slot time of a request of the class, in seconds, or a default before the first observation.
     double expectedSlotSeconds(const ClassPolicy&) const;
     void observe(const ClassPolicy&, Duration held);
 
-    // Counts work that arrives in a tier, for the share that higher tiers will go on taking.
+    // Records expected slot-seconds that arrive in a tier. Their rate determines the capacity that remains for lower
+    // tiers.
     void recordArrival(Tier, double slotSeconds, TimePoint now);
 
-    // The time that a request of the flow would wait behind what stands in `tiers`, given `capacity` slots. Within its
-    // tier a flow waits for the smaller of the whole queue and its own queue times the number of flows that share.
+    // Returns the expected wait of a new request of the flow behind the requests in `tiers`, with `capacity` slots.
+    // Within its tier, the wait depends on the whole queue or on the queue of the flow times the number of active
+    // flows, whichever is smaller.
     Duration expectedWait(const std::array<FairQueue, tierCount>& tiers, Tier, uint64_t flowKey, double slotSecondsEach,
         double capacity, TimePoint now) const;
 
--- a/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
@@ -23,7 +23,7 @@
         retries += budget.withdraw(now);
         now += 1ms;
     }
-    // A tenth of the tries, one for each of the ten seconds, and what was saved.
+    // A tenth of the attempts, one per second for ten seconds, and the initial balance.
     EXPECT_LE(retries, tries / 10 + 10 + 10);
 }
 
@@ -39,7 +39,7 @@
     EXPECT_EQ(rendezvous({}, "x"), "");
 }
 
-// Over any mix of weights, backlogged flows are served in proportion to their weights.
+// With any weights, backlogged flows are served in proportion to them.
 TEST(FairQueueTest, BackloggedFlowsShareByWeight)
 {
     bool holds = rc::check("shares follow weights", [] {
@@ -63,7 +63,7 @@
         int total = 0;
         for (int weight : weights)
             total += weight;
-        // Few enough that no flow runs dry.
+        // Few enough that no flow becomes empty.
         int served = each * total / 5;
         served = std::min(served, each);
         std::map<uint64_t, int> counts;
--- a/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
@@ -17,7 +17,7 @@
         EXPECT_EQ(mayRetry({ error, false, false, false }), !isCallerGone) << row.name;
         EXPECT_EQ(mayRetry({ error, false, false, true }), !isCallerGone && row.ran == Common::Ran::No) << row.name;
         EXPECT_FALSE(mayRetry({ error, true, false, false })) << row.name << ", the caller is gone";
-        EXPECT_FALSE(mayRetry({ error, false, true, false })) << row.name << ", the caller has a part of a response";
+        EXPECT_FALSE(mayRetry({ error, false, true, false })) << row.name << ", a part of a response was sent";
     }
 }
 
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A shard under a clock of the test's own.
+// A scheduler with simulated time.
 class ShardSchedulerTest : public testing::Test {
 protected:
     ShardSchedulerTest()
@@ -53,7 +53,7 @@
         m_shard.release({ id, outcome, 1, perToken }, m_now);
     }
 
-    // Decides, and returns all decisions since the last call.
+    // Advances the time, then returns all decisions since the last call.
     std::vector<Decision> decide(Duration step = {})
     {
         m_now += step;
@@ -116,11 +116,11 @@
     auto lowest = ask(3);
     decide();
     ask(0);
-    EXPECT_TRUE(only<Preemption>(decide()).empty()) << "a slot may come free by itself";
+    EXPECT_TRUE(only<Preemption>(decide()).empty()) << "a slot may become free without preemption";
     auto preemptions = only<Preemption>(decide(150ms));
     ASSERT_EQ(preemptions.size(), 1u);
     EXPECT_EQ(preemptions[0].id, lowest);
-    EXPECT_TRUE(only<Preemption>(decide(10ms)).empty()) << "one pause is under way for the one that waits";
+    EXPECT_TRUE(only<Preemption>(decide(10ms)).empty()) << "one preemption per waiting request is enough";
     release(lowest, SlotOutcome::Preempted);
     EXPECT_EQ(only<Grant>(decide()).size(), 1u);
     (void)middle;
@@ -156,7 +156,7 @@
     EXPECT_EQ(refusals[0].kind, ErrorKind::UpstreamLostState);
 }
 
-// Every class gets work done through a burst that never ends: the highest tier always waits for every slot.
+// Guards against starvation: in this test, the highest tier always has requests waiting for every slot.
 TEST_F(ShardSchedulerTest, GuaranteedSlotServesTheLowestClassDuringAnEndlessBurst)
 {
     useUpstreams(1, 4);
@@ -174,7 +174,7 @@
         }
     }
     EXPECT_TRUE(served);
-    EXPECT_TRUE(m_now - TimePoint(1h) < 6s) << "just past the bound of the class";
+    EXPECT_TRUE(m_now - TimePoint(1h) < 6s) << "served later than just after guaranteeAfter";
 }
 
 TEST_F(ShardSchedulerTest, GuaranteedRequestIsNotPreempted)
@@ -198,7 +198,7 @@
 {
     useUpstreams(1, 1);
     std::vector<Refusal> refusals;
-    // The first guess is a quarter of a second for each, so 40 fill the ten seconds that tier 1 may wait.
+    // The initial estimate is 0.25 s per request, so 40 requests fill the 10 s that tier 1 may wait.
     for (int index = 0; index < 60; ++index)
         ask(1);
     refusals = only<Refusal>(decide());
@@ -207,11 +207,11 @@
         EXPECT_EQ(refusal.kind, ErrorKind::DeadlineUnreachable);
         EXPECT_GT(refusal.retryAfter.count(), 0);
     }
-    EXPECT_TRUE(only<Refusal>(decide(1s)).empty()) << "what was let in waits on";
+    EXPECT_TRUE(only<Refusal>(decide(1s)).empty()) << "accepted requests must keep waiting";
 }
 
-// Found by StarvationTest beside load: higher tiers ask for more than there is, so that the estimate in tier order
-// passed the longest wait, and a request that its guaranteed slot would have served was refused.
+// Guards against the refusal of a request that its guaranteed slot would serve in time, when higher tiers exceed the
+// capacity and the estimate in tier order exceeds the maximum wait.
 TEST_F(ShardSchedulerTest, RequestThatAGuaranteedSlotServesInTimeIsAccepted)
 {
     useUpstreams(1, 1);
@@ -226,7 +226,7 @@
     for (int index = 0; index < 30; ++index)
         ask(2);
     refusals = only<Refusal>(decide());
-    ASSERT_FALSE(refusals.empty()) << "its slot does not serve them all in time";
+    ASSERT_FALSE(refusals.empty()) << "the guaranteed slot cannot serve all of them in time";
     for (const auto& refusal : refusals)
         EXPECT_NE(refusal.id, low);
 }
@@ -251,7 +251,7 @@
     auto light = ask(1, 2);
     m_now += 1s;
     release(first);
-    // The heavy flow has been charged for its first request, so the light one is next.
+    // The flow with the backlog was charged for its first request, so the other flow is next.
     EXPECT_EQ(only<Grant>(decide()).at(0).id, light);
 }
 
