--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -8,7 +8,7 @@
 namespace Brassladder::ClassServing::Scheduling {
 
 // A token bucket that limits the retries of one pool to a fraction of its requests, plus a constant rate for pools
-// with little traffic. Retries therefore cannot overload a failing pool.
+// with little traffic. A failing pool therefore gets only limited extra load.
 // Route serving uses RouteServing/Routing/RetryWindow.h instead, because its operators configure a ratio within a
 // window, where unused retries must not accumulate. Thread-safe.
 class RetryBudget {
