--- a/Source/ClassServing/BackingServices/InstanceList.cpp
+++ b/Source/ClassServing/BackingServices/InstanceList.cpp
@@ -9,7 +9,6 @@
 using Common::Json;
 using Common::member;
 
-// For one read of the list. Chosen, not measured.
 static constexpr Common::Milliseconds connectTimeout { 500 };
 static constexpr Common::Milliseconds responseTimeout { 2000 };
 
@@ -31,7 +30,8 @@
     Json body = Common::parseJson(valueOf(answer).body);
     if (valueOf(answer).status != 200 || !body.is_object() || !body.contains("instances")
         || !body["instances"].is_array())
-        return Common::makeError(ErrorKind::PlatformUnavailable, "instance list: not a list");
+        return Common::makeError(
+            ErrorKind::PlatformUnavailable, "instance list: response is not a list of instances with status 200");
     std::vector<Instance> instances;
     for (const auto& entry : body["instances"]) {
         Instance instance;
--- a/Source/ClassServing/BackingServices/InstanceList.h
+++ b/Source/ClassServing/BackingServices/InstanceList.h
@@ -10,12 +10,12 @@
 
 namespace Brassladder::ClassServing::BackingServices {
 
-// A live or leaving instance, as the platform lists it. The list lags.
+// A live or leaving instance, as the platform lists it. The list may be out of date.
 struct Instance {
     std::string id;
-    std::string role; // "router", or the name of the pool that the upstream serves.
-    Common::Endpoint endpoint; // Of a router: where callers connect.
-    Common::Endpoint inner; // Of a router: where its peers connect.
+    std::string role; // "router", or the name of the pool that the upstream serves in.
+    Common::Endpoint endpoint; // Address for callers if the instance is a router, else the upstream's address.
+    Common::Endpoint inner; // Address for peers. Only routers have one.
     std::string failureDomain;
     bool leaving { false };
 
@@ -24,11 +24,11 @@
 };
 
 struct InstanceList {
-    // PlatformUnavailable when the list cannot be had.
+    // Returns PlatformUnavailable if the list cannot be fetched or parsed.
     std::function<Common::Result<std::vector<Instance>>()> read;
 };
 
-// The list over HTTP: GET /instances. Entries that are no instances are left out.
+// Fetches the list with GET /instances. Skips entries without an id, a role or a valid endpoint.
 InstanceList httpInstanceList(const Common::Endpoint&);
 
 } // namespace Brassladder::ClassServing::BackingServices
--- a/Source/ClassServing/BackingServices/LogService.cpp
+++ b/Source/ClassServing/BackingServices/LogService.cpp
@@ -9,7 +9,7 @@
 using Common::Json;
 using Common::member;
 
-// For a call to the service; a long poll adds its own wait. Chosen, not measured.
+// Timeouts of one call. A long poll adds its wait to the response timeout.
 static constexpr Common::Milliseconds connectTimeout { 500 };
 static constexpr Common::Milliseconds responseTimeout { 2000 };
 
@@ -39,7 +39,7 @@
         return unavailable(Common::Ran::Maybe, "log append: status " + std::to_string(valueOf(answer).status));
     auto offset = member<uint64_t>(Common::parseJson(valueOf(answer).body), "offset", 0);
     if (!offset)
-        return unavailable(Common::Ran::Maybe, "log append: an answer without an offset");
+        return unavailable(Common::Ran::Maybe, "log append: response has no offset");
     return offset;
 }
 
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -12,15 +12,14 @@
 using Common::HttpClientRequest;
 using Common::Status;
 
-// Events of the contract with engines (docs/INTERFACE.md, "Model engines").
+// Events of the engine protocol (docs/INTERFACE.md, "Model engines").
 static constexpr std::string_view endMarker = "[DONE]";
 static constexpr std::string_view pausedEvent = "paused";
 static constexpr std::string_view errorEvent = "error";
-// The engine no longer holds the paused generation.
+// Status of a resume if the engine no longer holds the paused generation.
 static constexpr unsigned statusGone = 410;
-// For the call that pauses a generation. Chosen, not measured.
 static constexpr Common::Milliseconds pauseTimeout { 2000 };
-// An event larger than this is no token.
+// Bounds the memory for an event that does not end.
 static constexpr size_t maxEventBytes = 1024 * 1024;
 
 EngineStream::EngineStream(Common::Endpoint engine, std::string requestId)
@@ -73,13 +72,14 @@
             return errorOf(taken);
         m_connection = std::move(valueOf(taken));
     } else {
-        // On a connection of its own the request cannot meet the close of an idle one.
+        // Uses a new connection, since an idle one might be closed while the request is sent. The request could then
+        // not be retried safely.
         m_connection = std::make_unique<Common::HttpConnection>();
         if (auto status = m_connection->connect(m_engine, timeouts.connect); isError(status))
             return status;
     }
     if (m_cancelled)
-        return Common::makeError(ErrorKind::CallerGone, "the caller went away during the connect");
+        return Common::makeError(ErrorKind::CallerGone, "the caller disconnected during the connect");
     HttpClientRequest callWithTimeout = call;
     callWithTimeout.responseTimeout = timeouts.answer;
     auto answer = m_connection->start(callWithTimeout);
@@ -99,9 +99,9 @@
             if (event->name == pausedEvent)
                 return EngineEvent { Paused { Common::member<uint32_t>(Common::parseJson(event->data), "tokens", 0) } };
             if (event->name == errorEvent)
-                return Common::makeError(ErrorKind::UpstreamBroken, "the engine gave the generation up");
+                return Common::makeError(ErrorKind::UpstreamBroken, "the engine aborted the generation");
             if (event->data == endMarker) {
-                // The last chunk still has to be read before the connection can carry another request.
+                // The last chunk must be read before the connection can be reused.
                 m_finished = !isError(m_connection->readBodyChunk()) && m_connection->isReusable();
                 return EngineEvent { Finished {} };
             }
@@ -123,7 +123,7 @@
         call.method = "POST";
         call.target = "/v1/requests/" + id + "/pause";
         call.responseTimeout = pauseTimeout;
-        // An engine that does not pause goes on, and its slot comes free at the end of the generation.
+        // If the engine does not pause, the generation continues and frees its slot at its end.
         if (auto response = Common::callOnce(engine, call); isError(response))
             Common::log(Common::LogLevel::Warning, "upstream", "pause.failed",
                 { { "request_id", id }, { "engine", engine.text() }, { "error", errorOf(response).message } });
--- a/Source/ClassServing/Upstream/EngineStream.h
+++ b/Source/ClassServing/Upstream/EngineStream.h
@@ -5,50 +5,50 @@
 #include "ClassServing/Upstream/SseParser.h"
 #include "Common/HttpClient.h"
 
-// Clients of model engines and plain services, after their contracts in docs/INTERFACE.md.
+// Clients for model engines and plain services. docs/INTERFACE.md specifies the protocols.
 namespace Brassladder::ClassServing::Upstream {
 
-// Headers of the contracts.
 inline constexpr std::string_view requestIdHeader = "Brassladder-Request-Id";
 inline constexpr std::string_view priorityHeader = "Brassladder-Priority";
 inline constexpr std::string_view ranHeader = "Brassladder-Ran";
 
 struct UpstreamTimeouts {
-    Common::Milliseconds connect { 0 }; // For a connection.
-    Common::Milliseconds answer { 0 }; // Until the response begins, and between its pieces.
+    Common::Milliseconds connect { 0 };
+    Common::Milliseconds answer { 0 }; // Until the response begins, and between two reads of its body.
 };
 
-// One piece of a generation, as the engine sent it.
+// One event of a generation: its bytes as received, and the content of its data field.
 struct Token {
     std::string raw;
     std::string data;
 };
-// The end marker was seen: the answer is whole.
+// The engine sent the end marker, which completes the generation.
 struct Finished { };
-// The engine holds the generation and has freed its slot.
+// The engine keeps the state of the generation and has freed its slot.
 struct Paused {
     uint32_t tokens { 0 };
 };
 using EngineEvent = std::variant<Token, Finished, Paused>;
 
-// One generation on one engine. Belongs to its request's fiber; `pause` and `cancel` may be called from other fibers
-// of the same thread.
+// One generation on one engine. Used by its request's fiber; `pause` and `cancel` may be called from other fibers of
+// the same thread.
 class EngineStream {
 public:
     EngineStream(Common::Endpoint engine, std::string requestId);
     ~EngineStream();
 
-    // With `mayRepeat` a kept connection is used. UpstreamConnect and UpstreamRefused say that it did not run.
+    // Sends the request, over a pooled connection if `mayRepeat`. After UpstreamConnect and UpstreamRefused the request
+    // did not run.
     Common::Status start(std::string_view body, Scheduling::Tier, bool mayRepeat, const UpstreamTimeouts&);
-    // Goes on with a paused generation; UpstreamLostState when the engine no longer holds it.
+    // Resumes a paused generation. Returns UpstreamLostState if the engine no longer holds it.
     Common::Status resume(uint32_t fromToken, Scheduling::Tier, const UpstreamTimeouts&);
-    // UpstreamBroken when the stream ends without its end marker.
+    // Waits for the next event. Returns UpstreamBroken if the stream ends without its end marker.
     Common::Result<EngineEvent> next();
 
-    // Asks the engine, in a fiber of its own, to hold the generation. The stream then ends with Paused, or goes on
-    // when the engine does not do it.
+    // Sends a pause request to the engine from a new fiber. The stream then ends with Paused, or continues if the
+    // engine does not pause.
     void pause();
-    // Ends the generation by closing its connection; before there is one, nothing is sent.
+    // Ends the generation by closing its connection. If the connect is still in progress, the request is not sent.
     void cancel();
 
 private:
@@ -63,7 +63,7 @@
     bool m_cancelled { false };
 };
 
-// Turns a refusal of an upstream (503 with `Brassladder-Ran: no`) or another bad status into an error.
+// Returns UpstreamRefused for a response with `Brassladder-Ran: no`, else UpstreamBroken.
 Common::Error statusError(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::ClassServing::Upstream
--- a/Source/ClassServing/Upstream/LoadProbe.cpp
+++ b/Source/ClassServing/Upstream/LoadProbe.cpp
@@ -8,7 +8,7 @@
 using Common::ErrorKind;
 using Common::member;
 
-// A load report that takes longer is of no use: the next one is due after the load interval. Chosen, not measured.
+// A later report is of no use, since the next one is due after the load interval.
 static constexpr Common::Milliseconds connectTimeout { 300 };
 static constexpr Common::Milliseconds responseTimeout { 500 };
 
@@ -23,7 +23,8 @@
         return errorOf(answer);
     auto body = Common::parseJson(valueOf(answer).body);
     if (valueOf(answer).status != 200 || !body.is_object())
-        return Common::makeError(ErrorKind::UpstreamBroken, "not a load report");
+        return Common::makeError(
+            ErrorKind::UpstreamBroken, "load report: response is not a JSON object with status 200");
     return Scheduling::LoadReport { member<uint32_t>(body, "running", 0), member<uint32_t>(body, "waiting", 0),
         member<bool>(body, "leaving", false) };
 }
--- a/Source/ClassServing/Upstream/LoadProbe.h
+++ b/Source/ClassServing/Upstream/LoadProbe.h
@@ -7,7 +7,7 @@
 
 namespace Brassladder::ClassServing::Upstream {
 
-// Reads an upstream's load report: GET /load. What it says lags behind.
+// Reads an upstream's load report with GET /load. The report may be out of date.
 Common::Result<Scheduling::LoadReport> readLoad(const Common::Endpoint&);
 
 } // namespace Brassladder::ClassServing::Upstream
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -12,7 +12,7 @@
 using Common::HttpClientResponse;
 using Common::Result;
 
-// The caller's key and target, and our own headers, are not for the other side.
+// Headers that are not forwarded: the caller's key, the host, and the router's own headers.
 static bool isStrippedHeader(std::string_view header)
 {
     auto lower = absl::AsciiStrToLower(absl::string_view(header.data(), header.size()));
@@ -64,7 +64,7 @@
             return errorOf(status);
     }
     if (m_cancelled)
-        return Common::makeError(Common::ErrorKind::CallerGone, "the caller went away during the connect");
+        return Common::makeError(Common::ErrorKind::CallerGone, "the caller disconnected during the connect");
     auto answer = m_connection->start(call);
     if (isError(answer))
         return answer;
--- a/Source/ClassServing/Upstream/ServiceCall.h
+++ b/Source/ClassServing/Upstream/ServiceCall.h
@@ -6,7 +6,8 @@
 
 namespace Brassladder::ClassServing::Upstream {
 
-// One call of a plain service. Belongs to its request's fiber; `cancel` may be called from other fibers of the thread.
+// One call of a plain service. Used by its request's fiber; `cancel` may be called from other fibers of the same
+// thread.
 class ServiceCall {
 public:
     ServiceCall(Common::Endpoint service, std::string requestId)
@@ -15,10 +16,11 @@
     {
     }
 
-    // The whole answer, whatever its status; UpstreamRefused when the service says that the request did not run.
+    // Returns the complete response with any status, or UpstreamRefused if the service states that the request did not
+    // run.
     Common::Result<Common::HttpClientResponse> run(
         const Common::HttpRequest&, std::string_view target, bool mayRepeat, const UpstreamTimeouts&);
-    // Closes the connection; before there is one, nothing is sent.
+    // Closes the connection. If the connect is still in progress, the request is not sent.
     void cancel();
 
 private:
@@ -28,7 +30,7 @@
     bool m_cancelled { false };
 };
 
-// The service's response headers for the caller: without those of a single connection and our own.
+// Returns the response headers to forward to the caller, without hop-by-hop headers and the router's own headers.
 std::vector<Common::HttpHeader> headersForCaller(const Common::HttpClientResponse&);
 
 } // namespace Brassladder::ClassServing::Upstream
--- a/Source/ClassServing/Upstream/SseParser.h
+++ b/Source/ClassServing/Upstream/SseParser.h
@@ -7,21 +7,21 @@
 
 namespace Brassladder::ClassServing::Upstream {
 
-// One server-sent event: its name (empty for the usual kind), its data, and its bytes as they came.
+// One server-sent event: its name (empty if it has none), its data, and its bytes as received.
 struct SseEvent {
     std::string name;
     std::string data;
     std::string raw;
 };
 
-// Cuts the body of a stream into events. A bare line feed ends lines, as engines send it; a carriage return before it
-// is passed over.
+// Splits the body of a stream into events. Lines end with a line feed, events with an empty line. Ignores a carriage
+// return at the end of a line, but an empty line must not have one.
 class SseParser {
 public:
     void feed(std::string_view bytes) { m_buffer += bytes; }
-    // The next whole event, if there is one.
+    // Returns the next complete event, or nullopt.
     std::optional<SseEvent> next();
-    // Bytes of an event that has not ended.
+    // Returns the number of buffered bytes that `next` has not returned yet.
     size_t unfinishedBytes() const { return m_buffer.size(); }
 
 private:
