--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -9,12 +9,13 @@
 
 using namespace std::chrono_literals;
 
-// The list may still show an upstream as live for a while after the upstream itself said that it leaves. After this
-// long the list is right, and the upstream has come back. Chosen, not measured.
+// How long an upstream's report that it is leaving overrides the instance list, which lags. If the list still shows the
+// upstream as live afterwards, the upstream has returned.
 static constexpr Common::Duration leavingRetention = 30s;
-// A suspicion that is not renewed fades. Longer than news takes to reach 350 routers (unit test), about six beats.
+// A suspicion that is not renewed expires after this time. Must exceed the time that a suspicion takes to reach all
+// routers.
 static constexpr Common::Duration suspicionLifetime = 8s;
-// Random heartbeat targets beside the watchers. Three reach 350 routers within eight heartbeats (unit test).
+// Random heartbeat targets in addition to the watchers.
 static constexpr size_t randomTargetCount = 3;
 
 const Upstream* View::upstream(std::string_view pool, std::string_view id) const
@@ -62,7 +63,7 @@
     auto self = static_cast<size_t>(std::lower_bound(ids.begin(), ids.end(), m_options.self) - ids.begin());
     for (auto& [id, state] : m_routers)
         state.watched = false;
-    // Those whose watchers include this router stand before it on the ring.
+    // This router watches its predecessors on the ring.
     for (size_t step = 1; step <= watched; ++step)
         m_routers[ids[(self + ids.size() - step) % ids.size()]].watched = true;
     for (const auto& id : ids) {
@@ -97,7 +98,8 @@
     publish(now);
 }
 
-// A watcher decides by heartbeats. Other routers decide by reported suspicions, unless the peer was heard since.
+// A watcher relies on heartbeats. Other routers rely on reported suspicions that are newer than the last message of the
+// router itself.
 bool Table::isUnresponsive(const RouterState& state, TimePoint now) const
 {
     if (state.watched)
@@ -165,7 +167,7 @@
         if (!isUnresponsive(state, now) && !state.suspected && !state.leaving)
             view.routers.push_back(instance.id);
     }
-    // The last router goes on as its own home until its requests have ended.
+    // The last router remains its own home until its requests have ended.
     if (view.routers.empty())
         view.routers.push_back(m_options.self);
     std::sort(view.routers.begin(), view.routers.end());
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -21,62 +21,61 @@
     bool operator==(const Upstream&) const = default;
 };
 
-// Who is there, as this router sees it at one moment. Immutable.
+// An immutable snapshot of the live routers and the listed upstreams, as this router sees them.
 struct View {
-    std::vector<std::string> routers; // Those that may be a home, sorted.
+    std::vector<std::string> routers; // The routers that may be a home, sorted.
     std::map<std::string, std::vector<Upstream>, std::less<>> pools; // Sorted by id within a pool.
 
     const Upstream* upstream(std::string_view pool, std::string_view id) const;
     bool operator==(const View&) const = default;
 };
 
-// Decides which routers are alive from three sources: the platform's instance list, which lags; the heartbeats of
-// peers; and the state of connections. Each router sends heartbeats to a few watchers. A watcher considers it alive
-// while its heartbeats arrive; all others while no watcher reports it missing. Suspicions are passed on with their age
-// and expire unless they are renewed, so messages are rare and a lost one is harmless. Safe to use from several
-// threads.
+// Determines which routers are alive from the platform's instance list, which lags, the peers' heartbeats and the state
+// of connections. Each router sends heartbeats to a few watchers. A watcher considers a router alive while its
+// heartbeats arrive; the other routers do so while no watcher reports it as unresponsive. Suspicions are forwarded with
+// their age and expire unless renewed, which makes a lost message harmless. Thread-safe.
 class Table {
 public:
-    // Six heartbeats of the default 250 ms. Chosen, not measured.
+    // Six heartbeats of the default interval.
     static constexpr Common::Milliseconds defaultHeartbeatTimeout { 1500 };
 
     struct Options {
         std::string self;
-        Common::Milliseconds heartbeatTimeout {
-            defaultHeartbeatTimeout
-        }; // A peer that sends nothing for longer is not alive.
+        // A peer that sends no message for longer is not alive.
+        Common::Milliseconds heartbeatTimeout { defaultHeartbeatTimeout };
     };
 
     explicit Table(Options);
 
     void setInstances(std::vector<BackingServices::Instance>, TimePoint now);
-    // A message of the peer itself arrived.
+    // Records that a message of the router itself arrived.
     void recordMessage(const std::string& router, TimePoint now);
-    // Another router reported that the peer's watchers miss it, or did so `age` ago.
+    // Records another router's report that `router` was found unresponsive `age` ago.
     void recordSuspicion(const std::string& router, Common::Milliseconds age, TimePoint now);
-    // A connection failed, or the peer did not answer in time: not alive until it is heard again.
+    // Marks a router as not alive until its next message, after a failed connection or a missing response.
     void suspect(const std::string& router, TimePoint now);
     void setRouterLeaving(const std::string& router, bool leaving, TimePoint now);
-    // An upstream or a peer reported that the upstream is leaving. Reverted when the list shows it gone and live again.
+    // Records a report that the upstream is leaving. The report expires after `leavingRetention`.
     void setUpstreamLeaving(const std::string& upstream, TimePoint now);
     void setSelfLeaving(TimePoint now);
-    // Looks at the clock; must be called a few times within `heartbeatTimeout`.
+    // Applies expired heartbeats and suspicions. Must be called several times per `heartbeatTimeout`.
     void tick(TimePoint now);
 
     std::shared_ptr<const View> view() const { return m_view.load(); }
-    // Called with each new view, outside of locks, by the thread that caused it.
+    // Sets the hook that runs for each new view, on the thread that caused the change. The hook may read the table, but
+    // must not change it, since it runs while the lock for publishing is held.
     void onChange(std::function<void(const View&)> hook) { m_onChange = std::move(hook); }
 
     std::vector<Inner::Peer> peers() const;
     std::vector<std::string> leavingUpstreams() const;
-    // What to report to others: the peers that are missed here or were reported missing, with the age of that.
+    // Returns the suspicions to report to other routers: all unresponsive routers, with the age of the suspicion.
     std::vector<std::pair<std::string, Common::Milliseconds>> suspicions(TimePoint now) const;
     bool isAlive(const std::string& router) const;
 
 private:
     struct RouterState {
         TimePoint lastMessageAt {};
-        TimePoint lastSuspicionAt {}; // When its watchers last missed it, as far as was told.
+        TimePoint lastSuspicionAt {}; // When its watchers last found it unresponsive, according to the reports.
         bool suspected { false };
         bool watched { false };
         bool leaving { false };
@@ -91,20 +90,21 @@
     std::mutex m_publishMutex;
     std::vector<BackingServices::Instance> m_instances;
     std::map<std::string, RouterState> m_routers;
-    std::map<std::string, TimePoint> m_leavingUpstreams; // When it was told first.
+    std::map<std::string, TimePoint> m_leavingUpstreams; // Time of the first report, by upstream.
     bool m_selfLeaving { false };
     Common::RcuCell<View> m_view;
     std::function<void(const View&)> m_onChange;
 };
 
-// Up to this many routers each watches all others. Chosen so that today's fleets (6 and 7) need no ring; the cost of
-// more is in docs/MEASUREMENTS.md, "Control".
+// Fleets of up to this many routers form a full mesh, in which each router watches all others. The limit bounds the
+// number of heartbeats in larger fleets.
 inline constexpr size_t fullMeshRouters = 9;
 
-// The routers that watch this one: the next ones on a ring of the sorted ids, all or `fullMeshRouters - 1`. The cost
-// for a node does not grow with the fleet.
+// Returns the routers that watch `self`: its next `fullMeshRouters - 1` successors on the ring of the sorted ids, or
+// all other routers if there are fewer.
 std::vector<std::string> watchersOf(std::span<const std::string> sortedIds, std::string_view self);
-// Heartbeats also go to a few random routers, so that suspicions reach all in logarithmic time.
+// Returns random routers to send heartbeats to, in addition to the watchers. They spread suspicions to the whole fleet
+// in a logarithmic number of rounds. Empty if the fleet is a full mesh.
 std::vector<std::string> randomHeartbeatTargets(
     std::span<const std::string> sortedIds, std::string_view self, uint64_t randomValue);
 
