--- a/Source/ClassServing/Frontend/AdminEndpoint.cpp
+++ b/Source/ClassServing/Frontend/AdminEndpoint.cpp
@@ -18,21 +18,21 @@
 void AdminEndpoint::handle(Common::HttpExchange& exchange)
 {
     if (!Common::constantTimeEquals(exchange.header("Authorization"), m_authorization))
-        return refuse(exchange, ErrorKind::Unauthenticated, "not the fleet's key");
+        return refuse(exchange, ErrorKind::Unauthenticated, "the Authorization header does not carry the fleet key");
     if (exchange.path() == "/admin/status")
         return void(exchange.respond(Common::jsonResponse(m_status())));
     if (exchange.path() == "/admin/explain") {
         auto found = m_explanations.find(std::string(exchange.query("id")));
         if (found)
             return void(exchange.respond(Common::jsonResponse(found->json())));
-        return refuse(exchange, ErrorKind::UnknownRoute, "this instance remembers no such request");
+        return refuse(exchange, ErrorKind::UnknownRoute, "no explanation for this request id on this instance");
     }
     if (exchange.path() == "/admin/drain" && exchange.request().method() == boost::beast::http::verb::post) {
         exchange.respond(Common::jsonResponse({ { "status", "draining" } }));
-        ::kill(::getpid(), SIGTERM); // The same planned stop that the platform asks for.
+        ::kill(::getpid(), SIGTERM); // Starts the same planned stop as a SIGTERM from the platform.
         return;
     }
-    refuse(exchange, ErrorKind::UnknownRoute, "no such operator call");
+    refuse(exchange, ErrorKind::UnknownRoute, "unknown admin request");
 }
 
 } // namespace Brassladder::ClassServing::Frontend
--- a/Source/ClassServing/Frontend/AdminEndpoint.h
+++ b/Source/ClassServing/Frontend/AdminEndpoint.h
@@ -9,8 +9,8 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// The operators' calls of a router: status, explanation of a request, planned stop. All need the fleet's key. Safe to
-// use from several threads.
+// Serves the operators' requests under /admin/: status, explanation of a request, planned stop. Each request must carry
+// the fleet key. Thread-safe.
 class AdminEndpoint {
 public:
     AdminEndpoint(const std::string& fleetKey, Explanations& explanations, std::function<Common::Json()> status)
--- a/Source/ClassServing/Frontend/AttemptLoop.cpp
+++ b/Source/ClassServing/Frontend/AttemptLoop.cpp
@@ -70,8 +70,8 @@
         return error;
     if (budget(context.requestClass->pool).withdraw(Common::now()))
         return std::nullopt;
-    auto spent
-        = Common::makeError(ErrorKind::RetryBudgetSpent, "the pool fails too often to try again: " + error.message);
+    auto spent = Common::makeError(
+        ErrorKind::RetryBudgetSpent, "the retry budget of the pool is exhausted; last error: " + error.message);
     spent.ran = error.ran;
     return spent;
 }
@@ -81,10 +81,11 @@
 {
     AttemptResult result;
     if (context.signal->isCancelled())
-        result = { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0, {} };
+        result = { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller disconnected"), 0, {} };
     else if (m_claims.isClaimStale(context, Common::now()) && !resuming)
         result = { SlotOutcome::Cancelled,
-            Common::makeError(ErrorKind::ClaimUnavailable, "the claim is too old to act on"), 0, {} };
+            Common::makeError(ErrorKind::ClaimUnavailable, "the claim became too old before the request was sent"), 0,
+            {} };
     else
         result = hook(placed.upstream);
     if (result.outcome == SlotOutcome::RefusedByUpstream && result.error)
--- a/Source/ClassServing/Frontend/AttemptLoop.h
+++ b/Source/ClassServing/Frontend/AttemptLoop.h
@@ -17,13 +17,13 @@
 // How one attempt to serve a request at one upstream ended.
 struct AttemptResult {
     Scheduling::SlotOutcome outcome { Scheduling::SlotOutcome::Completed };
-    std::optional<Common::Error> error; // Set unless the attempt completed or was paused.
+    std::optional<Common::Error> error; // Set unless the attempt completed or the engine paused it.
     uint32_t tokens { 0 };
-    Common::Duration perToken {}; // Mean time between two tokens; zero when unknown.
+    Common::Duration perToken {}; // Mean time between two tokens; zero if unknown.
 };
 
-// Takes a request through claim, slots, attempts and retries. What an attempt does is the caller's hook. The rule of
-// retries stands in Scheduling/RetryRule.h. Owns the retry budgets of the pools. Safe to use from several threads.
+// Runs a request: claims its key, acquires slots, makes attempts and retries failed ones by the rule in
+// Scheduling/RetryRule.h. The hook makes one attempt at one upstream. Owns the retry budget of each pool. Thread-safe.
 class AttemptLoop {
 public:
     using AttemptHook = std::function<AttemptResult(const Membership::Upstream&)>;
@@ -34,13 +34,13 @@
     {
     }
 
-    // Done when an attempt completed; else the error to answer with. Suspends the calling fiber.
+    // Returns Done once an attempt completed, else the error for the caller. Suspends the calling fiber.
     Common::Status run(RequestContext&, const AttemptHook&);
 
 private:
     Common::Status runClaimed(RequestContext&, const AttemptHook&);
     AttemptResult runAttempt(RequestContext&, const PlacedSlot&, bool resuming, const AttemptHook&);
-    // None when another attempt may be made, which is taken from the budget; else the error to answer with.
+    // Withdraws a retry from the budget and returns nullopt, or returns the error for the caller if there is no retry.
     std::optional<Common::Error> checkRetry(const RequestContext&, const Common::Error&, uint32_t attempts);
     Scheduling::RetryBudget& budget(const std::string& pool);
 
--- a/Source/ClassServing/Frontend/CallerEndpoint.cpp
+++ b/Source/ClassServing/Frontend/CallerEndpoint.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-// What a request's path asks for.
+// The destination that a request's path names.
 struct Target {
     bool isChat { false };
-    std::string_view service; // Name of the plain service; empty for a chat.
-    std::string_view path; // What follows the service's name.
+    std::string_view service; // Name of the plain service; empty for a chat request.
+    std::string_view path; // The rest of the target after the service's name, with the query.
 };
 
 } // namespace
 
-// None when the path is neither a chat nor a service.
+// Returns nullopt if the request is neither a chat request nor a call of a service.
 static std::optional<Target> targetOf(const Common::HttpExchange& exchange)
 {
     if (exchange.path() == chatPath && exchange.request().method() == boost::beast::http::verb::post)
@@ -37,7 +37,7 @@
     return Target { false, rest.substr(0, end), path.empty() ? "/" : path };
 }
 
-// Whether the request's class is for the pool that its path names.
+// Returns whether the request's class belongs to the pool that the path names.
 static bool isForPool(const RequestContext& context, const Target& target)
 {
     const auto* pool = context.table->pool(context.requestClass->pool);
@@ -74,10 +74,12 @@
 {
     auto target = targetOf(exchange);
     if (!target)
-        return refuse(
-            exchange, Common::makeError(ErrorKind::UnknownRoute, "POST /v1/chat/completions or /services/NAME/..."));
+        return refuse(exchange,
+            Common::makeError(ErrorKind::UnknownRoute,
+                "unknown path or method; use POST /v1/chat/completions or /services/NAME/..."));
     if (!m_parts.config.isReady())
-        return refuse(exchange, Common::makeError(ErrorKind::NotReady, "no configuration yet"));
+        return refuse(
+            exchange, Common::makeError(ErrorKind::NotReady, "the router has not loaded a configuration yet"));
     auto classified = classify(exchange, m_parts.config.table(), m_parts.explanations);
     if (isError(classified))
         return refuse(exchange, errorOf(classified));
@@ -85,7 +87,7 @@
     if (isDraining)
         exchange.closeAfterResponse();
     if (!isForPool(context, *target))
-        return refuse(exchange, Common::makeError(ErrorKind::ForbiddenClass, "the class is for another pool"));
+        return refuse(exchange, Common::makeError(ErrorKind::ForbiddenClass, "the class belongs to another pool"));
     RequestMetrics::arrived(*context.requestClass);
     exchange.watchCaller([signal = context.signal] { signal->cancel(); });
     auto status = target->isChat ? m_parts.chat.handle(context) : m_parts.services.handle(context, target->path);
--- a/Source/ClassServing/Frontend/CallerEndpoint.h
+++ b/Source/ClassServing/Frontend/CallerEndpoint.h
@@ -8,8 +8,8 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// The callers' side of class serving: finds the workspace, class and pool of a request, hands it to the handler of its
-// kind, and records how it ended. Safe to use from several threads.
+// Handles the callers' requests: determines workspace, class and pool, passes the request to the chat or the service
+// handler, and records its outcome. Thread-safe.
 class CallerEndpoint {
 public:
     struct Parts {
@@ -24,7 +24,7 @@
     {
     }
 
-    // Answers the request. `isDraining`: the connection closes after the answer.
+    // Responds to the request. Closes the connection after the response if `isDraining`.
     void handle(Common::HttpExchange&, bool isDraining);
 
 private:
--- a/Source/ClassServing/Frontend/ChatHandler.cpp
+++ b/Source/ClassServing/Frontend/ChatHandler.cpp
@@ -11,7 +11,7 @@
 using Common::Json;
 using Common::Status;
 
-// Prompts with the same first kilobyte are assumed to share a cached prefix. Chosen, not measured.
+// Prompts with the same first kilobyte are assumed to share a prefix in an engine's KV cache.
 static constexpr size_t prefixBytes = 1024;
 
 static uint64_t prefixHash(const Json& messages)
@@ -34,7 +34,7 @@
     Status status = Common::Done {};
     if (!isValid)
         status = Common::makeError(ErrorKind::BadRequest,
-            "the body is a JSON object, not nested too deeply, with an array `messages` that is not empty");
+            "the body must be a JSON object with a non-empty array `messages`, and must not be nested too deeply");
     else
         status = m_loop.run(
             context, [&](const Membership::Upstream& upstream) { return generation.runOnEngine(upstream); });
--- a/Source/ClassServing/Frontend/ChatHandler.h
+++ b/Source/ClassServing/Frontend/ChatHandler.h
@@ -6,7 +6,8 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// POST /v1/chat/completions: relays a generation token by token, or gathers it when the caller wants it whole.
+// Handles POST /v1/chat/completions. Relays the generation as a stream of events, or collects it into one response if
+// the caller did not request a stream.
 class ChatHandler {
 public:
     ChatHandler(AttemptLoop& loop, Upstream::UpstreamTimeouts timeouts)
@@ -15,7 +16,7 @@
     {
     }
 
-    // Answers the exchange, also on failure, and returns how the request ended.
+    // Responds to the request, with an error if it failed, and returns the request's final status.
     Common::Status handle(RequestContext&);
 
 private:
--- a/Source/ClassServing/Frontend/ClaimGate.cpp
+++ b/Source/ClassServing/Frontend/ClaimGate.cpp
@@ -8,22 +8,23 @@
 using Common::Ran;
 using Common::Status;
 
-// The part of the horizon within which a claimed request must be sent. The rest is the margin for a process that is
-// stopped between its last look at the clock and the write (docs/PROMISES.md, "Not proved"). Chosen, not measured.
+// A claimed request must be sent within the horizon divided by this. The rest is a margin for a process that is
+// suspended between its last check of the clock and the write (docs/PROMISES.md, "Not proved").
 static constexpr int sendWindowDivisor = 2;
 
 static Error claimError(Claims::Verdict verdict)
 {
     if (verdict == Claims::Verdict::Unavailable)
-        return Common::makeError(ErrorKind::ClaimUnavailable, "the platform's log does not confirm the key now");
-    auto error = Common::makeError(ErrorKind::DuplicateKey, "a request with this key was sent before");
+        return Common::makeError(
+            ErrorKind::ClaimUnavailable, "the platform's log did not confirm the claim of the Idempotency-Key");
+    auto error = Common::makeError(ErrorKind::DuplicateKey, "a request with this Idempotency-Key was sent before");
     if (verdict == Claims::Verdict::Ended)
         error.ran = Ran::Yes;
     return error;
 }
 
-// A later attempt of a class with vouched attempts never runs: the first one may have run without a claim, while the
-// log was out.
+// A later attempt in a class with vouched attempts never runs. The first attempt may have run without a claim while the
+// log was unavailable.
 static Error laterAttemptError(Claims::Verdict verdict)
 {
     return claimError(verdict == Claims::Verdict::Unavailable ? Claims::Verdict::Taken : verdict);
@@ -44,7 +45,7 @@
         context.claimedAt = Common::now();
         return Common::Done {};
     }
-    // The claim may yet take effect; freed, it does not stand in the way of the caller's next attempt.
+    // The claim may still be written to the log. Freeing it lets the caller's next attempt claim the key.
     if (verdict == Claims::Verdict::Unavailable)
         m_claims.reportFreed(what);
     return claimError(verdict);
--- a/Source/ClassServing/Frontend/ClaimGate.h
+++ b/Source/ClassServing/Frontend/ClaimGate.h
@@ -6,24 +6,25 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// At most once: claims the idempotency key of a request before it is sent, and settles the claim when the request is
-// over. Verdicts come from the log by way of the claim router (Claims/ClaimRouter.h). Safe to use from several threads.
+// Enforces at-most-once execution: claims the idempotency key of a request before it is sent to an upstream, and ends
+// or frees the claim afterwards. The claim router (Claims/ClaimRouter.h) decides claims by the log. Thread-safe.
 class ClaimGate {
 public:
-    // `horizon`: how long a claim holds; the same on all instances.
+    // `horizon`: how long a claim is valid. All instances must use the same value.
     ClaimGate(Claims::ClaimClient& claims, Common::Milliseconds horizon)
         : m_claims(claims)
         , m_horizon(horizon)
     {
     }
 
-    // Done when the request may be sent; requests without a claim key always may. DuplicateKey or ClaimUnavailable
-    // else. Suspends the calling fiber.
+    // Returns Done if the request may be sent, which is always so without a claim key, else DuplicateKey or
+    // ClaimUnavailable. Suspends the calling fiber.
     Common::Status claim(RequestContext&);
-    // The request is over: its claim ends, or is freed when the request did not run.
+    // Ends the claim of a request that completed, and frees the claim of one that did not run. Otherwise the claim
+    // stays.
     void settle(const RequestContext&, const Common::Status&);
-    // Whether the claim is too old to send the request: a process that was stopped after it won the claim must not send
-    // once the claim may have passed.
+    // Returns whether the claim is too old to send the request. A process that was suspended after it won the claim
+    // must not send once the claim may have expired.
     bool isClaimStale(const RequestContext&, Common::TimePoint now) const;
 
 private:
--- a/Source/ClassServing/Frontend/ClassRouter.cpp
+++ b/Source/ClassServing/Frontend/ClassRouter.cpp
@@ -17,7 +17,6 @@
 using namespace std::chrono_literals;
 
 static constexpr std::string_view adminPrefix = "/admin/";
-// How often a planned stop checks whether requests are in flight. Chosen, not measured.
 static constexpr Milliseconds drainPollInterval = 10ms;
 
 ClassRouter::ClassRouter(Common::FiberRuntime& runtime, ClassRouterSettings settings)
@@ -73,7 +72,7 @@
     if (isError(inner))
         return errorOf(inner);
     m_innerPort = valueOf(inner);
-    // A first view, so that requests of callers find one.
+    // Publishes the first view before the server accepts requests.
     m_membership.tick(Common::now());
     auto server = Common::HttpServer::Builder(m_runtime)
                       .endpoint(m_settings.http)
@@ -86,7 +85,7 @@
     return Common::Done {};
 }
 
-// Messages to itself take the same way as those from others, without the mesh.
+// Delivers messages to this router itself directly, without the mesh.
 void ClassRouter::sendTo(const std::string& peer, Item item)
 {
     if (peer == m_settings.id)
--- a/Source/ClassServing/Frontend/ClassRouter.h
+++ b/Source/ClassServing/Frontend/ClassRouter.h
@@ -18,20 +18,20 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// A router that serves classes (`--serve=classes`), with every role in one process: wires the parts together and owns
-// the ports. Lives until the process ends.
+// A router that serves classes (`--serve=classes`). Owns its components and the listening ports, and connects the
+// components to each other. Lives until the process exits.
 class ClassRouter {
 public:
     ClassRouter(Common::FiberRuntime&, ClassRouterSettings);
 
-    // Binds the ports and starts to serve. PlatformUnavailable when a port cannot be had.
+    // Binds the ports and starts to serve. Returns PlatformUnavailable if a port cannot be bound.
     Common::Status start();
     uint16_t httpPort() const { return m_server->port(); }
     uint16_t innerPort() const { return m_innerPort; }
 
-    // A planned stop: fails the readiness check at once, serves on for the balancer's lag, hands its homes over, and
-    // finishes what is in flight. Returns when nothing is in flight or the limit is reached. Blocks a plain thread, not
-    // a fiber.
+    // Performs a planned stop: fails the readiness check and leaves the membership, which moves this router's homes to
+    // its peers. Keeps accepting connections for the balancer's removal delay, then waits until no request is in flight
+    // or the timeout expires. Blocks the calling thread; must not be called from a fiber.
     void drain();
 
 private:
--- a/Source/ClassServing/Frontend/ClassRouterSettings.h
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.h
@@ -7,7 +7,7 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// The settings of a router that serves classes, read from its table of rows, which holds the defaults.
+// The settings of a router that serves classes. `table` lists their names, types, defaults and bounds.
 struct ClassRouterSettings {
     std::string id;
     std::string failureDomain;
--- a/Source/ClassServing/Frontend/Explanations.h
+++ b/Source/ClassServing/Frontend/Explanations.h
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
-// The caller-facing side of class serving, and what wires its parts together.
+// The HTTP front end of class serving, and the class router that owns all components.
 namespace Brassladder::ClassServing::Frontend {
 
-// What happened to one request, step by step: why it ran where it ran, waited, or was refused.
+// The trace of one request: its steps, such as grants, attempts and refusals, with their reasons. Thread-safe.
 class Explanation {
 public:
     Explanation(std::string requestId, std::string workspace, std::string requestClass);
@@ -25,7 +25,7 @@
 
 private:
     struct Step {
-        Common::Milliseconds sinceArrival { 0 }; // Since the request arrived.
+        Common::Milliseconds sinceArrival { 0 };
         std::string what;
         Common::Json details;
     };
@@ -37,7 +37,7 @@
     std::vector<Step> m_steps;
 };
 
-// The explanations of the latest requests, up to a bound. Safe to use from several threads.
+// Keeps the explanations of the latest `capacity` requests. Thread-safe.
 class Explanations {
 public:
     explicit Explanations(size_t capacity)
--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -64,7 +64,7 @@
             if (relayToken(*token))
                 continue;
             stream.cancel();
-            return failedResult(Common::makeError(ErrorKind::CallerGone, "the caller went away"));
+            return failedResult(Common::makeError(ErrorKind::CallerGone, "the caller disconnected"));
         }
         uint32_t tokens = m_tokens - before;
         auto perToken = tokens > 1 ? (m_lastToken - m_firstToken) / (tokens - 1) : Common::Duration::zero();
@@ -112,7 +112,7 @@
     if (m_context.signal->isCancelled() || m_context.exchange.callerGone() || error.kind == ErrorKind::CallerGone) {
         m_context.signal->cancel();
         RequestMetrics::wasted(name, Waste::CallerGone, m_tokens);
-        return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), m_tokens,
+        return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller disconnected"), m_tokens,
             {} };
     }
     RequestMetrics::wasted(
@@ -125,9 +125,9 @@
     if (error.kind == ErrorKind::UpstreamRefused)
         outcome = SlotOutcome::RefusedByUpstream;
     if (error.kind == ErrorKind::UpstreamLostState)
-        outcome = SlotOutcome::Cancelled; // The engine itself is healthy.
+        outcome = SlotOutcome::Cancelled; // Only the paused state is lost; the engine itself is healthy.
     Error known = error;
-    // A generation that has been paused did run before.
+    // A generation that was paused has run before.
     if (m_paused && known.ran == Ran::No)
         known.ran = Ran::Maybe;
     m_paused = false;
@@ -162,7 +162,7 @@
     if (error.kind == ErrorKind::CallerGone)
         return m_context.exchange.closeAfterResponse();
     if (m_context.relayed) {
-        // The response has begun: it ends with an explicit error, and without the end marker.
+        // The response has begun, so the stream ends with an error event and without the end marker.
         m_context.exchange.write("event: error\ndata: " + Common::dumpJson(Common::errorJson(error)) + "\n\n");
         m_context.exchange.endStream();
         return;
--- a/Source/ClassServing/Frontend/Generation.h
+++ b/Source/ClassServing/Frontend/Generation.h
@@ -8,8 +8,8 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// One generation as the caller sees it, over all attempts and pauses: relays tokens as they come, or collects them when
-// the caller wants the response whole. Belongs to the fiber of its request.
+// The response to one chat request, across all attempts and pauses. Relays tokens as they arrive, or collects them if
+// the caller did not request a stream. Not thread-safe; used by the fiber of its request.
 class Generation {
 public:
     Generation(RequestContext& context, std::string body, bool streaming, const Upstream::UpstreamTimeouts& timeouts)
@@ -20,18 +20,18 @@
     {
     }
 
-    // One attempt at an engine, or the rest of a paused generation there. Suspends the calling fiber.
+    // Makes one attempt at the engine, or resumes the generation that is paused there. Suspends the calling fiber.
     AttemptResult runOnEngine(const Membership::Upstream&);
-    // Ends the response: the end marker of a stream, or the whole text.
+    // Ends the response with the end marker of the stream or, without streaming, sends the whole text.
     void finishResponse();
-    // Ends the response with an error; of a stream that has begun, as an event without the end marker.
+    // Responds with an error. If the stream has begun, sends an error event and no end marker.
     void finishWithError(const Common::Error&);
-    uint32_t tokens() const { return m_tokens; } // Of the last attempt, over its pauses.
+    uint32_t tokens() const { return m_tokens; } // Of the current attempt, including its pauses.
 
 private:
     std::optional<Common::Error> open(Upstream::EngineStream&);
     AttemptResult relay(Upstream::EngineStream&);
-    bool relayToken(const Upstream::Token&); // False when the caller is gone.
+    bool relayToken(const Upstream::Token&); // Returns false if the caller has disconnected.
     AttemptResult failedResult(const Common::Error&);
     Common::HttpResponse responseHead(std::string contentType) const;
 
@@ -39,7 +39,7 @@
     std::string m_body;
     bool m_streaming;
     Upstream::UpstreamTimeouts m_timeouts;
-    uint32_t m_tokens { 0 }; // As above.
+    uint32_t m_tokens { 0 };
     bool m_paused { false };
     bool m_hasFirstToken { false };
     std::string m_text;
--- a/Source/ClassServing/Frontend/MessageDispatcher.cpp
+++ b/Source/ClassServing/Frontend/MessageDispatcher.cpp
@@ -8,7 +8,7 @@
 using Inner::Wire::Item;
 using namespace std::chrono_literals;
 
-// A home that sent anything within this time is slow, not gone. Chosen, not measured: two heartbeats.
+// A home that sent any message within this time is slow, not lost. Two heartbeats of the default interval.
 static constexpr Common::Duration recentMessageWindow = 500ms;
 
 void MessageDispatcher::recordMessageFrom(const std::string& router)
@@ -55,7 +55,7 @@
         return m_parts.claims.onVerdict(item.claim_verdict());
     case Item::kClaimUpdate:
         return onClaimUpdate(item.claim_update());
-    // Messages of routers that serve routes; the two modes do not share a fleet.
+    // Only routers that serve routes send these. The two modes do not share a fleet.
     case Item::kKnowledgeAsk:
     case Item::kKnowledge:
     case Item::kHubLoads:
--- a/Source/ClassServing/Frontend/MessageDispatcher.h
+++ b/Source/ClassServing/Frontend/MessageDispatcher.h
@@ -14,8 +14,8 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// Hands each message between routers (Inner/Inner.proto) to the part that it is for, and keeps when each router was
-// last heard. Safe to use from several threads.
+// Passes each message from a router (Inner/Inner.proto) to the component that handles it, and records when each router
+// last sent one. Thread-safe.
 class MessageDispatcher {
 public:
     struct Parts {
@@ -36,7 +36,8 @@
     }
 
     void onItem(const Inner::Mesh::Sender&, const Inner::Wire::Item&);
-    // A home did not answer the highest tier: it is suspected unless something else of it was heard lately.
+    // Called if a home did not respond to a request of the highest tier. Suspects the home unless it sent another
+    // message recently.
     void onHomeUnresponsive(const std::string& home);
 
 private:
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -13,12 +13,11 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// How often the scheduler expires, preempts and grants what only time decides: about a step of an engine ("a few
-// milliseconds or more", brief).
+// How often the scheduler handles expired waits, preemptions and grants. About the duration of one engine step.
 static constexpr Milliseconds schedulerTickInterval = 5ms;
-// How often membership looks at the clock. Chosen, not measured: a fifteenth of the default silence.
+// How often membership checks for expired heartbeats. Must be well below the heartbeat timeout.
 static constexpr Milliseconds membershipTickInterval = 100ms;
-// How often requests that have waited long are looked for, to be sent to their home again. Chosen, not measured.
+// How often the grant client resends requests that have waited long to their home.
 static constexpr Milliseconds resendInterval = 500ms;
 
 static void runPeriodically(Common::FiberRuntime& runtime, Milliseconds interval, std::function<void()> work)
@@ -59,7 +58,7 @@
     static auto& s_failures = Common::Metrics::counter(
         "brassladder_instance_list_failures_total", "Reads of the instance list that failed");
     if (isError(instances)) {
-        // The counter above shows it; the last list stays in force.
+        // The last list stays in use. Logged at debug level only, as the counter shows the failures.
         Common::log(
             Common::LogLevel::Debug, "membership", "list.unreadable", { { "error", errorOf(instances).message } });
         s_failures.Increment();
@@ -102,8 +101,8 @@
     }
 }
 
-// A read that fails changes nothing, since the scheduler relies on its own count of grants; it is logged for debugging
-// only, because an engine that is gone fails twice a second.
+// A failed read changes nothing, since the scheduler relies on its own count of grants. It is logged at debug level
+// only, because an unreachable engine fails at every load interval.
 void PeriodicWork::readLoad(const Dispatch::ShardKey& shard, const Membership::Upstream& upstream)
 {
     auto load = Upstream::readLoad(upstream.endpoint);
--- a/Source/ClassServing/Frontend/PeriodicWork.h
+++ b/Source/ClassServing/Frontend/PeriodicWork.h
@@ -10,8 +10,9 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// The background work of a router that serves classes: instance list, heartbeats, load reports, and the clocks of
-// scheduler, membership and grant client. Lives until the process ends.
+// The background work of a router that serves classes: follows the configuration, reads the instance list and load
+// reports, sends heartbeats, and calls the timers of scheduler, membership and grant client. Lives until the process
+// exits.
 class PeriodicWork {
 public:
     struct Parts {
--- a/Source/ClassServing/Frontend/RequestContext.cpp
+++ b/Source/ClassServing/Frontend/RequestContext.cpp
@@ -11,7 +11,7 @@
 using Common::Result;
 
 static constexpr std::string_view bearerPrefix = "Bearer ";
-// Bytes of an Idempotency-Key (docs/INTERFACE.md). Chosen, not measured.
+// Documented in docs/INTERFACE.md.
 static constexpr size_t maxIdempotencyKeyBytes = 256;
 
 static Result<std::optional<uint32_t>> readAttempt(std::string_view text)
@@ -21,7 +21,7 @@
     uint32_t attempt = 0;
     auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), attempt);
     if (problem != std::errc {} || end != text.data() + text.size() || !attempt)
-        return Common::makeError(ErrorKind::BadRequest, "Brassladder-Attempt is a whole number from 1");
+        return Common::makeError(ErrorKind::BadRequest, "Brassladder-Attempt must be an integer of at least 1");
     return std::optional<uint32_t>(attempt);
 }
 
@@ -37,8 +37,8 @@
     if (key.empty() || !context.requestClass->noRepeat)
         return Common::Done {};
     if (context.requestClass->vouchedAttempts && !context.attempt)
-        return Common::makeError(
-            ErrorKind::BadRequest, "requests of this class with an Idempotency-Key state Brassladder-Attempt");
+        return Common::makeError(ErrorKind::BadRequest,
+            "requests of this class with an Idempotency-Key must carry the header Brassladder-Attempt");
     context.claimKey = Common::sha256Hex(context.workspace->name + "\n" + std::string(key));
     return Common::Done {};
 }
@@ -48,10 +48,10 @@
 {
     auto authorization = exchange.header("Authorization");
     if (!authorization.starts_with(bearerPrefix))
-        return Common::makeError(ErrorKind::Unauthenticated, "no key: Authorization: Bearer KEY");
+        return Common::makeError(ErrorKind::Unauthenticated, "the header `Authorization: Bearer KEY` is missing");
     const auto* workspace = table->workspaceOfKey(authorization.substr(bearerPrefix.size()));
     if (!workspace)
-        return Common::makeError(ErrorKind::Unauthenticated, "the key belongs to no workspace");
+        return Common::makeError(ErrorKind::Unauthenticated, "the key does not belong to any workspace");
     auto className = exchange.header("Brassladder-Class");
     if (className.empty())
         className = workspace->defaultClass;
--- a/Source/ClassServing/Frontend/RequestMetrics.h
+++ b/Source/ClassServing/Frontend/RequestMetrics.h
@@ -6,7 +6,7 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// Why generated tokens were of no use to a caller.
+// Why generated tokens were discarded.
 enum class Waste { CallerGone, UpstreamBroken, LostState };
 
 // Counters and histograms of class serving (docs/OPERATIONS.md). Labels: class, tier and reason.
@@ -15,7 +15,7 @@
 void refused(std::string_view requestClass, Common::ErrorKind);
 void retried(std::string_view requestClass, Common::ErrorKind reason);
 void preempted(std::string_view requestClass);
-// First token of a generation, or the response of a plain service.
+// Records the time to the first token of a generation, or to the response of a plain service.
 void answered(const Config::RequestClass&, Common::Duration afterArrival);
 void completed(std::string_view requestClass, uint32_t tokens);
 void wasted(std::string_view requestClass, Waste, uint32_t tokens);
--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -19,7 +19,7 @@
 
 static Common::HttpResponse responseOf(const Common::HttpClientResponse& answer, const std::string& requestId)
 {
-    // The content type is among the headers.
+    // The content type stays empty, since it is among the service's headers.
     Common::HttpResponse response { answer.status, answer.body, {}, Upstream::headersForCaller(answer) };
     response.headers.push_back({ std::string(requestIdHeader), requestId });
     return response;
@@ -33,7 +33,7 @@
         context.exchange.watchCaller(
             [signal = context.signal, weak = std::weak_ptr(call), keep = context.requestClass->noRepeat] {
                 signal->cancel();
-                // A call that must not be repeated is not cancelled: nobody would know whether it ran.
+                // Does not cancel a call that must not be repeated, as its outcome would then be unknown.
                 if (auto live = weak.lock(); live && !keep)
                     live->cancel();
             });
@@ -44,7 +44,7 @@
             context.explanation->step(
                 "try_failed", { { "reason", Common::name(error.kind) }, { "message", error.message } });
             if (context.signal->isCancelled())
-                return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller went away"), 0,
+                return { SlotOutcome::Cancelled, Common::makeError(ErrorKind::CallerGone, "the caller disconnected"), 0,
                     {} };
             return { outcomeOf(error.kind), error, 0, {} };
         }
--- a/Source/ClassServing/Frontend/ServiceHandler.h
+++ b/Source/ClassServing/Frontend/ServiceHandler.h
@@ -6,7 +6,7 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// ANY /services/NAME/...: passes a call on to a plain service.
+// Handles requests of any method to /services/NAME/... by forwarding them to a plain service.
 class ServiceHandler {
 public:
     ServiceHandler(AttemptLoop& loop, Upstream::UpstreamTimeouts timeouts)
@@ -15,7 +15,8 @@
     {
     }
 
-    // Answers the exchange, also on failure. `target` is what follows the service's name.
+    // Responds to the request, with an error if it failed. `target` is the part of the request's target after the
+    // service's name.
     Common::Status handle(RequestContext&, std::string_view target);
 
 private:
--- a/Source/ClassServing/Frontend/SlotPlacement.cpp
+++ b/Source/ClassServing/Frontend/SlotPlacement.cpp
@@ -10,8 +10,8 @@
 using Common::Result;
 using Scheduling::SlotOutcome;
 
-// A paused generation goes on in the shard of its upstream. Any other request goes to the less loaded of two shards:
-// the one that its prefix names, so that a cached prefix is found again, and a random one.
+// A paused generation resumes in the shard of its upstream. Any other request goes to the less loaded of two shards:
+// the shard that its prefix hashes to, where the prefix may be cached, and a random one.
 Dispatch::ShardKey SlotPlacement::chooseShard(const RequestContext& context, const std::string& pinned)
 {
     const auto& pool = context.requestClass->pool;
@@ -46,7 +46,8 @@
     PlacedSlot placed { valueOf(slot), request.shard, {} };
     auto view = m_membership.view();
     const auto* upstream = view->upstream(request.shard.pool, placed.slot.upstream);
-    // This router may know of a leaving upstream before the home does. What was paused there still goes on there.
+    // This router may learn that an upstream is leaving before the home does. A generation that is paused there still
+    // resumes there.
     if (!upstream || (upstream->leaving && pinned.empty())) {
         release(placed, SlotOutcome::RefusedByUpstream, 0, {});
         return Common::makeError(
--- a/Source/ClassServing/Frontend/SlotPlacement.h
+++ b/Source/ClassServing/Frontend/SlotPlacement.h
@@ -6,14 +6,14 @@
 
 namespace Brassladder::ClassServing::Frontend {
 
-// A granted slot and the upstream that it is on.
+// A granted slot, its shard and its upstream.
 struct PlacedSlot {
     Dispatch::Slot slot;
     Dispatch::ShardKey shard;
     Membership::Upstream upstream;
 };
 
-// Gets a request a slot from the home of a shard. Safe to use from several threads.
+// Chooses a shard for a request and acquires a slot from the shard's home. Thread-safe.
 class SlotPlacement {
 public:
     SlotPlacement(Dispatch::GrantClient& grants, Membership::Table& membership)
@@ -22,11 +22,11 @@
     {
     }
 
-    // `pinned`: the upstream that holds the paused generation, or empty. `avoid`: the one that failed the last attempt,
-    // or empty. Errors of GrantClient::acquire; UpstreamRefused or UpstreamLostState when the upstream is leaving.
-    // Suspends the calling fiber.
+    // `pinned`: the upstream that holds the paused generation, or empty. `avoid`: the upstream of the last failed
+    // attempt, or empty. Returns the errors of GrantClient::acquire; without `pinned` also UpstreamRefused if the
+    // granted upstream is unlisted or leaving, with `pinned` also UpstreamLostState if it is unlisted. Suspends the
+    // calling fiber.
     Common::Result<PlacedSlot> place(RequestContext&, const std::string& pinned, const std::string& avoid);
-    // Gives the slot back.
     void release(const PlacedSlot&, Scheduling::SlotOutcome, uint32_t tokens, Common::Duration perToken);
 
 private:
