--- a/Source/Benchmarks/ConfigCompile.cpp
+++ b/Source/Benchmarks/ConfigCompile.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The cost of putting one changed file in force among many workspaces.
+// Measures how long it takes to apply one changed file to a configuration with many workspaces.
 #include "Common/Precompiled.h"
 
 #include "ClassServing/Config/Table.h"
--- a/Source/Benchmarks/ControlCost.cpp
+++ b/Source/Benchmarks/ControlCost.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the routers spend on each other, at several sizes of the fleet: at rest, for each request and for each change.
+// Measures the traffic between routers and their processor time and memory for several fleet sizes: idle, per request,
+// and per configuration change.
 #include "Common/Precompiled.h"
 
 #include "Common/Digest.h"
@@ -31,7 +32,8 @@
     std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
     std::string line;
     std::getline(file, line);
-    // Fields 14 and 15, user and system time in ticks, counted after the name in parentheses (proc(5)).
+    // Fields 14 and 15 are user and system time in clock ticks. They are counted after the parenthesised process name
+    // (proc(5)).
     std::istringstream rest(line.substr(line.rfind(')') + 2));
     std::string skipped;
     for (int field = 3; field < 14; ++field)
@@ -42,7 +44,7 @@
     return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-// Sums over all routers.
+// Returns the sums over all routers.
 static Usage measure(Testing::Harness::Cluster& cluster)
 {
     Usage sum;
@@ -119,7 +121,7 @@
 
 int main(int argc, char** argv)
 {
-    Common::parseCommandLine(argc, argv, "Measures what routers spend on each other.");
+    Common::parseCommandLine(argc, argv, "Measures the cost of the traffic between routers.");
     auto& runtime = Common::FiberRuntime::start(2);
     for (const auto& text : absl::GetFlag(FLAGS_sizes)) {
         int routers = 0;
--- a/Source/Benchmarks/GrantDecision.cpp
+++ b/Source/Benchmarks/GrantDecision.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The cost of one scheduling decision: a slot comes free, the next request gets it, and another one joins the queue.
+// Measures one scheduling decision: a slot is released, the next request is granted, and another request joins the
+// queue.
 #include "Common/Precompiled.h"
 
 #include "ClassServing/Scheduling/ShardScheduler.h"
@@ -9,7 +10,7 @@
 using namespace Brassladder;
 using namespace std::chrono_literals;
 
-// The letter's size: 4,300 workspaces, 4 tiers; one shard has 16 workers.
+// A large site has 4,300 workspaces and 4 tiers. One shard has 16 workers.
 static constexpr uint64_t workspaces = 4300;
 static constexpr uint32_t workers = 16;
 static constexpr uint32_t slots = 8;
--- a/Source/Benchmarks/LimitCallers.cpp
+++ b/Source/Benchmarks/LimitCallers.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// What callers get while upstreams have named limits for all routers together, by what becomes of requests for which no
-// quota is left; on virtual time, with the product's registry and exchange of quotas. Figures in
-// docs/design/upstream-limit.md.
+// Compares policies for requests that find no quota left at rate-limited upstreams, by the results that callers see.
+// The simulation runs on virtual time with the product's upstream registry and quota exchange.
+// docs/design/upstream-limit.md lists the results.
 #include "Common/Precompiled.h"
 
 #include "RouteServing/Gateway/QuotaExchange.h"
@@ -27,9 +27,9 @@
 constexpr const char* policyNames[] { "refuse, until due", "refuse, one second", "hold" };
 
 struct Scenario {
-    double limitedShare { 0.5 }; // Of the upstreams.
-    double limit { 0.2 }; // Of what each of them got before.
-    double load { 0.5 }; // Of what all upstreams could serve.
+    double limitedShare { 0.5 }; // Fraction of all upstreams.
+    double limit { 0.2 }; // Fraction of the previous load of each limited upstream.
+    double load { 0.5 }; // Fraction of the total upstream capacity.
     RefusalPolicy policy { RefusalPolicy::RefuseUntilDue };
 };
 
@@ -46,7 +46,7 @@
 constexpr TimePoint limitedFrom = start + 2s;
 constexpr TimePoint countedFrom = start + 4s;
 constexpr TimePoint end = start + 14s;
-// Half of all requests are more urgent than the others.
+// Half of all requests belong to the more urgent rank.
 constexpr size_t ranks = 2;
 
 struct Outcome {
@@ -96,7 +96,7 @@
     };
     struct Request {
         TimePoint first;
-        TimePoint arrived; // At the router that has it.
+        TimePoint arrived; // At the current router.
         size_t router { 0 };
         size_t rank { 0 };
         bool isReturn { false };
@@ -155,7 +155,7 @@
         return { others, { m_routers[index].id } };
     }
 
-    // Messages arrive at once.
+    // Runs one exchange step of a router. Messages are delivered without delay.
     void step(size_t index)
     {
         at(m_now + stepInterval, [this, index] { step(index); });
@@ -216,7 +216,8 @@
         refuseRequest(request, m_scenario.policy == RefusalPolicy::RefuseForASecond ? 1000ms : wait);
     }
 
-    // The caller comes back once, at another router, and waits for a third of its time at most (PROTOCOL, "Answers").
+    // The caller retries once, at a random router. It waits for at most a third of its remaining time (PROTOCOL,
+    // "Answers").
     void refuseRequest(const RequestPtr& request, Milliseconds wait)
     {
         if (request->isReturn)
--- a/Source/Benchmarks/LimitWays.cpp
+++ b/Source/Benchmarks/LimitWays.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Ways to keep a limit that an upstream has named for all routers together, on virtual time. Figures in
-// docs/design/upstream-limit.md.
+// Compares strategies that keep the total rate of all routers within an upstream's limit, on virtual time.
+// docs/design/upstream-limit.md lists the results.
 #include "Common/Precompiled.h"
 
 #include "Common/Digest.h"
@@ -20,7 +20,7 @@
 enum class LimitStrategy { EqualShares, DemandShares, RankedRouters, Assigned };
 constexpr const char* strategyNames[] { "equal shares", "shares by demand", "ranked routers", "assigned" };
 
-// A bucket of one request.
+// A token bucket with a capacity of one request.
 struct Bucket {
     double rate { 0 };
     double saved { 1 };
@@ -69,7 +69,7 @@
     constexpr auto length = 20s;
     QuotaFleet::Options options;
     options.routers = routers;
-    // One router in ten gets most of the requests.
+    // One router in ten receives four times the demand of the others.
     auto demand = routers < 60 ? 6.0 : 2.0;
     for (size_t router = 0; router < routers; ++router)
         options.demands.push_back(router % 10 == 3 ? 4 * demand : demand);
--- a/Source/Benchmarks/PathCost.cpp
+++ b/Source/Benchmarks/PathCost.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the router adds to a call, against calling the upstream directly in the same run; and the memory of idle
-// streams.
+// Measures the latency that the router adds to a call, against a direct call to the upstream in the same run, and the
+// memory that idle streams need.
 #include "Common/Precompiled.h"
 
 #include "Common/Program.h"
@@ -17,7 +17,7 @@
 ABSL_FLAG(int, calls, 4000, "Calls of each kind");
 ABSL_FLAG(int, streams, 10'000, "Idle streams");
 
-// Memory of a process in KB, as the kernel counts it.
+// Returns the resident memory of a process in KB.
 static uint64_t residentKilobytes(pid_t pid)
 {
     std::ifstream file("/proc/" + std::to_string(pid) + "/status");
@@ -37,7 +37,7 @@
     }
 };
 
-// The same call over and over on one kept connection.
+// Repeats the same call on one keep-alive connection.
 static Latencies timeCalls(
     Common::FiberRuntime& runtime, const Common::Endpoint& endpoint, const Common::HttpClientRequest& call, int count)
 {
@@ -56,7 +56,7 @@
     });
 }
 
-// Calls a second with many connections at once.
+// Returns the calls per second of concurrent connections.
 static double throughput(Common::FiberRuntime& runtime, const Common::Endpoint& endpoint,
     const Common::HttpClientRequest& call, int connections, int each)
 {
@@ -118,7 +118,7 @@
         timeCalls(runtime, router, routedStream, count / 4));
 }
 
-// Streams whose engine gives a token an hour: each stands open through the router.
+// Measures memory with many open streams. The engine produces one token an hour.
 static void measureIdleStreams(Common::FiberRuntime& runtime)
 {
     Testing::Harness::Cluster cluster(runtime);
--- a/Source/Benchmarks/RequestHash.cpp
+++ b/Source/Benchmarks/RequestHash.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What it costs to recognise a request: the hash of all but the body, and the whole identity.
+// Measures the hash of a request without its body, and the full request identity.
 #include "Common/Precompiled.h"
 
 #include "RouteServing/Routing/RequestIdentity.h"
--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Ways to treat requests while upstreams rest, and to come back to them afterwards, on virtual time and with the
-// product's own registry. Figures in docs/design/upstream-rest.md.
+// Compares policies for requests that arrive while upstreams are in cooldown, and for the return of traffic afterwards.
+// The simulation runs on virtual time with the product's upstream registry. docs/design/upstream-rest.md lists the
+// results.
 #include "Common/Precompiled.h"
 
 #include "RouteServing/Routing/NoUpstreamPolicy.h"
@@ -26,27 +27,27 @@
 
 struct Scenario {
     size_t routers { 6 };
-    double coolingShare { 0.3 }; // Of the upstreams.
+    double coolingShare { 0.3 }; // Fraction of all upstreams.
     Milliseconds rest { 1000 };
-    double load { 0.5 }; // Of what all upstreams can serve.
+    double load { 0.5 }; // Fraction of the total upstream capacity.
     AllCoolingPolicy allCoolingPolicy { AllCoolingPolicy::Refuse };
     ReturnMode returnMode { ReturnMode::OneFirst };
     Milliseconds serviceTime { 30 };
 };
 
-// An upstream with these slots and as many places to queue: the plain services of the users' sites (6 slots, calls of
-// 15 to 60 ms). Calls of large fleets are longer, so that a play takes seconds. Two upstreams a router.
+// Each upstream has `slots` slots and a queue of the same length, as plain services with calls of 15 to 60 ms have.
+// There are two upstreams per router. Calls of large fleets take longer, which limits the number of simulated events.
 constexpr unsigned slots = 6;
 constexpr unsigned places = 2 * slots;
 constexpr auto hop = 2ms;
-// In calls.
+// In multiples of the service time.
 constexpr int objective = 10;
 constexpr int deadline = 50;
 constexpr auto exchangeInterval = 100ms;
 constexpr TimePoint start(1h);
 constexpr TimePoint cooldownStart = start + 2s;
 constexpr auto length = 12s;
-// Of large fleets: each seed takes minutes there.
+// Large fleets simulate a shorter time because each seed takes minutes.
 constexpr size_t largeFleet = 60;
 constexpr auto largeFleetLength = 4s;
 
@@ -55,10 +56,11 @@
     size_t inTime { 0 };
     size_t served { 0 };
     size_t refusedAtUpstreams { 0 };
-    size_t refusedAfterReturn { 0 }; // Of these, after the rest was over.
+    size_t refusedAfterReturn { 0 }; // Those that were refused after the end of the cooldown.
 };
 
-// The way that was not built: until when a router holds a request, which is half of its objective at most.
+// Alternative policy that the product does not use: returns the time until which a router holds a request, or nullopt
+// if the earliest cooldown ends later than half of the objective.
 std::optional<TimePoint> holdUntil(
     TimePoint arrived, Milliseconds objectiveTime, std::optional<TimePoint> earliestCooldownEnd)
 {
@@ -100,7 +102,7 @@
 private:
     struct Request {
         TimePoint first;
-        TimePoint arrived; // At the router that has it.
+        TimePoint arrived; // At the current router.
         size_t router { 0 };
         bool isReturn { false };
         std::vector<std::string> attempted;
@@ -177,7 +179,8 @@
         refuseRequest(request, noUpstreamRefusal({ earliestCooldownEnd, std::nullopt }, false, m_now).retryAfter);
     }
 
-    // The caller comes back once, at another router, and waits for a third of its time at most (PROTOCOL, "Answers").
+    // The caller retries once, at a random router. It waits for at most a third of its remaining time (PROTOCOL,
+    // "Answers").
     void refuseRequest(const std::shared_ptr<Request>& request, Milliseconds retryAfter)
     {
         if (request->isReturn)
@@ -221,7 +224,7 @@
             if (m_scenario.returnMode == ReturnMode::Spread)
                 rest += Milliseconds(static_cast<int64_t>(draw() * 0.25 * static_cast<double>(rest.count())));
             registry.recordStatement(placement.upstream, { false, rest }, m_now);
-            // Takes the trial after the rest away.
+            // Recording a response disables the single trial request after the cooldown.
             if (m_scenario.returnMode != ReturnMode::OneFirst)
                 registry.recordResponse(placement.upstream);
         }
--- a/Source/Benchmarks/SuspectSpread.cpp
+++ b/Source/Benchmarks/SuspectSpread.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Ways to let a fleet know which request crashes its upstreams, on virtual time: what each costs until the request is
-// held back everywhere. Figures in docs/design/crashing-requests.md.
+// Compares ways to share crash records of a request across the fleet, on virtual time: how many engines crash and how
+// much traffic is sent until every router holds the request back. docs/design/crashing-requests.md lists the results.
 #include "Common/Precompiled.h"
 
 #include "RouteServing/Gateway/SuspectCodec.h"
@@ -21,14 +21,15 @@
 namespace {
 
 enum class SpreadStrategy {
-    Alone, // Each router counts what it saw itself.
-    Exchange, // As built: with the messages of the exchange, to the hub, among hubs, and back.
-    Home, // Each request has one router that counts; it tells all others of two crashes or more.
-    Store, // Each crash is a record in the platform's log; store readers pass it on as they do the configuration.
+    Alone, // Each router counts only the crashes that it observed.
+    Exchange, // The product's behaviour: routers send records to their hub, hubs exchange them, and hubs send them to
+              // routers.
+    Home, // Each request has a home router, which counts its crashes and notifies all others from the second crash on.
+    Store, // Each crash is appended to the platform's log. Store readers forward it as they forward the configuration.
 };
 constexpr const char* strategyNames[] { "alone", "exchange", "home", "store" };
 
-// Measured in the played day (docs/incidents/crashing-request.md), or settings of the product.
+// Timings of the simulated day (docs/incidents/crashing-request.md) and product settings.
 constexpr auto runTime = 300ms;
 constexpr auto detection = 27ms;
 constexpr auto hop = 2ms;
@@ -40,9 +41,9 @@
 
 struct Outcome {
     size_t engines { 0 };
-    size_t lateSends { 0 }; // Later than `contactTime` after the third crash.
+    size_t lateSends { 0 }; // Sent later than `contactTime` after the third crash.
     size_t bytes { 0 };
-    Common::Duration known {}; // From the third crash until every router holds it back.
+    Common::Duration known {}; // Time from the third crash until every router holds the request back.
 };
 
 class Fleet {
@@ -121,7 +122,7 @@
         });
     }
 
-    // The home of the request, or a hub; what it alone knew is gone.
+    // Removes router 0, which is the home of the request or a hub. Its local records are lost.
     void loseARouter()
     {
         m_lost = true;
@@ -169,7 +170,7 @@
                 return broadcast(router, hop);
             return deliver(home(), records, hop);
         }
-        // Appended, read by three readers at once, passed on with the next exchange and the one after it.
+        // The record is appended, then read by three store readers, and forwarded in the next two exchanges.
         for (size_t other = 0; m_strategy == SpreadStrategy::Store && other < m_ledgers.size(); ++other) {
             auto ticks = other < 3 ? 0ms : other < m_hubs ? interval / 2 : interval;
             deliver(other, records, std::chrono::duration_cast<Common::Milliseconds>(2 * storeCall + ticks));
