--- a/Source/Testing/Fakes/FakeEngine.cpp
+++ b/Source/Testing/Fakes/FakeEngine.cpp
@@ -12,7 +12,7 @@
 
 static constexpr std::string_view requestsPrefix = "/v1/requests/";
 static constexpr size_t prefixBytes = 1024;
-// Load reports that are kept for the lag.
+// Number of load reports that are kept to serve delayed ones.
 static constexpr size_t maxReports = 4096;
 
 FakeEngine::FakeEngine(Options options)
@@ -146,7 +146,7 @@
     exchange.respond(Common::jsonResponse({ { "tokens", generation->produced } }));
 }
 
-// Sends tokens as they are produced, until the generation leaves the engine or the caller does.
+// Sends tokens as they are produced, until the generation ends or is paused, or the caller disconnects.
 void FakeEngine::stream(Common::HttpExchange& exchange, const GenerationPtr& generation, uint32_t sent)
 {
     exchange.watchCaller([this, weak = std::weak_ptr(generation)] {
@@ -251,7 +251,7 @@
             if (m_reports.size() > maxReports)
                 m_reports.pop_front();
         }
-        // Steps keep their pace: a late wake-up is made up for, as long as it is not longer than a few steps.
+        // Steps keep a fixed rate. After a late wake-up the engine catches up at most four steps.
         auto length = std::chrono::duration_cast<Common::Duration>(m_options.step * m_faults.slowFactor);
         next = std::max(next + length, Common::now() - 4 * length);
         boost::this_fiber::sleep_until(next);
--- a/Source/Testing/Fakes/FakeEngine.h
+++ b/Source/Testing/Fakes/FakeEngine.h
@@ -8,20 +8,20 @@
 #include <list>
 #include <set>
 
-// Small stand-ins for what stands around the product, each with fault switches.
+// Test doubles for the systems that the product depends on. Each has switches for fault injection.
 namespace Brassladder::Testing::Fakes {
 
-// A model engine with continuous batching: each step gives one token to every running generation. It honours
-// priorities, caches prompt prefixes, pauses and resumes generations, and reports its load with a lag.
+// A model engine with continuous batching: each step produces one token for every running generation. It honours
+// priorities, caches prompt prefixes, pauses and resumes generations, and reports its load with a delay.
 //
-// The text of an answer follows from its prompt, so that a client can check it: a prompt that holds `nonce=N len=L`
-// is answered with the tokens "N:0 N:1 ... N:(L-1) ".
+// The response is derived from the prompt, which lets a client verify it: a prompt with `nonce=N len=L` produces the
+// tokens "N:0 N:1 ... N:(L-1) ".
 class FakeEngine {
 public:
     struct Options {
         std::chrono::microseconds step { 5000 };
         uint32_t slots { 8 };
-        uint32_t prefillSteps { 4 }; // Before the first token when the prefix is not cached.
+        uint32_t prefillSteps { 4 }; // Steps before the first token if the prefix is not cached.
         size_t cachedPrefixes { 64 };
         size_t maxPaused { 64 };
         Common::Milliseconds reportLag { 1000 };
@@ -30,7 +30,7 @@
     explicit FakeEngine(Options);
 
     void handle(Common::HttpExchange&);
-    // Runs the steps; to be called in a fiber of its own.
+    // Runs the steps. Must be called in a dedicated fiber.
     void run();
 
 private:
@@ -49,11 +49,13 @@
     using GenerationPtr = std::shared_ptr<Generation>;
     struct Faults {
         double slowFactor { 1 };
-        int64_t cutAfterTokens { -1 }; // Each generation is cut there; -1: none.
-        bool cutCleanly { false }; // Cut bodies end as if they were whole, but for the end marker.
+        int64_t cutAfterTokens { -1 }; // Cuts each generation after this many tokens; -1: never.
+        bool cutCleanly {
+            false
+        }; // Truncated responses end with a regular end of the body, but without the end marker.
         bool leaving { false };
         bool refuse { false };
-        int64_t reportedLoad { -1 }; // A false report; -1: the true one.
+        int64_t reportedLoad { -1 }; // Reported number of running requests; -1: the actual number.
     };
     struct Report {
         Common::TimePoint at;
@@ -76,7 +78,7 @@
     boost::fibers::mutex m_mutex;
     boost::fibers::condition_variable m_work;
     std::vector<GenerationPtr> m_running;
-    std::set<std::tuple<uint32_t, uint64_t, GenerationPtr>> m_waiting; // By priority, then by arrival.
+    std::set<std::tuple<uint32_t, uint64_t, GenerationPtr>> m_waiting; // Sorted by priority, then by arrival.
     std::unordered_map<std::string, GenerationPtr> m_paused;
     std::deque<std::string> m_pausedOrder;
     std::list<uint64_t> m_prefixes; // Most recent first.
--- a/Source/Testing/Fakes/FakePlatform.cpp
+++ b/Source/Testing/Fakes/FakePlatform.cpp
@@ -14,7 +14,7 @@
 
 static constexpr std::string_view streamsPrefix = "/streams/";
 static constexpr std::string_view recordsSuffix = "/records";
-// Records in one response of the log stand-in.
+// Maximum records in one response of the fake log.
 static constexpr size_t recordsPerPage = 1000;
 static constexpr Common::Milliseconds folderInterval = 50ms;
 
--- a/Source/Testing/Fakes/FakePlatform.h
+++ b/Source/Testing/Fakes/FakePlatform.h
@@ -9,8 +9,8 @@
 
 namespace Brassladder::Testing::Fakes {
 
-// The platform's append-only log, in memory: streams of records with offsets, kept for a limited time, with a bound on
-// appends a second.
+// In-memory version of the platform's append-only log: streams of records with offsets, a retention time, and a limit
+// of appends per second.
 class FakeLog {
 public:
     struct Options {
@@ -36,7 +36,7 @@
     struct Faults {
         bool down { false };
         Common::Milliseconds slow { 0 };
-        int64_t loseAnswers { 0 }; // So many appends take effect without an answer.
+        int64_t loseAnswers { 0 }; // Number of appends that take effect without a response.
     };
 
     void append(Common::HttpExchange&, const std::string& stream);
@@ -65,7 +65,7 @@
     {
     }
     void handle(Common::HttpExchange&);
-    // Reads the folder; to be called in a fiber of its own.
+    // Reads the folder periodically. Must be called in a dedicated fiber.
     void run();
 
 private:
--- a/Source/Testing/Fakes/FakeService.h
+++ b/Source/Testing/Fakes/FakeService.h
@@ -6,8 +6,8 @@
 
 namespace Brassladder::Testing::Fakes {
 
-// A plain service, such as the order application. It counts each run by request id and by Idempotency-Key, before it
-// answers, and echoes the request's body in its answer.
+// A plain HTTP service. It counts each run by request id and by Idempotency-Key before it responds, and echoes the
+// request body.
 class FakeService {
 public:
     explicit FakeService(Common::Milliseconds duration)
@@ -18,7 +18,7 @@
 
 private:
     struct Faults {
-        int64_t loseAnswers { 0 }; // So many calls run, and their connections are closed without an answer.
+        int64_t loseAnswers { 0 }; // Number of calls that run, but whose connections are closed without a response.
         int64_t truncateAnswers { 0 };
         bool refuse { false };
         bool leaving { false };
--- a/Source/Testing/Fakes/SimulatedEngine.cpp
+++ b/Source/Testing/Fakes/SimulatedEngine.cpp
@@ -27,7 +27,8 @@
     std::erase_if(m_running, [&](const auto& work) { return work.generation.number == generation; });
 }
 
-// A waiting generation is admitted when the batch has room and the prompts before it have been prefilled.
+// Admits a waiting generation if the batch has room and fewer than `chunkTokens` prompt tokens are still to be
+// prefilled.
 void SimulatedEngine::admit()
 {
     uint64_t unread = 0;
@@ -46,7 +47,7 @@
     }
 }
 
-// Returns how many tokens were prefilled.
+// Returns the number of prefilled tokens.
 uint32_t SimulatedEngine::prefill()
 {
     uint32_t left = m_traits.chunkTokens;
--- a/Source/Testing/Fakes/SimulatedEngine.h
+++ b/Source/Testing/Fakes/SimulatedEngine.h
@@ -10,23 +10,22 @@
 
 namespace Brassladder::Testing::Fakes {
 
-// A model engine on virtual time, without a network: continuous batching, prompts that are prefilled in chunks between
-// the tokens of others, a prefix cache, and a queue by urgency. What no router sees, such as the length of a response,
-// is given with the generation.
+// A model engine on virtual time, without a network: continuous batching, chunked prefill, a prefix cache, and a
+// priority queue. Properties that routers cannot observe, such as the response length, are part of the generation.
 class SimulatedEngine {
 public:
-    // Of a 70-billion-parameter model on four accelerators, as the users' third site states them.
+    // Typical for a 70-billion-parameter model on four accelerators.
     struct Traits {
         size_t batch { 64 };
         double stepMs { 5.55 };
         double stepMsPerRunning { 0.029 };
         double prefillTokensPerMs { 42.6 };
-        uint32_t chunkTokens { 2048 }; // Prefilled in one step at most.
+        uint32_t chunkTokens { 2048 }; // Maximum prefilled tokens per step.
         unsigned tokensPerEvent { 3 };
-        uint64_t cacheTokens { 200'000 }; // For prefixes; what running generations hold is not modelled.
+        uint64_t cacheTokens { 200'000 }; // Capacity for prefixes. The memory of running generations is not modelled.
     };
     struct Generation {
-        uint64_t number { 0 }; // Chosen by the test.
+        uint64_t number { 0 }; // Assigned by the test.
         RouteServing::Routing::Prompt prompt;
         uint32_t outputTokens { 0 };
         size_t level { 0 }; // 0 is the most urgent.
@@ -43,9 +42,9 @@
     }
 
     void submit(const Generation&, Common::TimePoint now);
-    // The caller has left: nothing more is done for it.
+    // Removes the generation after its caller has disconnected.
     void cancel(uint64_t generation);
-    // Works until then, and returns the events that were made on the way.
+    // Advances the engine to the given time. Returns the events of that period.
     std::vector<Event> runUntil(Common::TimePoint);
     bool hasCached(uint64_t prefix) const { return m_cache.contains(prefix); }
 
@@ -62,10 +61,10 @@
 
     Traits m_traits;
     Common::TimePoint m_now {};
-    std::map<std::pair<size_t, uint64_t>, Generation> m_waiting; // By level, then in order of arrival.
+    std::map<std::pair<size_t, uint64_t>, Generation> m_waiting; // Sorted by level, then by arrival.
     uint64_t m_arrivals { 0 };
-    std::vector<RunningGeneration> m_running; // In order of admission.
-    std::map<uint64_t, std::pair<uint64_t, uint32_t>> m_cache; // Prefix to its last use and its tokens.
+    std::vector<RunningGeneration> m_running;
+    std::map<uint64_t, std::pair<uint64_t, uint32_t>> m_cache; // Maps a prefix to its last use and its tokens.
     uint64_t m_cachedTokens { 0 };
     uint64_t m_useCounter { 0 };
 };
--- a/Source/Testing/Harness/Cluster.cpp
+++ b/Source/Testing/Harness/Cluster.cpp
@@ -204,7 +204,7 @@
 void Cluster::awaitReady()
 {
     if (!await([this] { return isComplete(); }))
-        std::cerr << "the cluster is not complete: " << Common::dumpJson(status(idsOf("router").front())) << "\n";
+        std::cerr << "cluster did not become ready: " << Common::dumpJson(status(idsOf("router").front())) << "\n";
 }
 
 std::string Cluster::logOf(const std::string& id) const
--- a/Source/Testing/Harness/Cluster.h
+++ b/Source/Testing/Harness/Cluster.h
@@ -11,13 +11,13 @@
 
 namespace Brassladder::Testing::Harness {
 
-// A process of the cluster and where it listens.
+// A process of the cluster and its endpoint.
 struct Node {
     std::string id;
     std::string pool; // "router" for routers.
     std::optional<Process> process;
     Common::Endpoint endpoint;
-    Common::Json instance; // As in the instance list.
+    Common::Json instance; // Its entry in the instance list.
 };
 
 struct EngineOptions {
@@ -26,7 +26,7 @@
     int64_t reportLagMs { 1000 };
 };
 
-// Routers, engines, services and a platform, as processes on loopback with ports that the kernel chooses.
+// Runs routers, engines, services and a platform as processes on loopback, with ports assigned by the kernel.
 class Cluster {
 public:
     explicit Cluster(Common::FiberRuntime&);
@@ -38,24 +38,24 @@
         const std::string& domain = "a");
     void addService(
         const std::string& id, const std::string& pool, int64_t durationMs = 2, const std::string& domain = "a");
-    // Extra settings are JSON pointers and values.
+    // Additional settings are given as JSON pointers and values.
     void addRouter(const std::string& id, const std::map<std::string, std::string>& settings = {});
-    // Publishes and waits until every router has it in force and sees every other and all upstreams.
+    // Publishes the files. Waits until every router has applied them and sees all other routers and all upstreams.
     void publish(const Operator::FileSet&);
     void awaitReady();
-    // Waits until the condition holds; false after the timeout. Not a measurement.
+    // Polls the condition. Returns false if it does not hold before the timeout.
     bool await(const std::function<bool()>&, std::chrono::seconds timeout = std::chrono::seconds(30));
 
     Node& node(const std::string& id) { return m_nodes.at(id); }
     void kill(const std::string& id);
     void freeze(const std::string& id) { node(id).process->freeze(); }
     void thaw(const std::string& id) { node(id).process->thaw(); }
-    void setListed(const std::string& id, const std::string& state); // Empty: no longer listed.
+    void setListed(const std::string& id, const std::string& state); // An empty state removes the entry.
 
     std::vector<Common::Endpoint> routers() const;
     std::vector<std::string> idsOf(const std::string& pool) const;
     Common::Json status(const std::string& router);
-    // The router that schedules the pool's first shard, as `viewer` sees it.
+    // Returns the home of the pool's first shard among the running routers.
     std::string homeOf(const std::string& pool);
     Common::Json fault(const std::string& id, const Common::Json&);
     Common::Json counters(const std::string& id);
@@ -66,7 +66,7 @@
     Common::Result<Common::HttpClientResponse> call(const std::string& id, const Common::HttpClientRequest&);
     Common::FiberRuntime& runtime() { return m_runtime; }
     const std::string& folder() const { return m_folder.path(); }
-    // The end of what a process has written to its log.
+    // Returns the end of a process's log.
     std::string logOf(const std::string& id) const;
 
 private:
@@ -79,7 +79,7 @@
     std::map<std::string, Node> m_nodes;
 };
 
-// Files of a small configuration for tests: two pools, four tiers, two workspaces.
+// Returns a small configuration for tests: two pools, four tiers, two workspaces.
 Operator::FileSet testConfiguration();
 inline constexpr const char* testKey = "key-of-north";
 inline constexpr const char* otherKey = "key-of-south";
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -89,7 +89,8 @@
         std::cerr << "unknown event " << event.kind << "\n";
 }
 
-// Slots that give tokens at a time, in full slots: a lost engine gives none, one that is four times slow a quarter.
+// Returns the effective number of slots at a time. A killed engine counts as zero, an engine that is four times slower
+// as a quarter.
 static double slotsAt(const Scenario& scenario, double seconds)
 {
     double engines = scenario.engines;
@@ -106,19 +107,19 @@
 
 namespace {
 
-// What engines with perfect knowledge would do: every slot gives a token in every step while there is work (a fluid),
-// and no answer is finished sooner than its tokens times the step. Prompts cost nothing in it, so the bound is a little
-// better than any real engine.
+// Upper bound for the engines: in a fluid model, every slot produces a token in every step while there is work, and no
+// response finishes sooner than its tokens times the step. Prefill is free, which makes the bound slightly better than
+// any real engine.
 struct IdealRun {
     double finishSeconds { 0 };
-    double tokensInLoad { 0 }; // Until the end of the load.
+    double tokensInLoad { 0 };
 };
 
 } // namespace
 
 static IdealRun idealRun(const Scenario& scenario, std::span<const Load::CallRecord> history)
 {
-    // Seconds of one step of the fluid model.
+    // Step of the fluid model in seconds.
     static constexpr double slice = 0.01;
     double step = static_cast<double>(scenario.engine.stepMicros) / 1e6;
     std::vector<std::pair<double, double>> arrivals;
--- a/Source/Testing/Harness/Experiment.h
+++ b/Source/Testing/Harness/Experiment.h
@@ -6,7 +6,7 @@
 
 namespace Brassladder::Testing::Harness {
 
-// Something that happens to the cluster in the middle of a run.
+// A fault or process event at a given time of a run.
 struct Event {
     double atSeconds { 0 };
     std::string kind; // "kill", "freeze", "thaw", "fault", "kill_home".
@@ -14,7 +14,7 @@
     Common::Json faults;
 };
 
-// One scenario file: the cluster, the load and the events.
+// Contents of a scenario file.
 struct Scenario {
     std::string name;
     std::string configFolder; // Relative to the scenario file.
@@ -28,23 +28,23 @@
     Load::Plan load;
 };
 
-// Reads a scenario; all faults in one go.
+// Reads a scenario. Returns all faults of the file if it is invalid.
 std::variant<Scenario, std::vector<Common::Fault>> readScenario(const std::string& path);
 
-// What one run with one seed gave.
+// Results of a run with one seed.
 struct Outcome {
     Load::Report report;
     std::vector<Load::CallRecord> history;
-    uint64_t generatedTokens { 0 }; // By all engines that lived to the end.
+    uint64_t generatedTokens { 0 }; // Tokens of all engines that still run at the end.
     uint64_t usefulTokens { 0 };
-    // Useful tokens until the end of the load, against engines with perfect knowledge; 1 is the bound.
+    // Useful tokens until the end of the load, relative to the ideal engines; 1 is the upper bound.
     double goodput { 0 };
-    // The time in which such engines would have finished everything, over the time that it took.
+    // Time in which the ideal engines finish all requests, divided by the measured time.
     double finish { 0 };
     double wastedFraction() const;
 };
 
-// Runs the scenario on a cluster of its own.
+// Runs the scenario on a new cluster.
 Outcome runScenario(Common::FiberRuntime&, const Scenario&, uint64_t seed);
 
 } // namespace Brassladder::Testing::Harness
--- a/Source/Testing/Harness/Process.cpp
+++ b/Source/Testing/Harness/Process.cpp
@@ -20,7 +20,7 @@
 
 using namespace std::chrono_literals;
 
-// A program that has not come up by then never will.
+// Timeout for a program to write its ready file.
 static constexpr auto readyTimeout = 20s;
 
 Folder::Folder()
@@ -50,9 +50,10 @@
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     if (logged == Logged::Everything)
         posix_spawn_file_actions_adddup2(&actions, STDERR_FILENO, STDOUT_FILENO);
-    // A listening socket of a stand-in in this process would stay open in the child, and accept in its name.
+    // An inherited listening socket of a fake in this process would stay open in the child and accept connections
+    // there.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-    // Without a word the process would look like one that starts for ever.
+    // Without this message, a failed start looks like a process that is still starting.
     if (int problem = posix_spawn(&m_pid, path.c_str(), &actions, nullptr, words.data(), environ)) {
         std::cerr << "cannot start " << path << ": " << std::strerror(problem) << "\n";
         m_pid = -1;
@@ -112,7 +113,7 @@
             return valueOf(json);
         std::this_thread::sleep_for(5ms);
     }
-    std::cerr << "a program did not come up: " << path << "\n";
+    std::cerr << "program did not write its ready file within 20 s: " << path << "\n";
     return {};
 }
 
--- a/Source/Testing/Harness/Process.h
+++ b/Source/Testing/Harness/Process.h
@@ -7,10 +7,10 @@
 #include <sys/types.h>
 #include <vector>
 
-// Starts the programs as processes on loopback: for tests, experiments and the demonstration, never in the product.
+// Starts programs as processes on loopback, for tests, experiments and the demo. Not part of the product.
 namespace Brassladder::Testing::Harness {
 
-// A folder for one run, removed at its end.
+// A temporary folder. The destructor removes it.
 class Folder {
 public:
     Folder();
@@ -23,10 +23,10 @@
     std::string m_path;
 };
 
-// A child process. Killed when the object goes.
+// A child process. The destructor kills it.
 class Process {
 public:
-    // What goes to the file: errors alone, or the log lines on standard output as well.
+    // Output that is written to the log file: standard error only, or standard output as well.
     enum class Logged { Errors, Everything };
     Process(const std::string& program, std::vector<std::string> arguments, const std::string& logFile,
         Logged = Logged::Errors);
@@ -35,10 +35,10 @@
     Process& operator=(Process&&) = delete;
 
     void signal(int number) const;
-    void kill(); // SIGKILL, and waits for the end.
+    void kill(); // Sends SIGKILL and waits for the exit.
     void freeze() const { signal(SIGSTOP); }
     void thaw() const { signal(SIGCONT); }
-    // Waits for the process to end by itself; its exit code, or nothing after the time.
+    // Waits for the process to exit. Returns its exit code, or nullopt if it still runs after the timeout.
     std::optional<int> wait(std::chrono::milliseconds);
     bool isRunning() const { return m_pid > 0; }
     pid_t pid() const { return m_pid; }
@@ -47,10 +47,10 @@
     pid_t m_pid { -1 };
 };
 
-// The folder of the programs: where the calling program itself lies, or BRASSLADDER_BIN.
+// Returns the folder of the programs: BRASSLADDER_BIN if set, else the folder of the calling program.
 std::string programFolder();
 
-// Waits until a program has written its ready file.
+// Waits until a program has written its ready file. Returns its content, or null after the timeout.
 Common::Json awaitReadyFile(const std::string& path);
 
 } // namespace Brassladder::Testing::Harness
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -16,10 +16,10 @@
 using Common::member;
 using namespace std::chrono_literals;
 
-// For a response to begin, and for a connection. Chosen, not measured.
+// Timeouts for the first byte of a response and for a connection.
 static constexpr Common::Milliseconds responseTimeout = 120s;
 static constexpr Common::Milliseconds connectTimeout = 2s;
-// Added at random to Retry-After, so that refused callers do not come back together.
+// Maximum random delay added to Retry-After, which spreads the retries of refused callers.
 static constexpr uint64_t retryJitterMs = 500;
 static constexpr size_t maxAnswerBytes = 16 * 1024 * 1024;
 
@@ -72,7 +72,8 @@
     return choice.contains("delta") ? member<std::string>(choice["delta"], "content", "") : std::string();
 }
 
-// Checks each token of a stream: the next one of this very request, and a whole answer only after the last.
+// Verifies each token of a stream: tokens arrive in order and belong to this request, and the end marker follows the
+// last token.
 static void readStream(
     Common::HttpConnection& connection, const Call& call, CallRecord& record, Common::TimePoint start)
 {
@@ -188,7 +189,7 @@
     return rate;
 }
 
-// Poisson arrivals, thinned from the highest rate, so that the same seed gives the same requests.
+// Draws Poisson arrivals by thinning from the highest rate. The same seed always produces the same requests.
 static std::vector<PlannedCall> schedule(const Plan& plan)
 {
     std::vector<PlannedCall> calls;
@@ -215,7 +216,7 @@
     return calls;
 }
 
-// A call through the balancer that stands before the routers: it passes over one that takes no connection.
+// Sends a call as a load balancer in front of the routers does: it skips routers that refuse connections.
 static CallRecord callThroughBalancer(const Plan& plan, const Call& call, size_t& router)
 {
     auto record = callRouter(plan.routers[router % plan.routers.size()], call);
@@ -224,7 +225,7 @@
     return record;
 }
 
-// One call with the come-backs that its refusals ask for. The kinds that are worth it say that the request did not run.
+// Sends one call and its retries. Retries only refusals which state that the request did not run.
 static CallRecord callWithRetries(const Plan& plan, const PlannedCall& planned, size_t router)
 {
     Call call { planned.arrivals, planned.nonce, planned.length, planned.arrivals->idempotencyKey ? planned.nonce : "",
@@ -234,12 +235,12 @@
     uint32_t tries = 1;
     while (planned.arrivals->retryRefused && !record.refusal.empty() && record.ran == "no"
         && tries <= planned.arrivals->retries) {
-        // With jitter, as the operators' page asks of callers.
+        // The operators' page requires jitter for retries.
         Common::sleepFor(record.retryAfter + Common::Milliseconds(Common::randomNumber() % retryJitterMs));
         record = callThroughBalancer(plan, call, ++router);
         ++tries;
     }
-    // Times count from the first try on.
+    // Times are counted from the first attempt.
     double before = Common::toSeconds(Common::now() - start) - record.totalSeconds;
     record.tries = tries;
     if (record.firstSeconds >= 0)
--- a/Source/Testing/Load/Generator.h
+++ b/Source/Testing/Load/Generator.h
@@ -11,27 +11,29 @@
 
 namespace Brassladder::Testing::Load {
 
-// How one request ended, as its caller saw it.
+// Result of one request as its caller observed it.
 struct CallRecord {
     std::string requestClass;
-    double intendedSeconds { 0 }; // Since the start of the run; latencies count from here, not from a late send.
-    double firstSeconds { -1 }; // To the first token or to the answer; negative: none came.
+    double intendedSeconds {
+        0
+    }; // Scheduled time since the start of the run. Latencies are counted from here, also if the request was sent late.
+    double firstSeconds { -1 }; // Time to the first token or response; negative if none arrived.
     double totalSeconds { 0 };
-    double longestGapSeconds { 0 }; // Between two tokens.
+    double longestGapSeconds { 0 }; // Longest time between two tokens.
     uint32_t tokens { 0 };
-    uint32_t requestedTokens { 0 }; // Length of the whole answer.
+    uint32_t requestedTokens { 0 }; // Length of the complete response.
     uint32_t tries { 1 };
-    bool whole { false }; // The whole answer to this very request.
-    bool wrong { false }; // A piece of another answer, a gap, or an answer passed off as whole.
-    std::string refusal; // Kind of the last error; empty: none.
-    std::string ran; // What the last error said.
-    Common::Milliseconds retryAfter { 0 }; // When it said to come back.
-    std::string key; // Idempotency-Key, when there was one.
+    bool whole { false }; // The complete response to this request was received.
+    bool wrong { false }; // Data of another response, a gap, or a truncated response that looked complete.
+    std::string refusal; // Error kind of the last attempt; empty if there was none.
+    std::string ran; // The `ran` field of the last error.
+    Common::Milliseconds retryAfter { 0 }; // From the last error.
+    std::string key; // Idempotency-Key; empty if none was sent.
     std::string requestId;
-    double refusedSeconds { -1 }; // To a refusal.
+    double refusedSeconds { -1 }; // Time to a refusal; negative if there was none.
 };
 
-// One request to one router, answered and checked. Suspends the calling fiber.
+// A request. `callRouter` sends it to one router and verifies the response. Suspends the calling fiber.
 struct Call {
     const Arrivals* arrivals { nullptr };
     std::string nonce;
@@ -41,10 +43,10 @@
 };
 CallRecord callRouter(const Common::Endpoint& router, const Call&);
 
-// Runs the plan and waits until every request has ended. Blocks the calling plain thread.
+// Runs the plan and waits until every request has ended. Blocks the calling thread, which must not be a fiber thread.
 std::vector<CallRecord> run(Common::FiberRuntime&, const Plan&);
 
-// What users measure, by class, and in all.
+// Results of one class.
 struct ClassReport {
     uint64_t requests { 0 };
     uint64_t whole { 0 };
--- a/Source/Testing/Load/Plan.h
+++ b/Source/Testing/Load/Plan.h
@@ -8,31 +8,31 @@
 #include <string>
 #include <vector>
 
-// The load generator: open-loop arrivals by class, checked answers, and what users measure.
+// Load generator: open-loop arrivals by class, verified responses, and the metrics that users see.
 namespace Brassladder::Testing::Load {
 
-// A part of the run in which a stream of requests arrives faster.
+// A period of the run with a higher arrival rate.
 struct Burst {
     double fromSeconds { 0 };
     double toSeconds { 0 };
     double factor { 1 };
 };
 
-// Requests of one class and one workspace.
+// An arrival process for one class and one workspace.
 struct Arrivals {
     std::string requestClass;
-    std::string key; // Of the workspace.
-    std::string servicePath; // Empty: a chat completion; else the path of a plain service.
+    std::string key; // API key of the workspace.
+    std::string servicePath; // Path of a plain service; empty for a chat completion.
     double perSecond { 1 };
     std::vector<Burst> bursts;
-    double medianTokens { 16 }; // Lengths are log-normal: nobody knows them in advance.
-    double spread { 0.5 }; // Standard deviation of the logarithm.
+    double medianTokens { 16 }; // Median of the log-normal response length.
+    double spread { 0.5 }; // Standard deviation of the logarithm of the length.
     uint32_t maxTokens { 4096 };
     bool stream { true };
     bool idempotencyKey { false };
-    bool retryRefused { false }; // Comes back after the time that a refusal tells, up to `retries` times.
+    bool retryRefused { false }; // Retries a refused request after its Retry-After, up to `retries` times.
     uint32_t retries { 3 };
-    Common::Milliseconds target { 0 }; // To the first token, or to the answer of a plain service.
+    Common::Milliseconds target { 0 }; // Target time to the first token, or to the response of a plain service.
 };
 
 struct Plan {
@@ -42,7 +42,7 @@
     std::vector<Common::Endpoint> routers;
 };
 
-// Reads the `load` part of a scenario file; all faults in one go. The routers are the caller's to set.
+// Reads the `load` member of a scenario file. Returns all faults if it is invalid. The caller sets the routers.
 std::variant<Plan, std::vector<Common::Fault>> parsePlan(const Common::Json&);
 
 } // namespace Brassladder::Testing::Load
