--- a/Source/Testing/Harness/Process.cpp
+++ b/Source/Testing/Harness/Process.cpp
@@ -113,7 +113,7 @@
             return valueOf(json);
         std::this_thread::sleep_for(5ms);
     }
-    std::cerr << "program did not write its ready file within 20 s: " << path << "\n";
+    std::cerr << "program did not write its ready file in time: " << path << "\n";
     return {};
 }
 
