--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -35,8 +35,8 @@
     Milliseconds serviceTime { 30 };
 };
 
-// Each upstream has `slots` slots and a queue of the same length, as plain services with calls of 15 to 60 ms have.
-// There are two upstreams per router. Calls of large fleets take longer, which limits the number of simulated events.
+// Each upstream has `slots` slots and a queue of the same length, like a plain service with calls of 15 to 60 ms. There
+// are two upstreams per router. Calls of large fleets take longer, which limits the number of simulated events.
 constexpr unsigned slots = 6;
 constexpr unsigned places = 2 * slots;
 constexpr auto hop = 2ms;
--- a/Source/Benchmarks/SuspectSpread.cpp
+++ b/Source/Benchmarks/SuspectSpread.cpp
@@ -22,8 +22,7 @@
 
 enum class SpreadStrategy {
     Alone, // Each router counts only the crashes that it observed.
-    Exchange, // The product's behaviour: routers send records to their hub, hubs exchange them, and hubs send them to
-              // routers.
+    Exchange, // The product's exchange: from routers to hubs, among hubs, and from hubs to routers.
     Home, // Each request has a home router, which counts its crashes and notifies all others from the second crash on.
     Store, // Each crash is appended to the platform's log. Store readers forward it as they forward the configuration.
 };
--- a/Source/Testing/Fakes/SimulatedEngine.h
+++ b/Source/Testing/Fakes/SimulatedEngine.h
@@ -14,7 +14,7 @@
 // priority queue. Properties that routers cannot observe, such as the response length, are part of the generation.
 class SimulatedEngine {
 public:
-    // Typical for a 70-billion-parameter model on four accelerators.
+    // Timings of a 70-billion-parameter model on four accelerators.
     struct Traits {
         size_t batch { 64 };
         double stepMs { 5.55 };
