--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Runs clang-format and clang-tidy on all sources except the generated ones.
 #
-# Most of the time of clang-tidy goes into library headers, so it runs on a few generated files that include many
-# sources each. One file includes at most one source of each folder, since sources of one folder share a namespace and
+# clang-tidy spends most of its time on library headers, so it runs on a few generated files that each include many
+# sources. One file includes at most one source of each folder, since sources of one folder share a namespace and
 # may define static functions with the same name.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/play-sites.sh
+++ b/tools/play-sites.sh
@@ -5,7 +5,7 @@
 # Usage: BENCH=PROGRAM tools/play-sites.sh score|hunt OUT_DIR SITE_FILE...
 #   BENCH     the users' bench
 #   JOBS      parallel days (4)
-#   WHY       a line for the journal
+#   WHY       reason for the run, recorded in the bench's journal (regression run)
 #   SMALL     days of a hunt on a site with fewer than 60 instances (40)
 #   LARGE     days of a hunt on a larger site (8)
 set -euo pipefail
@@ -16,12 +16,12 @@
 cd "$(dirname "$0")/.."
 mkdir -p "$out"
 
-# Returns the number of instances of a site file, excluding spare ones.
+# Prints the number of instances in a site file, excluding spare ones.
 instances_of() {
     sed -n '/^machines = \[/,/^\]/s/.*count = \([0-9]*\).*/\1/p' "$1" | awk '{ sum += $1 } END { print sum + 0 }'
 }
 
-# Returns the mean worth of the days with trouble in a table of `score`, excluding calm days and the randomly drawn day.
+# Prints the mean worth of the days with trouble in a table of `score`, excluding calm days and the randomly drawn day.
 mean_worth() {
     awk '$1 ~ /^(trouble|scale)-[0-9]+$/ && $4 ~ /^[0-9.]+$/ { sum += $4; days++ } END { if (days) printf "%.3f", sum / days; else printf "-" }' "$1"
 }
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -35,7 +35,7 @@
     usage >&2
     exit 2
 fi
-# A soak may use at most half of the machine's processes.
+# More seeds could use more than half of the processes that the machine allows.
 if [ "$jobs" -gt 4 ]; then
     echo "--jobs: at most 4 seeds can run in parallel" >&2
     exit 2
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -11,7 +11,7 @@
     cut -d, -f1 KNOWN-RED.txt | sed -E '/^\s*$/d; s/[][().*+?^$|{}\\]/\\&/g' | paste -sd'|'
 }
 
-# Tests start processes themselves, so only a few tests run in parallel.
+# Some tests start several processes, so only a few tests run in parallel.
 red="$(known_red_pattern)"
 if [ -z "$red" ]; then
     ctest --preset release --parallel 3
@@ -26,5 +26,5 @@
     exit 1
 fi
 ctest --preset release --parallel 3 -E "^($red)\$"
-# The result is reported but ignored. The line of a test that passes now can be removed.
+# The results of these tests do not affect the exit code. If one passes, remove its line from KNOWN-RED.txt.
 ctest --preset release -R "^($red)\$" || true
