--- a/Source/Common/Error.cpp
+++ b/Source/Common/Error.cpp
@@ -8,8 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Retry delays: 1 s for overload, in which a queue of short calls drains; 2 s for platform outages and lost instances,
-// in which a lost instance is replaced.
+// Retry delays: 1 s for overload, 2 s for platform outages and lost instances.
 static constexpr std::array s_errorTable {
     ErrorTraits { ErrorKind::BadRequest, "bad_request", 400, Ran::No, 0ms },
     ErrorTraits { ErrorKind::BodyTooLarge, "body_too_large", 413, Ran::No, 0ms },
@@ -26,9 +25,9 @@
     ErrorTraits { ErrorKind::NoUpstream, "no_upstream", 503, Ran::No, 2000ms },
     ErrorTraits { ErrorKind::UpstreamConnect, "upstream_connect", 502, Ran::No, 1000ms },
     ErrorTraits { ErrorKind::UpstreamRefused, "upstream_refused", 503, Ran::No, 1000ms },
-    // Usually replaced by the time until the first of the upstreams is available again.
+    // Default delay; callers usually get the time until the first of the upstreams is available again.
     ErrorTraits { ErrorKind::UpstreamsResting, "upstreams_resting", 503, Ran::No, 1000ms },
-    // Usually replaced by the time until the quota of the router permits the request.
+    // Default delay; callers usually get the time until the quota of the router permits the request.
     ErrorTraits { ErrorKind::UpstreamsLimited, "upstreams_limited", 503, Ran::No, 1000ms },
     ErrorTraits { ErrorKind::UpstreamBroken, "upstream_broken", 502, Ran::Maybe, 1000ms },
     ErrorTraits { ErrorKind::UpstreamTimeout, "upstream_timeout", 504, Ran::Maybe, 1000ms },
--- a/Source/Common/Error.h
+++ b/Source/Common/Error.h
@@ -76,7 +76,7 @@
 // Result of an operation that can fail: a value or an Error.
 template <typename T> using Result = std::variant<T, Error>;
 
-// Value of operations that return nothing but success or failure.
+// Value of a successful operation that has no other result.
 struct Done { };
 using Status = Result<Done>;
 
--- a/Source/Common/FatalSignal.cpp
+++ b/Source/Common/FatalSignal.cpp
@@ -17,9 +17,9 @@
 
 namespace Brassladder::Common {
 
-// Frames logged of a call stack; the path of a request is about 20 frames deep.
+// Maximum number of logged frames of a call stack.
 static constexpr int maxFrames = 40;
-// Loaded modules that are recorded; the router has about 30.
+// Maximum number of recorded modules. Addresses in other modules are logged without a module name.
 static constexpr size_t maxModules = 64;
 // Including the terminating zero.
 static constexpr size_t maxNameBytes = 48;
@@ -166,7 +166,8 @@
     line.writeTo(STDOUT_FILENO);
 }
 
-// The signal is blocked while the handler runs; it ends the process when the handler returns.
+// The raised signal stays pending while the handler runs, since it is blocked, and ends the process when the handler
+// returns.
 static void raiseWithDefaultAction(int signal)
 {
     std::signal(signal, SIG_DFL);
--- a/Source/Common/FiberRuntime.cpp
+++ b/Source/Common/FiberRuntime.cpp
@@ -57,8 +57,8 @@
     }
 
 private:
-    // Sets the timer only if the time has changed. Setting it again completes the previous wait, which ends the next
-    // `run_one` at once and sets the timer again: the thread would spin.
+    // Sets the timer only if the time has changed. Setting it again cancels the pending wait. The handler of that
+    // wait makes the next `run_one` return at once, after which the timer would be set again: the thread would spin.
     void arm(std::chrono::steady_clock::time_point wakeUp)
     {
         if (wakeUp == std::chrono::steady_clock::time_point::max() || wakeUp == m_armedFor)
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -13,8 +13,7 @@
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
 
-// Buffer for one chunk of a relayed body. The event of a token has 100 to 300 bytes; a larger buffer costs memory for
-// each stream.
+// Buffer for one chunk of a relayed body. Each stream has one.
 static constexpr size_t bodyChunkBytes = 4096;
 static constexpr unsigned httpVersion = 11; // HTTP/1.1, as Beast writes it.
 
@@ -124,7 +123,7 @@
     m_broken = true;
     m_end = classifyConnectionEnd(error);
     auto kind = error == beast::error::timeout ? ErrorKind::UpstreamTimeout : ErrorKind::UpstreamBroken;
-    return makeError(kind, "incomplete response from the upstream: " + error.message());
+    return makeError(kind, "no complete response from the upstream: " + error.message());
 }
 
 Result<HttpClientResponse> HttpConnection::start(const HttpClientRequest& call)
--- a/Source/Common/HttpClient.h
+++ b/Source/Common/HttpClient.h
@@ -20,9 +20,9 @@
     std::string body;
     std::vector<HttpHeader> headers;
     Milliseconds connectTimeout { defaultConnectTimeout };
-    // Applies to the response head, and then to each chunk of the body.
+    // Applies to sending the request and receiving the response head together, and then to each chunk of the body.
     Milliseconds responseTimeout { defaultResponseTimeout };
-    std::optional<TimePoint> deadline; // If set, limits the whole exchange in place of `responseTimeout`.
+    std::optional<TimePoint> deadline; // If set, replaces `responseTimeout` until the body ends.
 };
 
 struct HttpClientResponse {
@@ -40,7 +40,7 @@
     Closed, // Closed before the response was complete.
     Reset,
     TimedOut,
-    Unusable, // The data received is not a valid response.
+    Unusable, // Any other error, such as an invalid response or an unreachable host.
 };
 // Value of the log field and metrics label `ended`.
 std::string_view name(ConnectionEnd);
@@ -65,7 +65,7 @@
     // Closes the connection. Another fiber of the same thread may call it: the pending operation then fails at once.
     void close();
     bool isReusable() const;
-    // The cause of the last error.
+    // How the connection ended, according to the last error.
     ConnectionEnd end() const { return m_end; }
     // How long the remote side keeps an idle connection open, from the `Keep-Alive` field of its last response; nullopt
     // if the response had none.
--- a/Source/Common/HttpConnectionPool.cpp
+++ b/Source/Common/HttpConnectionPool.cpp
@@ -3,7 +3,7 @@
 
 namespace Brassladder::Common {
 
-// For each endpoint and thread; enough for the batch of one engine over two threads.
+// Limit for each endpoint and thread.
 static constexpr size_t maxIdleConnections = 32;
 
 HttpConnectionPool& HttpConnectionPool::forCurrentThread()
--- a/Source/Common/HttpConnectionPool.h
+++ b/Source/Common/HttpConnectionPool.h
@@ -21,8 +21,8 @@
 
     // Returns an idle connection of any age, or opens a new one. Returns UpstreamConnect if that fails.
     Result<std::unique_ptr<HttpConnection>> acquire(const Endpoint&, Milliseconds connectTimeout);
-    // Returns the most recently used connection that was idle for at most `maxIdleTime`, or null. Closes connections
-    // that were idle for more than half of the keep-alive time of the remote side.
+    // Returns the most recently used connection that was idle for at most `maxIdleTime`, or null. If the most
+    // recently used one was idle for more than half of its keep-alive time, closes all connections of the endpoint.
     std::unique_ptr<HttpConnection> acquireIdle(const Endpoint&, Milliseconds maxIdleTime);
     // Keeps the connection for another request. Closes it if its last response was not read completely or the pool is
     // full.
--- a/Source/Common/HttpExchange.cpp
+++ b/Source/Common/HttpExchange.cpp
@@ -145,8 +145,8 @@
         beast::error_code problem;
         socket.non_blocking(true, problem);
         size_t bytes = socket.receive(asio::buffer(&peeked, 1), tcp::socket::message_peek, problem);
-        // Received bytes belong to a pipelined request: the caller is still connected. Waiting again would return at
-        // once.
+        // Received bytes belong to a pipelined request: the caller is still connected. The socket stays readable,
+        // so another wait would complete at once.
         if (bytes || problem == asio::error::would_block)
             return;
         watch->gone = true;
@@ -167,7 +167,7 @@
 {
     HttpResponse response { traits(error.kind).httpStatus, dumpJson(errorJson(error)), "application/json", {} };
     if (error.retryAfter.count() > 0) {
-        // Retry-After has whole seconds. Rounded up, since a caller must not retry too early.
+        // Retry-After is in whole seconds, rounded up so that no caller retries too early.
         auto seconds = std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count();
         response.headers.push_back({ "Retry-After", std::to_string(seconds) });
     }
--- a/Source/Common/HttpExchange.h
+++ b/Source/Common/HttpExchange.h
@@ -19,8 +19,8 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpStatus = boost::beast::http::status;
 
-// Limits on connections and requests, which protect callers from each other. The defaults apply to servers without
-// configuration (readiness, metrics, fakes).
+// Limits on connections and requests. The defaults apply to servers without configuration (readiness,
+// metrics, fakes).
 struct HttpLimits {
     static constexpr size_t defaultMaxConnections = 20'000;
     static constexpr Milliseconds defaultIdleTimeout { 60'000 };
@@ -29,7 +29,7 @@
     size_t headerBytes { 16 * 1024 };
     size_t bodyBytes { 1024 * 1024 };
     size_t maxConnections { defaultMaxConnections };
-    Milliseconds idleTimeout { defaultIdleTimeout }; // Between requests on one connection.
+    Milliseconds idleTimeout { defaultIdleTimeout }; // Until the first byte of a request.
     Milliseconds receiveTimeout { defaultTransferTimeout }; // For one whole request after its first byte.
     Milliseconds sendTimeout { defaultTransferTimeout }; // For one write to the caller.
 };
@@ -70,7 +70,8 @@
     bool write(std::string_view piece);
     bool endStream();
 
-    // Calls the hook once, on this thread, when the caller disconnects while no write is in progress.
+    // Calls the hook at most once, on this thread, when the caller disconnects. The watch ends without a call if the
+    // caller sends more bytes, for example a pipelined request.
     void watchCaller(std::function<void()> onGone);
     bool callerGone() const { return m_watch && m_watch->gone; }
 
@@ -108,6 +109,7 @@
 HopByHopFields hopByHopFieldsOf(const HttpRequest&);
 
 // Response for an error: `{"error":{kind,message,ran,retry_after_ms}}` with the HTTP status of its kind.
+// `retry_after_ms` is omitted if it is zero.
 HttpResponse errorResponse(const Error&);
 Json errorJson(const Error&);
 HttpResponse jsonResponse(const Json&, unsigned status = 200);
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -10,7 +10,7 @@
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
 
-// Most requests without a body fit into one read.
+// Maximum size of one read.
 static constexpr size_t readBytes = 4096;
 
 HttpServer::HttpServer(FiberRuntime& runtime, std::function<HttpLimits()> limits, HttpHandler handler)
@@ -59,7 +59,7 @@
 {
     std::lock_guard lock(m_idleMutex);
     for (auto* stream : m_idle) {
-        // Runs on the thread of the connection, where it cannot end between the check and the call.
+        // Runs on the thread of the connection, so that the stream is not destroyed between the check and the call.
         asio::post(stream->get_executor(), [this, stream] {
             std::lock_guard lockThere(m_idleMutex);
             beast::error_code ignored;
@@ -103,7 +103,7 @@
     bool hasTimedOut { false }; // The receive timeout passed.
 };
 
-// Error that is sent for a request that could not be read.
+// The error response to a request that could not be read.
 struct ReadFailure {
     ErrorKind kind;
     std::string message;
--- a/Source/Common/Json.h
+++ b/Source/Common/Json.h
@@ -10,10 +10,11 @@
 
 using Json = nlohmann::json;
 
-// Maximum nesting of arrays and objects. Serialising and copying recurse for each level, on the 64 KB stack of a fiber.
+// Maximum nesting of arrays and objects. Serialising and copying recurse for each level, and a fiber has
+// a stack of 64 KB.
 inline constexpr size_t maxJsonDepth = 64;
 
-// Parses text without throwing. The value is `discarded` if the text is not JSON, not UTF-8 or nested deeper than
+// Parses text without throwing. Returns a discarded value if the text is not JSON, not UTF-8 or nested deeper than
 // `maxJsonDepth`.
 Json parseJson(std::string_view text);
 
--- a/Source/Common/KeyedHash.h
+++ b/Source/Common/KeyedHash.h
@@ -8,8 +8,8 @@
 
 namespace Brassladder::Common {
 
-// SipHash-2-4 with 128 bits, from OpenSSL. Without the key, a caller cannot construct collisions, unlike with the
-// unkeyed `stableHash` (Digest.h). Thread-safe.
+// SipHash-2-4 with 128-bit output, from OpenSSL. An attacker who does not have the key cannot construct collisions,
+// which is possible for `stableHash` (Digest.h). Thread-safe.
 class KeyedHash {
 public:
     using Value = std::array<uint64_t, 2>;
--- a/Source/Common/Log.cpp
+++ b/Source/Common/Log.cpp
@@ -15,9 +15,9 @@
 
 namespace Brassladder::Common {
 
-// Capacity of the queue to the writing thread. Callers would block on a full queue.
+// Capacity of the queue to the writing thread. Appending to a full queue blocks.
 static constexpr unsigned queueCapacityLines = 16384;
-// Lines are suppressed when the queue is half full, before callers would block.
+// Lines are suppressed when the queue is half full, so that appending does not block.
 static constexpr uint64_t maxPendingLines = queueCapacityLines / 2;
 
 static std::string s_instance;
--- a/Source/Common/Log.h
+++ b/Source/Common/Log.h
@@ -19,8 +19,8 @@
 // Rate limit of one process (docs/OPERATIONS.md).
 inline constexpr unsigned maxLogLinesPerSecond = 200;
 
-// Writes or suppresses one line; never blocks. A line has time, level, package, event and the given fields. Events are
-// named `subject.what`.
+// Writes or suppresses one line; never blocks. A line has time, level, package, event and the given fields. Most
+// events are named `subject.what`.
 void log(LogLevel, std::string_view package, std::string_view event, Json fields = Json::object());
 
 // Writes the queued lines. Must be called before the process ends.
--- a/Source/Common/Program.h
+++ b/Source/Common/Program.h
@@ -18,10 +18,10 @@
 std::vector<std::string> parseCommandLine(int argc, char** argv, const std::string& usage);
 
 // Reads the settings file, applies the --set overrides and validates the result against the table. Prints all faults
-// or, with --check_settings, the result. Ends the process with Usage or Success if the program must not continue.
+// and ends the process with Usage if there are any. Ends it with Success after --check_settings or --describe_settings.
 Settings loadSettings(std::span<const SettingSpec>);
 
-// Reads and validates the settings without ending the process, also while the program runs.
+// Reads and validates the settings without ending the process. May be called while the program runs.
 std::variant<Settings, std::vector<Fault>> readSettings(std::span<const SettingSpec>);
 
 // Parses an argument ADDRESS:PORT; ends the process with Usage if it is invalid.
@@ -35,7 +35,7 @@
 void startProgramLogging(std::string_view instance);
 
 // `waitForStopSignal` blocks until SIGTERM or SIGINT, and calls the hook at each SIGHUP, which requests a reload of the
-// settings. `blockSignals` must be called before the first thread starts.
+// settings. `blockSignals` also ignores SIGPIPE. It must be called before the first thread starts.
 void blockSignals();
 void waitForStopSignal(const std::function<void()>& onReload = nullptr);
 
--- a/Source/Common/Rcu.h
+++ b/Source/Common/Rcu.h
@@ -7,7 +7,7 @@
 
 namespace Brassladder::Common {
 
-// Registers a thread as a liburcu reader during its lifetime. One per thread.
+// Registers a thread as a liburcu reader during its lifetime. A thread must have at most one.
 class RcuThread {
 public:
     RcuThread() { rcu_register_thread(); }
--- a/Source/Common/RetryAfter.h
+++ b/Source/Common/RetryAfter.h
@@ -10,7 +10,7 @@
 // The HTTP header `Retry-After`.
 namespace Brassladder::Common {
 
-// Longer values are clamped to this, which limits the effect of one wrong value to an hour.
+// Longer values are clamped to this limit.
 inline constexpr Milliseconds maxRetryAfter { 3'600'000 };
 
 // Parses a delay in seconds, which may have fractions, or an HTTP date (RFC 9110, 10.2.3). A date is relative to
--- a/Source/Common/Settings.cpp
+++ b/Source/Common/Settings.cpp
@@ -79,7 +79,7 @@
     return false;
 }
 
-// An object that only groups settings is a prefix of the pointer of a setting.
+// Whether the pointer names an object that contains settings of the table.
 static bool isKnownGroup(std::span<const SettingSpec> table, const std::string& pointer)
 {
     return std::any_of(
--- a/Source/Common/SignalSafeLine.cpp
+++ b/Source/Common/SignalSafeLine.cpp
@@ -14,7 +14,7 @@
 static constexpr int hexBase = 16;
 static constexpr int decimalBase = 10;
 static constexpr long nanosecondsInMillisecond = 1'000'000;
-// A process that ends must not block on a slow reader of its output.
+// Maximum time to wait for a blocked reader before each write, so that it cannot block the end of the process.
 static constexpr int maxWriteWaitMs = 100;
 
 void SignalSafeLine::text(std::string_view text)
--- a/Source/Operator/Commands.cpp
+++ b/Source/Operator/Commands.cpp
@@ -65,7 +65,7 @@
             { "version", change.version }, { "patch", change.patch } });
         if (options.json)
             continue;
-        std::cout << changeName(change.change) << "  " << change.file << "  (version in force: " << change.version
+        std::cout << changeName(change.change) << "  " << change.file << "  (active version: " << change.version
                   << ")\n";
         for (const auto& step : change.patch)
             std::cout << "    " << Common::dumpJson(step) << "\n";
@@ -227,7 +227,7 @@
     }
     auto view = parseRouterView(address, valueOf(answer).body);
     if (!view)
-        std::cerr << address.text() << "  not a router that serves routes\n";
+        std::cerr << address.text() << "  metrics are not from a router that serves routes\n";
     return view;
 }
 
@@ -332,7 +332,7 @@
     const auto* command
         = std::find_if(s_commands.begin(), s_commands.end(), [&](const auto& each) { return each.name == name; });
     if (command == s_commands.end() || words.size() != (command->takesArgument ? 2U : 1U))
-        return usageError("see brassladder-ctl --help");
+        return usageError("unknown command or wrong number of arguments; see brassladder-ctl --help");
     if (name == "explain" && !options.logFiles.empty())
         return explainFromLogs(words[1], options);
     if (command->needsRouters && options.routers.empty())
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -16,7 +16,7 @@
 using Common::Result;
 using namespace std::chrono_literals;
 
-// Attempts to append a record, as long as it is unknown whether it was appended.
+// Maximum attempts to append a record while it is unknown whether it was appended.
 static constexpr int maxPublishAttempts = 20;
 static constexpr Common::Milliseconds publishRetryDelay = 250ms;
 
@@ -132,7 +132,8 @@
             if (exists && found->second.publishId == record.publishId)
                 return PublishResult { record.file, ClassServing::Config::FoldVerdict::Accepted,
                     found->second.version };
-            // Another version took the place of this record: the append was rejected, or would now be too late.
+            // The record was appended but is not the active version, or the file no longer has the base version, so a
+            // retry would be rejected.
             if (!isError(appended) || valueOf(fold).versionOf(record.file) != record.base)
                 return PublishResult { record.file, ClassServing::Config::FoldVerdict::Conflict,
                     valueOf(fold).versionOf(record.file) };
--- a/Source/Operator/Publisher.h
+++ b/Source/Operator/Publisher.h
@@ -16,8 +16,8 @@
 // Content of configuration files, by name.
 using FileSet = std::map<std::string, std::string>;
 
-// Reads a folder with `pools.json`, `classes.json` and `workspace/NAME.json`. Returns BadRequest if it cannot be read
-// or has no such files.
+// Reads all .json files of a folder and its subfolders: `pools.json`, `classes.json` and `workspace/NAME.json`. Returns
+// BadRequest if the folder cannot be read or has no .json files.
 Common::Result<FileSet> readConfigurationFolder(const std::string& path);
 
 // Validates each file and then all files together. Returns all faults, whose pointers begin with the name of the file.
@@ -48,7 +48,8 @@
     Common::Result<ClassServing::Config::Fold> readFold();
     Common::Result<std::vector<FileChange>> diff(const FileSet&);
     // Publishes the files that differ from the active version. The base of a file is its active version, or its entry
-    // in `baseVersions`. The verdict is read back from the log, which also settles an append whose response was lost.
+    // in `baseVersions`. The verdict is read back from the log, so a lost response to an append
+    // does not matter.
     Common::Result<std::vector<PublishResult>> publish(
         const FileSet&, const std::map<std::string, uint64_t>& baseVersions = {});
 
--- a/Source/Operator/SuspectReport.h
+++ b/Source/Operator/SuspectReport.h
@@ -11,9 +11,10 @@
 
 // Merges the lists of several routers. Keeps for each suspect the entry with the most evidence (consecutive crashes,
 // then all crashes, then trials) and sorts by it, most first. A router lists its own crashes, and those of other
-// routers only for requests with two or more.
+// routers only for requests with two or more crashes.
 Common::Json mergeSuspects(std::span<const Common::Json> lists);
-// Formats one suspect: its state, workspace, target and identity, then one line for each crash.
+// Formats one suspect: its identity, state, crash counts, workspace, target and body size, then one line for each
+// crash.
 std::string toText(const Common::Json& suspect);
 
 } // namespace Brassladder::Operator
--- a/Source/Programs/Demo/Main.cpp
+++ b/Source/Programs/Demo/Main.cpp
@@ -47,7 +47,7 @@
     auto files = Operator::readConfigurationFolder(examples + "/" + site.folder + "/config");
     auto scenario = Common::readJsonFile(examples + "/" + site.folder + "/demo-load.json");
     if (isError(files) || isError(scenario)) {
-        std::cerr << "cannot read the examples\n";
+        std::cerr << "cannot read the configuration or demo-load.json of an example\n";
         return false;
     }
     auto plan = std::get<Testing::Load::Plan>(Testing::Load::parsePlan(valueOf(scenario)));
--- a/Source/UnitTests/Common/HttpServerTest.cpp
+++ b/Source/UnitTests/Common/HttpServerTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Far longer than any test needs; a test that reaches it has failed.
+// A test fails if the server has not closed the connection by then.
 constexpr auto readTimeout = 10s;
 
 // Starts a server that echoes the request body.
--- a/Source/UnitTests/Common/JsonTest.cpp
+++ b/Source/UnitTests/Common/JsonTest.cpp
@@ -9,7 +9,7 @@
 
 static std::string nested(size_t depth) { return std::string(depth, '[') + std::string(depth, ']'); }
 
-// Guards against a stack overflow: serialising recurses for each level on the small stack of a fiber.
+// Guards against a stack overflow: serialising recurses for each level, and the stack of a fiber is small.
 TEST(JsonTest, TextNestedTooDeeplyIsDiscarded)
 {
     EXPECT_TRUE(parseJson(nested(5000)).is_discarded());
--- a/Source/UnitTests/Operator/SuspectReportTest.cpp
+++ b/Source/UnitTests/Operator/SuspectReportTest.cpp
@@ -10,7 +10,7 @@
 
 using Common::Json;
 
-// A router has its own crashes, and those of other routers only for requests with two or more.
+// A router has its own crashes, and those of other routers only for requests with two or more crashes.
 TEST(SuspectReportTest, MergeKeepsTheEntryWithMostCrashes)
 {
     std::vector<Json> lists { Json::array({ { { "identity", "a" }, { "crashes", 1 }, { "in_turn", 1 } } }),
