--- a/Source/ClassServing/BackingServices/LogService.cpp
+++ b/Source/ClassServing/BackingServices/LogService.cpp
@@ -55,7 +55,8 @@
         return unavailable(Common::Ran::No, "log read: " + errorOf(answer).message);
     Json body = Common::parseJson(valueOf(answer).body);
     if (valueOf(answer).status != 200 || !body.is_object() || !body.contains("records") || !body["records"].is_array())
-        return unavailable(Common::Ran::No, "log read: status " + std::to_string(valueOf(answer).status));
+        return unavailable(Common::Ran::No,
+            "log read: expected status 200 with records, got status " + std::to_string(valueOf(answer).status));
     LogPage page;
     page.first = member<uint64_t>(body, "first", 1);
     page.next = member<uint64_t>(body, "next", 1);
--- a/Source/ClassServing/Claims/ClaimFold.h
+++ b/Source/ClassServing/Claims/ClaimFold.h
@@ -53,7 +53,7 @@
 
     void apply(int64_t timeMs, const ClaimBatch&);
     void expire(int64_t nowMs);
-    // Returns the state of a key as seen by a request: Won, Taken, Ended or Unclaimed.
+    // Returns the verdict on a key for a request: Won, Taken, Ended or Unclaimed.
     Verdict verdict(const std::string& key, const std::string& requestId) const;
     // Returns the id of the request that holds the key, or an empty string if there is none.
     std::string holder(const std::string& key) const;
--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -69,8 +69,8 @@
     partition->updates.ended.push_back(std::move(what));
 }
 
-// Calls the handlers of claims that the log decides. Claims that have timed out receive Unavailable, and so do all
-// undecided claims while the log is unreachable.
+// Calls the handlers of all claims whose verdict follows from the records read so far. The verdict of any other claim
+// is Unavailable once the claim has timed out or the log is unreachable.
 void ClaimRouter::resolvePending(Partition& partition)
 {
     std::vector<std::pair<VerdictHandler, Verdict>> answers;
--- a/Source/ClassServing/Claims/ClaimRouter.h
+++ b/Source/ClassServing/Claims/ClaimRouter.h
@@ -10,8 +10,8 @@
 namespace Brassladder::ClassServing::Claims {
 
 // Decides the claims of the partitions that this router is responsible for. Claims that arrive within one interval are
-// appended as one record (group commit). Verdicts are derived only from records that were read back from the log. Two
-// claim routers of one partition, or one that resumes after a pause, therefore return the same verdicts. If the
+// appended as one record (group commit). Verdicts are derived only from records that were read back from the log, so
+// two claim routers of one partition return the same verdicts, even if the process of one was suspended. If the
 // response to an append is lost, the record is still read from the log, and a repeated record has no effect.
 // Thread-safe.
 class ClaimRouter {
--- a/Source/ClassServing/Config/Fold.h
+++ b/Source/ClassServing/Config/Fold.h
@@ -47,8 +47,8 @@
 enum class FoldVerdict { Accepted, Conflict, Repeated, Malformed, Snapshot };
 
 // The configuration that results from the records of the stream. All program versions must apply the same rule: a
-// publish is accepted if and only if its base is the version in force and its publish id is not the accepted one. Not
-// thread-safe.
+// publish is accepted if and only if its base is the version in force, its offset is higher than that version, and its
+// publish id differs from that of the version in force. Not thread-safe.
 class Fold {
 public:
     FoldVerdict apply(uint64_t offset, int64_t timeMs, std::string_view data);
--- a/Source/ClassServing/Config/Model.cpp
+++ b/Source/ClassServing/Config/Model.cpp
@@ -10,10 +10,9 @@
 using Common::Json;
 using Common::Milliseconds;
 
-// Upper bound of all configured durations; long enough for classes that run overnight.
+// Upper bound of all configured durations.
 static constexpr int64_t maxDurationMs = 24 * 3600 * 1000;
 static constexpr size_t digestHexLength = 64; // SHA-256 in hexadecimal.
-// Default of `guarantee_after_ms`.
 static constexpr int64_t defaultGuaranteeAfterMs = 30'000;
 
 namespace {
@@ -153,8 +152,8 @@
     RequestClass result;
     result.policy.name = reader.text("name");
     result.pool = reader.text("pool");
-    result.policy.tier
-        = static_cast<Scheduling::Tier>(reader.integer("tier", "tiers, 0 the highest", 0, Scheduling::tierCount - 1));
+    result.policy.tier = static_cast<Scheduling::Tier>(
+        reader.integer("tier", "tiers (0 is the highest)", 0, Scheduling::tierCount - 1));
     result.policy.target = Milliseconds(reader.integer("target_ms", "ms", 1, maxDurationMs));
     result.policy.maxWait = Milliseconds(reader.integer("max_wait_ms", "ms", 1, maxDurationMs));
     result.policy.guaranteeAfter
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -96,8 +96,8 @@
     s_changes.Increment();
 }
 
-// Appends a snapshot of each file whose newest record is older than half of the retention. A random margin of up to a
-// quarter of the retention spreads the routers, so most of them read the snapshot of another router first.
+// Appends a snapshot of each file whose newest record is older than half of the retention. A random delay of up to a
+// quarter of the retention is added, so most routers read the snapshot of another router before their own is due.
 void Store::writeDueSnapshots(const BackingServices::LogPage& page)
 {
     if (!page.retentionMs || m_logReplaced)
--- a/Source/ClassServing/Config/Store.h
+++ b/Source/ClassServing/Config/Store.h
@@ -22,7 +22,7 @@
     Store(BackingServices::LogService, Hooks);
 
     // Reads the log until the process ends; must run in a fiber of its own. First requests the files of the peers that
-    // `peers` returns, because a log that has lost old records is not sufficient for a new instance.
+    // `peers` returns, because the log may be unreachable or no longer hold all files.
     void follow(const std::function<std::vector<std::string>()>& peers);
 
     std::shared_ptr<const Table> table() const { return m_table.load(); }
--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -112,8 +112,8 @@
     std::lock_guard sendOrderLock(m_sendOrderMutex);
     {
         std::lock_guard lock(m_mutex);
-        // Read under the lock: if the view changes concurrently, either it is already read here or onViewChanged finds
-        // this request.
+        // The view is read under the lock. If it changes concurrently, either the new view is read here, or
+        // onViewChanged finds this request.
         home = homeOf(*m_hooks.view(), request.shard);
         sequence = ++m_lastSequence;
         auto& pending = m_pending[sequence];
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -77,7 +77,8 @@
     }
 
     // Suspends the calling fiber until a slot is granted or the request is refused. Returns CallerGone if the request
-    // is cancelled, or WaitExpired if no home responds until some time after the deadline.
+    // is cancelled, or WaitExpired if no home has decided when a grace period after the deadline ends. A paused request
+    // has no deadline.
     Common::Result<Slot> acquire(const SlotRequest&, const std::shared_ptr<RequestSignal>&);
     void release(const Slot&, const ShardKey&, const Scheduling::Release&);
 
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -62,8 +62,8 @@
     auto fresh = std::make_shared<Shard>(Scheduling::ShardOptions { .guaranteedSlots = pool->guaranteedSlots });
     fresh->key = key;
     fresh->scheduler.setCollectionEnd(Common::now() + collectionTime);
-    // The shard is locked before it is inserted, and its upstreams are read after that. If the view changes
-    // concurrently, either it is already read here or onViewChanged finds the shard.
+    // The shard is locked before it is inserted, and upstreamsOf reads the view after that. If the view changes
+    // concurrently, either upstreamsOf reads the new view, or onViewChanged finds the shard and waits for its lock.
     std::lock_guard filling(fresh->mutex);
     {
         std::lock_guard lock(m_mutex);
@@ -122,7 +122,8 @@
     Scheduling::ShardScheduler::Decisions decisions;
     shard->scheduler.ask(ask, now, decisions);
     decideLocked(*shard, decisions);
-    // Confirms the highest tier at once. Without a response, the entry would report this home as unresponsive.
+    // Confirms a queued request of the highest tier at once. Otherwise the entry would report this home as
+    // unresponsive.
     bool granted = shard->granted.contains(ask.id);
     if (!granted && requestClass->policy.tier == 0) {
         Item item;
@@ -155,7 +156,7 @@
     uint64_t number = entryNumber(sender);
     std::set<uint64_t> gone { number };
     {
-        // Includes earlier incarnations of the same instance, which have ended.
+        // Also drops the entries of earlier incarnations of the same instance, since those processes have ended.
         std::lock_guard lock(m_mutex);
         for (const auto& [other, name] : m_entries) {
             if (name == sender.id)
--- a/Source/ClassServing/Dispatch/Home.h
+++ b/Source/ClassServing/Dispatch/Home.h
@@ -11,10 +11,10 @@
 
 namespace Brassladder::ClassServing::Dispatch {
 
-// Schedules the shards whose home is this router, with one ShardScheduler each. Its state is soft: after a loss, the
-// entries report their waiting and running requests to the next home. A home accepts each request, even if its own
-// view names another home. Two homes may therefore briefly grant too many slots; the priorities of the engines
-// compensate for that. Thread-safe.
+// Schedules the shards whose home is this router, with one ShardScheduler each. The state is kept in memory only: if
+// the home fails, the entries resend their waiting and running requests to the next home. A home accepts every request
+// for a slot, even if another router is the home in its own view. Two homes of a shard may therefore briefly grant more
+// slots than an engine has; the engine then schedules the requests by their tier. Thread-safe.
 class Home {
 public:
     struct Hooks {
--- a/Source/ClassServing/Frontend/ClaimGate.cpp
+++ b/Source/ClassServing/Frontend/ClaimGate.cpp
@@ -23,8 +23,8 @@
     return error;
 }
 
-// A later attempt in a class with vouched attempts never runs. The first attempt may have run without a claim while the
-// log was unavailable.
+// Returns the error for any attempt after the first in a class with vouched attempts. It is always refused, because the
+// first attempt may have run without a claim while the log was unavailable.
 static Error laterAttemptError(Claims::Verdict verdict)
 {
     return claimError(verdict == Claims::Verdict::Unavailable ? Claims::Verdict::Taken : verdict);
--- a/Source/ClassServing/Frontend/ClaimGate.h
+++ b/Source/ClassServing/Frontend/ClaimGate.h
@@ -20,8 +20,8 @@
     // Returns Done if the request may be sent, which is always so without a claim key, else DuplicateKey or
     // ClaimUnavailable. Suspends the calling fiber.
     Common::Status claim(RequestContext&);
-    // Ends the claim of a request that completed, and frees the claim of one that did not run. Otherwise the claim
-    // stays.
+    // Ends the claim of a request that completed, and frees the claim of one that did not run. The claim of a request
+    // that failed and may have run stays in force.
     void settle(const RequestContext&, const Common::Status&);
     // Returns whether the claim is too old to send the request. A process that was suspended after it won the claim
     // must not send once the claim may have expired.
--- a/Source/ClassServing/Frontend/MessageDispatcher.cpp
+++ b/Source/ClassServing/Frontend/MessageDispatcher.cpp
@@ -8,7 +8,7 @@
 using Inner::Wire::Item;
 using namespace std::chrono_literals;
 
-// A home that sent any message within this time is slow, not lost. Two heartbeats of the default interval.
+// A home that sent any message within this time is not suspected, even if it did not respond to a request.
 static constexpr Common::Duration recentMessageWindow = 500ms;
 
 void MessageDispatcher::recordMessageFrom(const std::string& router)
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -13,11 +13,11 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// How often the scheduler handles expired waits, preemptions and grants. About the duration of one engine step.
+// How often the scheduler handles expired waits, preemptions and grants.
 static constexpr Milliseconds schedulerTickInterval = 5ms;
 // How often membership checks for expired heartbeats. Must be well below the heartbeat timeout.
 static constexpr Milliseconds membershipTickInterval = 100ms;
-// How often the grant client resends requests that have waited long to their home.
+// How often the grant client checks which waiting requests are due to be resent to their home.
 static constexpr Milliseconds resendInterval = 500ms;
 
 static void runPeriodically(Common::FiberRuntime& runtime, Milliseconds interval, std::function<void()> work)
@@ -58,7 +58,7 @@
     static auto& s_failures = Common::Metrics::counter(
         "brassladder_instance_list_failures_total", "Reads of the instance list that failed");
     if (isError(instances)) {
-        // The last list stays in use. Logged at debug level only, as the counter shows the failures.
+        // The last list stays in use. The failure is logged at debug level only, since it is also counted.
         Common::log(
             Common::LogLevel::Debug, "membership", "list.unreadable", { { "error", errorOf(instances).message } });
         s_failures.Increment();
--- a/Source/ClassServing/Frontend/SlotPlacement.cpp
+++ b/Source/ClassServing/Frontend/SlotPlacement.cpp
@@ -46,12 +46,12 @@
     PlacedSlot placed { valueOf(slot), request.shard, {} };
     auto view = m_membership.view();
     const auto* upstream = view->upstream(request.shard.pool, placed.slot.upstream);
-    // This router may learn that an upstream is leaving before the home does. A generation that is paused there still
-    // resumes there.
+    // The report that an upstream is leaving may reach this router before the home. A generation that is paused on a
+    // leaving upstream still resumes there.
     if (!upstream || (upstream->leaving && pinned.empty())) {
         release(placed, SlotOutcome::RefusedByUpstream, 0, {});
-        return Common::makeError(
-            pinned.empty() ? ErrorKind::UpstreamRefused : ErrorKind::UpstreamLostState, "the upstream is leaving");
+        return Common::makeError(pinned.empty() ? ErrorKind::UpstreamRefused : ErrorKind::UpstreamLostState,
+            "the granted upstream is leaving or no longer listed");
     }
     placed.upstream = *upstream;
     RequestMetrics::waited(*context.requestClass, Common::now() - context.arrived);
--- a/Source/ClassServing/Membership/Membership.cpp
+++ b/Source/ClassServing/Membership/Membership.cpp
@@ -15,7 +15,6 @@
 // A suspicion that is not renewed expires after this time. Must exceed the time that a suspicion takes to reach all
 // routers.
 static constexpr Common::Duration suspicionLifetime = 8s;
-// Random heartbeat targets in addition to the watchers.
 static constexpr size_t randomTargetCount = 3;
 
 const Upstream* View::upstream(std::string_view pool, std::string_view id) const
@@ -98,8 +97,8 @@
     publish(now);
 }
 
-// A watcher relies on heartbeats. Other routers rely on reported suspicions that are newer than the last message of the
-// router itself.
+// A watched router is unresponsive after the heartbeat timeout. Any other router is unresponsive if an unexpired
+// suspicion was reported after its own last message.
 bool Table::isUnresponsive(const RouterState& state, TimePoint now) const
 {
     if (state.watched)
--- a/Source/ClassServing/Membership/Membership.h
+++ b/Source/ClassServing/Membership/Membership.h
@@ -30,13 +30,13 @@
     bool operator==(const View&) const = default;
 };
 
-// Determines which routers are alive from the platform's instance list, which lags, the peers' heartbeats and the state
-// of connections. Each router sends heartbeats to a few watchers. A watcher considers a router alive while its
-// heartbeats arrive; the other routers do so while no watcher reports it as unresponsive. Suspicions are forwarded with
-// their age and expire unless renewed, which makes a lost message harmless. Thread-safe.
+// Determines which routers are alive. Uses the platform's instance list (which may be out of date), the heartbeats of
+// peers and the state of connections. Each router sends heartbeats to a few watchers. For a watcher, a router is alive
+// while its heartbeats arrive; for the other routers, while no watcher reports it as unresponsive. Such reports
+// (suspicions) are forwarded with their age and expire unless they are renewed, so a lost message has no lasting
+// effect. Thread-safe.
 class Table {
 public:
-    // Six heartbeats of the default interval.
     static constexpr Common::Milliseconds defaultHeartbeatTimeout { 1500 };
 
     struct Options {
@@ -75,7 +75,7 @@
 private:
     struct RouterState {
         TimePoint lastMessageAt {};
-        TimePoint lastSuspicionAt {}; // When its watchers last found it unresponsive, according to the reports.
+        TimePoint lastSuspicionAt {}; // Time of the latest suspicion that a watcher reported.
         bool suspected { false };
         bool watched { false };
         bool leaving { false };
--- a/Source/ClassServing/Scheduling/FairQueue.cpp
+++ b/Source/ClassServing/Scheduling/FairQueue.cpp
@@ -7,7 +7,8 @@
 
 namespace Brassladder::ClassServing::Scheduling {
 
-// Idle flows keep their charge until there are more than this. Then those without excess charge are evicted.
+// Maximum number of idle flows that are kept with their virtual time. If there are more, those whose virtual time does
+// not exceed that of the queue are evicted.
 static constexpr size_t maxIdleFlows = 8192;
 
 uint64_t FairQueue::flowKey(const Ask& ask) { return Common::stableHash(ask.policy->name, ask.workspace); }
@@ -20,7 +21,7 @@
     flow.key = key;
     flow.weight = waiting.ask.weight;
     if (flow.queue.empty()) {
-        // A flow earns no credit while it is idle.
+        // A flow that was idle must not be served ahead of others for the time in which it had no requests.
         flow.virtualTime = std::max(flow.virtualTime, m_virtualNow);
         m_active.insert({ flow.virtualTime, key });
     }
--- a/Source/ClassServing/Scheduling/RetryBudget.h
+++ b/Source/ClassServing/Scheduling/RetryBudget.h
@@ -9,8 +9,8 @@
 
 // A token bucket that limits the retries of one pool to a fraction of its requests, plus a constant rate for pools
 // with little traffic. A failing pool therefore gets only limited extra load.
-// Route serving uses RouteServing/Routing/RetryWindow.h instead, because its operators configure a ratio within a
-// window, where unused retries must not accumulate. Thread-safe.
+// Route serving uses RouteServing/Routing/RetryWindow.h instead, which limits the ratio of retries within a configured
+// window and does not accumulate unused retries. Thread-safe.
 class RetryBudget {
 public:
     static constexpr double retriesPerRequest = 0.1;
--- a/Source/ClassServing/Scheduling/ShardScheduler.cpp
+++ b/Source/ClassServing/Scheduling/ShardScheduler.cpp
@@ -9,8 +9,8 @@
 using Common::Milliseconds;
 using namespace std::chrono_literals;
 
-// A waiting request preempts a lower tier after this fraction of its target, because a slot may become free before
-// that.
+// A waiting request preempts a lower tier only after its target divided by this, because a slot may become free
+// without a preemption.
 static constexpr int preemptionDivisor = 8;
 // Bounds of the retry time in refusals.
 static constexpr Milliseconds minRetryAfter = 200ms;
@@ -86,7 +86,7 @@
 
 Milliseconds ShardScheduler::retryAfterFor(Duration wait, const ClassPolicy& policy) const
 {
-    // The time until the expected wait has decreased to the maximum wait of the class.
+    // After this time the expected wait has decreased to the maximum wait of the class.
     auto excess = std::chrono::duration_cast<Milliseconds>(wait - policy.maxWait);
     return std::clamp(excess, minRetryAfter, maxRetryAfter);
 }
@@ -290,8 +290,8 @@
     decisions.push_back(Grant { ask.id, upstream, guaranteed });
 }
 
-// If the next request of a tier has waited for its fraction of the target, preempts one lower request for each waiting
-// request of the tier, minus preemptions that are in progress.
+// A tier is due if its next request has waited for the target divided by preemptionDivisor. Preempts requests of lower
+// tiers until one preemption is in progress for each waiting request of the due tiers.
 void ShardScheduler::preempt(TimePoint now, Decisions& decisions)
 {
     uint32_t wanted = 0;
--- a/Source/ClassServing/Scheduling/Types.h
+++ b/Source/ClassServing/Scheduling/Types.h
@@ -33,7 +33,7 @@
     Tier tier { 0 };
     Duration target {}; // Objective for the time to the first token, or to the response of a service.
     Duration maxWait {}; // A request that waits longer is refused.
-    Duration guaranteeAfter {}; // A class that waits longer may use a guaranteed slot.
+    Duration guaranteeAfter {}; // A class whose requests wait longer may use a guaranteed slot.
     bool preemptible { false };
 };
 
--- a/Source/ClassServing/Scheduling/UpstreamLedger.cpp
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.cpp
@@ -25,7 +25,7 @@
 static constexpr uint32_t maxEjectionDoublings = 5;
 // The upstream with the cached prefix is preferred if its cost is at most this multiple of the lowest cost.
 static constexpr double cachedPrefixTolerance = 1.25;
-// Cost factor of the upstream of the last failed attempt. It exceeds any cost ratio, so that upstream is used last.
+// Cost factor of the upstream of the last failed attempt, high enough that another one is used if any has room.
 static constexpr double avoidedCostFactor = 1000;
 
 void UpstreamLedger::setUpstreams(std::span<const UpstreamInfo> infos)
@@ -66,8 +66,9 @@
         return;
     LedgerEntry& upstream = found->second;
     upstream.info.leaving = upstream.info.leaving || load.leaving;
-    // A report lags behind the grants, so only the surplus over them counts as external load. It grows by at most one
-    // per report and leaves at least one slot, because a wrong report must not exclude an upstream.
+    // A report lags behind the grants, so only the surplus over them counts as external load. The external load
+    // grows by at most one per report and leaves at least one slot, because a wrong report must not exclude an
+    // upstream.
     uint32_t reported = load.running + load.waiting;
     uint32_t surplus = reported > upstream.running ? reported - upstream.running : 0;
     uint32_t smoothed = std::min(surplus, upstream.externalLoad + 1);
--- a/Source/ClassServing/Scheduling/UpstreamLedger.h
+++ b/Source/ClassServing/Scheduling/UpstreamLedger.h
@@ -26,9 +26,10 @@
 };
 
 // Counts the granted slots of each upstream of a shard and selects upstreams for requests. The concurrency limit of an
-// upstream adapts (AIMD): it decreases while the time per token is far above the median of the shard, and grows by 1 /
-// limit with each other measured response. A failed upstream is ejected. The ejection time doubles with each
-// consecutive failure, and afterwards the upstream gets one request at a time until one succeeds. Not thread-safe.
+// upstream adapts (AIMD): it decreases while the time per token is far above the median of the shard. Otherwise it
+// grows by 1 / limit with each measured response, up to the number of slots. A failed upstream is ejected. The ejection
+// time doubles with each consecutive failure, and afterwards the upstream gets one request at a time until one
+// succeeds. Not thread-safe.
 class UpstreamLedger {
 public:
     // Replaces the set of upstreams. An upstream that is no longer listed is kept, marked as leaving, while it has
--- a/Source/ClassServing/Scheduling/WaitEstimator.cpp
+++ b/Source/ClassServing/Scheduling/WaitEstimator.cpp
@@ -10,10 +10,10 @@
 static constexpr double initialSlotSeconds = 0.25;
 // Weight of a new sample in the moving average of a class.
 static constexpr double sampleWeight = 0.1;
-// Time constant of the arrival rate; between the typical gap of two requests and the length of a burst.
+// Time constant of the moving average of the arrival rate.
 static constexpr double arrivalTimeConstantSeconds = 5;
-// Upper bound of the capacity share attributed to higher tiers. Without it, lower tiers would refuse all requests
-// during a short burst.
+// Upper bound of the capacity share attributed to higher tiers. Without it, a short burst would cause
+// the refusal of all requests of lower tiers.
 static constexpr double maxHigherTierShare = 0.9;
 
 double WaitEstimator::expectedSlotSeconds(const ClassPolicy& policy) const
--- a/Source/ClassServing/Scheduling/WaitEstimator.h
+++ b/Source/ClassServing/Scheduling/WaitEstimator.h
@@ -22,9 +22,10 @@
     // tiers.
     void recordArrival(Tier, double slotSeconds, TimePoint now);
 
-    // Returns the expected wait of a new request of the flow behind the requests in `tiers`, with `capacity` slots.
-    // Within its tier, the wait depends on the whole queue or on the queue of the flow times the number of active
-    // flows, whichever is smaller.
+    // Returns the expected wait of a new request of the flow: the slot-seconds that are served before it, divided by
+    // the part of the `capacity` slots that the arrivals of higher tiers leave. Before it are served the queues of all
+    // higher tiers, and of its own tier the whole queue or the queue of the flow times the number of active flows,
+    // whichever is smaller.
     Duration expectedWait(const std::array<FairQueue, tierCount>& tiers, Tier, uint64_t flowKey, double slotSecondsEach,
         double capacity, TimePoint now) const;
 
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -36,7 +36,7 @@
 
 Common::Error statusError(const Common::HttpClientResponse& answer)
 {
-    auto message = "the upstream answered " + std::to_string(answer.status);
+    auto message = "the upstream responded with status " + std::to_string(answer.status);
     if (answer.header(ranHeader) == "no")
         return Common::makeError(ErrorKind::UpstreamRefused, message);
     return Common::makeError(ErrorKind::UpstreamBroken, message);
@@ -72,8 +72,8 @@
             return errorOf(taken);
         m_connection = std::move(valueOf(taken));
     } else {
-        // Uses a new connection, since an idle one might be closed while the request is sent. The request could then
-        // not be retried safely.
+        // A pooled connection might be closed by the engine while the request is sent. It would then be unknown whether
+        // the request ran, so a request that must not be repeated uses a new connection.
         m_connection = std::make_unique<Common::HttpConnection>();
         if (auto status = m_connection->connect(m_engine, timeouts.connect); isError(status))
             return status;
--- a/Source/ClassServing/Upstream/LoadProbe.cpp
+++ b/Source/ClassServing/Upstream/LoadProbe.cpp
@@ -8,7 +8,6 @@
 using Common::ErrorKind;
 using Common::member;
 
-// A later report is of no use, since the next one is due after the load interval.
 static constexpr Common::Milliseconds connectTimeout { 300 };
 static constexpr Common::Milliseconds responseTimeout { 500 };
 
--- a/Source/ClassServing/Upstream/SseParser.h
+++ b/Source/ClassServing/Upstream/SseParser.h
@@ -15,7 +15,7 @@
 };
 
 // Splits the body of a stream into events. Lines end with a line feed, events with an empty line. Ignores a carriage
-// return at the end of a line, but an empty line must not have one.
+// return at the end of a line. An empty line with a carriage return does not end the event.
 class SseParser {
 public:
     void feed(std::string_view bytes) { m_buffer += bytes; }
--- a/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
+++ b/Source/UnitTests/ClassServing/Claims/ClaimRouterTest.cpp
@@ -26,7 +26,7 @@
     service.append = [](std::string_view, std::string_view) -> Common::Result<uint64_t> {
         if (++s_log.appends > 1)
             return uint64_t { 1 };
-        // Fails after the read loop has checked the partition many times, or has closed it.
+        // The append fails only after the read loop has checked the partition many times, or has closed it.
         int before = s_log.reads;
         auto limit = Common::now() + 300ms;
         while (s_log.reads < before + 20 && Common::now() < limit)
--- a/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
@@ -132,7 +132,7 @@
     EXPECT_TRUE(sent().back().second.has_release());
 }
 
-// A request may arrive after the time that its message is based on. A negative age would wrap to several weeks.
+// The time read for a message may precede the arrival of its request. A negative waiting time would wrap to weeks.
 TEST_F(GrantClientTest, WaitedTimeIsNeverNegative)
 {
     m_request.arrived = Common::now() + 1h;
--- a/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/HomeTest.cpp
@@ -83,8 +83,8 @@
         m_home.onRelease(m_entry, release);
     }
 
-    // Changes the view on another thread. Returns when that thread has finished, or after a while if it waits for this
-    // one.
+    // Changes the view on another thread. Returns when that thread has finished, or after a timeout if it is blocked by
+    // a lock of the calling thread.
     std::future<void> changeViewOnAnotherThread(const std::vector<std::string>& engines)
     {
         auto done = std::async(std::launch::async, [this, engines] {
@@ -137,7 +137,7 @@
     setView({ "e1" });
     std::atomic<int> tables { 0 };
     std::future<void> other;
-    // onAsk, findOrOpenShard and upstreamsOf read the table. upstreamsOf reads the view before that.
+    // The third read of the table is in upstreamsOf, which has read the old view by then.
     m_onTable = [&] {
         if (++tables != 3)
             return;
@@ -158,7 +158,7 @@
     release(1);
     std::atomic<int> tables { 0 };
     std::future<void> other;
-    // ownShards and upstreamsOf read the table. upstreamsOf reads the view before that.
+    // The second read of the table is in upstreamsOf, which has read the old view by then.
     m_onTable = [&] {
         if (++tables != 2)
             return;
--- a/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/PartsTest.cpp
@@ -63,7 +63,7 @@
         int total = 0;
         for (int weight : weights)
             total += weight;
-        // Few enough that no flow becomes empty.
+        // Serves few enough requests that no flow becomes empty.
         int served = each * total / 5;
         served = std::min(served, each);
         std::map<uint64_t, int> counts;
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -210,8 +210,8 @@
     EXPECT_TRUE(only<Refusal>(decide(1s)).empty()) << "accepted requests must keep waiting";
 }
 
-// Guards against the refusal of a request that its guaranteed slot would serve in time, when higher tiers exceed the
-// capacity and the estimate in tier order exceeds the maximum wait.
+// Guards against a refusal that ignores the guaranteed slot: higher tiers exceed the capacity, so the wait in tier
+// order exceeds the maximum wait, but a guaranteed slot would serve the request in time.
 TEST_F(ShardSchedulerTest, RequestThatAGuaranteedSlotServesInTimeIsAccepted)
 {
     useUpstreams(1, 1);
