--- a/Source/Benchmarks/ControlCost.cpp
+++ b/Source/Benchmarks/ControlCost.cpp
@@ -32,8 +32,8 @@
     std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
     std::string line;
     std::getline(file, line);
-    // Fields 14 and 15 are user and system time in clock ticks. They are counted after the parenthesised process name
-    // (proc(5)).
+    // Fields 14 and 15 are user and system time in clock ticks (proc(5)). The process name in field 2 may contain
+    // spaces, so the fields are counted from its closing parenthesis.
     std::istringstream rest(line.substr(line.rfind(')') + 2));
     std::string skipped;
     for (int field = 3; field < 14; ++field)
@@ -76,8 +76,7 @@
     std::this_thread::sleep_for(5s);
     auto later = measure(cluster);
     double nodes = routers;
-    std::printf(
-        "%2d routers at rest: a node sends %.0f B/s, receives %.0f B/s, %.1f items/s, %.2f%% of a core, %.1f MB\n",
+    std::printf("%2d idle routers: each sends %.0f B/s, receives %.0f B/s, %.1f items/s, %.2f%% of a core, %.1f MB\n",
         routers, (later.sent - rest.sent) / 5 / nodes, (later.received - rest.received) / 5 / nodes,
         (later.items - rest.items) / 5 / nodes, 100 * (later.processorSeconds - rest.processorSeconds) / 5 / nodes,
         later.residentMegabytes / nodes);
@@ -94,7 +93,8 @@
     auto after = measure(cluster);
     double requests = static_cast<double>(history.size());
     double restBytes = (later.sent - rest.sent);
-    std::printf("   each request: %.0f B and %.2f items between routers, %.0f us of processor in all (%zu requests)\n",
+    std::printf("   per request: %.0f B and %.2f items between routers, %.0f us of processor time on all routers (%zu "
+                "requests)\n",
         (after.sent - before.sent - restBytes) / requests,
         (after.items - before.items - (later.items - rest.items)) / requests,
         1e6 * (after.processorSeconds - before.processorSeconds - (later.processorSeconds - rest.processorSeconds))
@@ -114,7 +114,7 @@
     }
     after = measure(cluster);
     double spent = Common::toSeconds(Common::now() - start);
-    std::printf("   each change: %.2f s in force everywhere at the longest; %.0f B between routers\n", longest,
+    std::printf("   per change: at most %.2f s until every router applied it; %.0f B between routers\n", longest,
         (after.sent - before.sent - restBytes / 5 * spent) / changes);
     std::fflush(stdout);
 }
--- a/Source/Benchmarks/LimitCallers.cpp
+++ b/Source/Benchmarks/LimitCallers.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Compares policies for requests that find no quota left at rate-limited upstreams, by the results that callers see.
-// The simulation runs on virtual time with the product's upstream registry and quota exchange.
+// Compares policies for requests that arrive while no rate-limited upstream has quota left, and reports the results for
+// callers. The simulation runs on virtual time with the product's upstream registry and quota exchange.
 // docs/design/upstream-limit.md lists the results.
 #include "Common/Precompiled.h"
 
@@ -292,7 +292,7 @@
 
 int main()
 {
-    std::printf("share limit  load  way                 urgent: in time, served; others\n");
+    std::printf("share limit  load  policy              urgent: in time, served; others\n");
     for (double share : { 0.2, 0.5, 1.0 })
         for (double limit : { 0.2, 0.7 })
             for (double load : { 0.3, 0.7 })
--- a/Source/Benchmarks/LimitWays.cpp
+++ b/Source/Benchmarks/LimitWays.cpp
@@ -101,8 +101,8 @@
 
 int main()
 {
-    std::printf("%-17s %4s %6s %-9s %6s %6s %8s %9s\n", "way", "n", "limit", "frozen 5s", "in 4 s", "bound", "used",
-        "B/s each");
+    std::printf("%-17s %4s %6s %-9s %6s %6s %8s %9s\n", "strategy", "n", "limit", "frozen 5s", "in 4 s", "bound",
+        "used", "B/s each");
     for (size_t routers : { 7, 88, 300 })
         for (double limit : { 0.5, 1.0, 4.0, 30.0 })
             for (bool freezes : { false, true })
--- a/Source/Benchmarks/PathCost.cpp
+++ b/Source/Benchmarks/PathCost.cpp
@@ -118,7 +118,7 @@
         timeCalls(runtime, router, routedStream, count / 4));
 }
 
-// Measures memory with many open streams. The engine produces one token an hour.
+// Measures memory with many open streams. The engine produces one token per hour.
 static void measureIdleStreams(Common::FiberRuntime& runtime)
 {
     Testing::Harness::Cluster cluster(runtime);
@@ -159,7 +159,8 @@
         if (line.starts_with("brassladder_refusals_total") || line.starts_with("brassladder_retries_total"))
             std::printf("  %s\n", line.c_str());
     }
-    std::printf("idle streams: %d open%s, %d running upstream; router %lu KB before, %lu KB with them, %.1f KB each\n",
+    std::printf("idle streams: %d open%s, %d running upstream; router %lu KB before, %lu KB with the streams, %.1f KB "
+                "per stream\n",
         streams, all ? "" : " (NOT ALL)", running, before, after, static_cast<double>(after - before) / streams);
 }
 
--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -35,8 +35,8 @@
     Milliseconds serviceTime { 30 };
 };
 
-// Each upstream has `slots` slots and a queue of the same length, like a plain service with calls of 15 to 60 ms. There
-// are two upstreams per router. Calls of large fleets take longer, which limits the number of simulated events.
+// Each upstream has `slots` slots and a queue of the same length. There are two upstreams per router. The comparison
+// of return modes uses a longer service time, which limits the number of events in large fleets.
 constexpr unsigned slots = 6;
 constexpr unsigned places = 2 * slots;
 constexpr auto hop = 2ms;
@@ -56,7 +56,7 @@
     size_t inTime { 0 };
     size_t served { 0 };
     size_t refusedAtUpstreams { 0 };
-    size_t refusedAfterReturn { 0 }; // Those that were refused after the end of the cooldown.
+    size_t refusedAfterReturn { 0 }; // Refused by upstreams after the end of the cooldown.
 };
 
 // Alternative policy that the product does not use: returns the time until which a router holds a request, or nullopt
@@ -266,7 +266,7 @@
         sum.refusedAfterReturn += outcome.refusedAfterReturn;
     }
     auto share = [&](size_t count) { return 100.0 * static_cast<double>(count) / static_cast<double>(sum.requests); };
-    std::printf("%7zu %5.1f %5lld %5.2f  %-7s %-12s %8.2f %8.2f %10.2f %14.2f\n", scenario.routers,
+    std::printf("%7zu %5.1f %8lld %5.2f  %-7s %-12s %8.2f %8.2f %10.2f %14.2f\n", scenario.routers,
         scenario.coolingShare, static_cast<long long>(scenario.rest.count()), scenario.load,
         allCoolingPolicyNames[static_cast<size_t>(scenario.allCoolingPolicy)],
         returnNames[static_cast<size_t>(scenario.returnMode)], share(sum.inTime), share(sum.served),
@@ -277,7 +277,7 @@
 
 int main()
 {
-    std::printf("routers share  rest  load  all rest  return     in time%%  served%%  refused%%  after return%%\n");
+    std::printf("routers share cooldown  load  policy  return       in time%%  served%%   refused%%  after return%%\n");
     for (double share : { 0.3, 0.6, 1.0 })
         for (auto rest : { 300ms, 1000ms, 3000ms })
             for (double load : { 0.3, 0.8 })
--- a/Source/Benchmarks/SuspectSpread.cpp
+++ b/Source/Benchmarks/SuspectSpread.cpp
@@ -28,7 +28,7 @@
 };
 constexpr const char* strategyNames[] { "alone", "exchange", "home", "store" };
 
-// Timings of the simulated day (docs/incidents/crashing-request.md) and product settings.
+// Timings of the simulated incident (docs/incidents/crashing-request.md) and product settings.
 constexpr auto runTime = 300ms;
 constexpr auto detection = 27ms;
 constexpr auto hop = 2ms;
@@ -169,7 +169,8 @@
                 return broadcast(router, hop);
             return deliver(home(), records, hop);
         }
-        // The record is appended, then read by three store readers, and forwarded in the next two exchanges.
+        // The record is appended, then read by three store readers. They forward it to the hubs, and the hubs to all
+        // other routers, each after half an exchange interval on average.
         for (size_t other = 0; m_strategy == SpreadStrategy::Store && other < m_ledgers.size(); ++other) {
             auto ticks = other < 3 ? 0ms : other < m_hubs ? interval / 2 : interval;
             deliver(other, records, std::chrono::duration_cast<Common::Milliseconds>(2 * storeCall + ticks));
@@ -245,9 +246,8 @@
             mostLate = std::max(mostLate, outcome.lateSends);
         }
         auto known = everKnown ? Common::toSeconds(sum.known) / static_cast<double>(everKnown) : 0;
-        std::printf(
-            "%4zu routers, %zu at once%s  %-8s  engines %5.1f  late sends %5.1f, %2zu at most  known after %6.3f s"
-            " (%zu of %u)  bytes a router %6.0f\n",
+        std::printf("%4zu routers, %zu copies%s  %-8s  crashed engines %5.1f  late sends %5.1f, %2zu at most  held "
+                    "after %6.3f s (%zu of %u)  bytes per router %6.0f\n",
             routers, copies, losesARouter ? ", one lost" : "          ", strategyNames[static_cast<size_t>(strategy)],
             static_cast<double>(sum.engines) / seeds, static_cast<double>(sum.lateSends) / seeds, mostLate, known,
             everKnown, seeds, static_cast<double>(sum.bytes) / seeds / static_cast<double>(routers));
--- a/Source/Testing/Fakes/FakeEngine.cpp
+++ b/Source/Testing/Fakes/FakeEngine.cpp
@@ -12,7 +12,7 @@
 
 static constexpr std::string_view requestsPrefix = "/v1/requests/";
 static constexpr size_t prefixBytes = 1024;
-// Number of load reports that are kept to serve delayed ones.
+// Maximum number of load reports that are kept for the delayed responses of `/load`.
 static constexpr size_t maxReports = 4096;
 
 FakeEngine::FakeEngine(Options options)
--- a/Source/Testing/Fakes/FakeEngine.h
+++ b/Source/Testing/Fakes/FakeEngine.h
@@ -50,7 +50,7 @@
     struct Faults {
         double slowFactor { 1 };
         int64_t cutAfterTokens { -1 }; // Cuts each generation after this many tokens; -1: never.
-        bool cutCleanly { false }; // Ends truncated responses regularly, without the end marker.
+        bool cutCleanly { false }; // Ends cut responses as valid HTTP, without the end marker.
         bool leaving { false };
         bool refuse { false };
         int64_t reportedLoad { -1 }; // Reported number of running requests; -1: the actual number.
--- a/Source/Testing/Fakes/FakePlatform.h
+++ b/Source/Testing/Fakes/FakePlatform.h
@@ -36,7 +36,7 @@
     struct Faults {
         bool down { false };
         Common::Milliseconds slow { 0 };
-        int64_t loseAnswers { 0 }; // Number of appends that take effect without a response.
+        int64_t loseAnswers { 0 }; // Number of next appends that are stored but not answered.
     };
 
     void append(Common::HttpExchange&, const std::string& stream);
@@ -56,7 +56,7 @@
     uint64_t m_refusedAppends { 0 };
 };
 
-// The platform's list of instances: the JSON objects in the files of one folder, as they were `lag` ago.
+// The platform's list of instances: the JSON objects in the files of one folder, reported with a delay of `lag`.
 class FakeInstanceList {
 public:
     FakeInstanceList(std::string folder, Common::Milliseconds lag)
--- a/Source/Testing/Harness/Cluster.h
+++ b/Source/Testing/Harness/Cluster.h
@@ -40,7 +40,7 @@
         const std::string& id, const std::string& pool, int64_t durationMs = 2, const std::string& domain = "a");
     // Additional settings are given as JSON pointers and values.
     void addRouter(const std::string& id, const std::map<std::string, std::string>& settings = {});
-    // Publishes the files. Waits until every router has applied them and sees all other routers and all upstreams.
+    // Publishes the files. Waits until every router has applied them and lists all routers and all upstreams.
     void publish(const Operator::FileSet&);
     void awaitReady();
     // Polls the condition. Returns false if it does not hold before the timeout.
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -86,7 +86,7 @@
     else if (event.kind == "fault")
         cluster.fault(event.target, event.faults);
     else
-        std::cerr << "unknown event " << event.kind << "\n";
+        std::cerr << "unknown event kind " << event.kind << "\n";
 }
 
 // Returns the effective number of slots at a time. A killed engine counts as zero, an engine that is four times slower
@@ -108,8 +108,8 @@
 namespace {
 
 // Upper bound for the engines: in a fluid model, every slot produces a token in every step while there is work, and no
-// response finishes sooner than its tokens times the step. Prefill is free, which makes the bound slightly better than
-// any real engine.
+// response finishes sooner than its tokens times the step. Prefill takes no time in the model, so a real engine is
+// always slightly worse than the bound.
 struct IdealRun {
     double finishSeconds { 0 };
     double tokensInLoad { 0 };
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -235,7 +235,7 @@
     uint32_t tries = 1;
     while (planned.arrivals->retryRefused && !record.refusal.empty() && record.ran == "no"
         && tries <= planned.arrivals->retries) {
-        // The operators' page requires jitter for retries.
+        // Callers must add jitter to Retry-After, as the operator documentation requires.
         Common::sleepFor(record.retryAfter + Common::Milliseconds(Common::randomNumber() % retryJitterMs));
         record = callThroughBalancer(plan, call, ++router);
         ++tries;
--- a/Source/Testing/Load/Generator.h
+++ b/Source/Testing/Load/Generator.h
@@ -14,7 +14,8 @@
 // Result of one request as its caller observed it.
 struct CallRecord {
     std::string requestClass;
-    // Scheduled time since the start of the run. Latencies count from here, also if the request was sent late.
+    // Scheduled time since the start of the run. Latencies are measured from this time, even if the request was sent
+    // late.
     double intendedSeconds { 0 };
     double firstSeconds { -1 }; // Time to the first token or response; negative if none arrived.
     double totalSeconds { 0 };
--- a/Source/Testing/Load/Plan.cpp
+++ b/Source/Testing/Load/Plan.cpp
@@ -50,7 +50,7 @@
     if (arrivals.perSecond <= 0 || arrivals.perSecond > 100'000)
         faults.push_back({ pointer + "/per_second", "expected a number of requests above 0, up to 100000" });
     if (arrivals.target.count() <= 0)
-        faults.push_back({ pointer + "/target_ms", "expected integer in ms above 0" });
+        faults.push_back({ pointer + "/target_ms", "expected an integer of milliseconds above 0" });
     return arrivals;
 }
 
--- a/Source/Testing/Load/Plan.h
+++ b/Source/Testing/Load/Plan.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-// Load generator: open-loop arrivals by class, verified responses, and the metrics that users see.
+// Load generator: open-loop arrivals by class, verified responses, and metrics as callers observe them.
 namespace Brassladder::Testing::Load {
 
 // A period of the run with a higher arrival rate.
