--- a/Source/Benchmarks/RestReturn.cpp
+++ b/Source/Benchmarks/RestReturn.cpp
@@ -23,7 +23,7 @@
 enum class AllCoolingPolicy { Refuse, Hold };
 enum class ReturnMode { AllAtOnce, Spread, OneFirst };
 constexpr const char* allCoolingPolicyNames[] { "refuse", "hold" };
-constexpr const char* returnNames[] { "all at once", "spread", "one first" };
+constexpr const char* returnModeNames[] { "all at once", "spread", "one first" };
 
 struct Scenario {
     size_t routers { 6 };
@@ -38,7 +38,7 @@
 // Each upstream has `slots` slots and a queue of the same length, like a plain service with calls of 15 to 60 ms. There
 // are two upstreams per router. Calls of large fleets take longer, which limits the number of simulated events.
 constexpr unsigned slots = 6;
-constexpr unsigned places = 2 * slots;
+constexpr unsigned upstreamCapacity = 2 * slots;
 constexpr auto hop = 2ms;
 // In multiples of the service time.
 constexpr int objective = 10;
@@ -200,12 +200,13 @@
     {
         auto index = std::stoul(placement.upstream.id);
         auto& upstream = m_upstreams[index];
-        bool isFull = upstream.running >= places;
+        bool isFull = upstream.running >= upstreamCapacity;
         if (isCoolingDown(index) || isFull) {
             ++m_outcome.refusedAtUpstreams;
             m_outcome.refusedAfterReturn += m_now >= cooldownStart + m_scenario.rest;
-            bool asks = isCoolingDown(index);
-            return at(m_now + hop, [this, request, placement, asks] { refused(request, placement, asks); });
+            bool requestsCooldown = isCoolingDown(index);
+            return at(m_now + hop,
+                [this, request, placement, requestsCooldown] { refused(request, placement, requestsCooldown); });
         }
         auto wait = upstream.running < slots ? Milliseconds(0) : m_scenario.serviceTime;
         ++upstream.running;
@@ -216,10 +217,10 @@
     }
 
     void refused(
-        const std::shared_ptr<Request>& request, const UpstreamRegistry::Placement& placement, bool asksForRest)
+        const std::shared_ptr<Request>& request, const UpstreamRegistry::Placement& placement, bool requestsCooldown)
     {
         auto& registry = *m_registries[request->router];
-        if (asksForRest) {
+        if (requestsCooldown) {
             auto rest = m_scenario.rest;
             if (m_scenario.returnMode == ReturnMode::Spread)
                 rest += Milliseconds(static_cast<int64_t>(draw() * 0.25 * static_cast<double>(rest.count())));
@@ -269,7 +270,7 @@
     std::printf("%7zu %5.1f %5lld %5.2f  %-7s %-12s %8.2f %8.2f %10.2f %14.2f\n", scenario.routers,
         scenario.coolingShare, static_cast<long long>(scenario.rest.count()), scenario.load,
         allCoolingPolicyNames[static_cast<size_t>(scenario.allCoolingPolicy)],
-        returnNames[static_cast<size_t>(scenario.returnMode)], share(sum.inTime), share(sum.served),
+        returnModeNames[static_cast<size_t>(scenario.returnMode)], share(sum.inTime), share(sum.served),
         share(sum.refusedAtUpstreams), share(sum.refusedAfterReturn));
 }
 
@@ -281,11 +282,11 @@
     for (double share : { 0.3, 0.6, 1.0 })
         for (auto rest : { 300ms, 1000ms, 3000ms })
             for (double load : { 0.3, 0.8 })
-                for (auto way : { AllCoolingPolicy::Refuse, AllCoolingPolicy::Hold })
-                    print({ 6, share, rest, load, way, ReturnMode::OneFirst });
+                for (auto policy : { AllCoolingPolicy::Refuse, AllCoolingPolicy::Hold })
+                    print({ 6, share, rest, load, policy, ReturnMode::OneFirst });
     for (size_t routers : { 6, 88, 300 })
         for (double load : { 0.3 })
-            for (auto way : { ReturnMode::AllAtOnce, ReturnMode::Spread, ReturnMode::OneFirst })
-                print({ routers, 1.0, 1000ms, load, AllCoolingPolicy::Refuse, way, 300ms });
+            for (auto mode : { ReturnMode::AllAtOnce, ReturnMode::Spread, ReturnMode::OneFirst })
+                print({ routers, 1.0, 1000ms, load, AllCoolingPolicy::Refuse, mode, 300ms });
     return 0;
 }
--- a/Source/Programs/Demo/Main.cpp
+++ b/Source/Programs/Demo/Main.cpp
@@ -31,10 +31,10 @@
             auto record = cluster.runtime().call([&] { return Testing::Load::callRouter(router, call); });
             std::cout << "  " << router.text() << "  " << arrivals.requestClass
                       << (arrivals.servicePath.empty() ? arrivals.stream ? " (stream)" : " (whole)" : " (service)")
-                      << "  " << (record.whole ? "complete response" : "INCOMPLETE RESPONSE " + record.refusal)
+                      << "  " << (record.isComplete ? "complete response" : "INCOMPLETE RESPONSE " + record.refusal)
                       << "  first after " << static_cast<int>(record.firstSeconds * 1000) << " ms, " << record.tokens
                       << " tokens, request " << record.requestId << "\n";
-            success = success && record.whole && !record.wrong;
+            success = success && record.isComplete && !record.isCorrupt;
         }
     }
     return success;
@@ -65,7 +65,7 @@
     auto report = Testing::Load::summarize(plan, Testing::Load::run(runtime, plan));
     std::cout << "\n" << Testing::Load::toTable(report);
     for (const auto& [name, each] : report)
-        success = success && !each.wrong && each.whole == each.requests;
+        success = success && !each.corrupted && each.completed == each.requests;
     return success;
 }
 
--- a/Source/Programs/Load/Main.cpp
+++ b/Source/Programs/Load/Main.cpp
@@ -51,6 +51,7 @@
     auto report = Testing::Load::summarize(plan, Testing::Load::run(runtime, plan));
     std::cout << (absl::GetFlag(FLAGS_json) ? Common::dumpJson(Testing::Load::toJson(report)) + "\n"
                                             : Testing::Load::toTable(report));
-    bool wrong = std::any_of(report.begin(), report.end(), [](const auto& item) { return item.second.wrong; });
-    Common::exitProcess(wrong ? Common::ExitCode::Failure : Common::ExitCode::Success);
+    bool hasCorruptResponses
+        = std::any_of(report.begin(), report.end(), [](const auto& item) { return item.second.corrupted; });
+    Common::exitProcess(hasCorruptResponses ? Common::ExitCode::Failure : Common::ExitCode::Success);
 }
--- a/Source/Testing/Fakes/SimulatedEngine.cpp
+++ b/Source/Testing/Fakes/SimulatedEngine.cpp
@@ -24,25 +24,25 @@
 void SimulatedEngine::cancel(uint64_t generation)
 {
     std::erase_if(m_waiting, [&](const auto& waiting) { return waiting.second.number == generation; });
-    std::erase_if(m_running, [&](const auto& work) { return work.generation.number == generation; });
+    std::erase_if(m_running, [&](const auto& running) { return running.generation.number == generation; });
 }
 
 // Admits a waiting generation if the batch has room and fewer than `chunkTokens` prompt tokens are still to be
 // prefilled.
 void SimulatedEngine::admit()
 {
-    uint64_t unread = 0;
-    for (const auto& work : m_running)
-        unread += work.tokensToPrefill;
-    while (!m_waiting.empty() && m_running.size() < m_traits.batch && unread < m_traits.chunkTokens) {
+    uint64_t pendingTokens = 0;
+    for (const auto& running : m_running)
+        pendingTokens += running.tokensToPrefill;
+    while (!m_waiting.empty() && m_running.size() < m_traits.batch && pendingTokens < m_traits.chunkTokens) {
         auto next = m_waiting.begin();
-        RunningGeneration work { next->second, next->second.prompt.tokens, 0 };
-        const auto* prefix = work.generation.prompt.sharedPrefix();
+        RunningGeneration running { next->second, next->second.prompt.tokens, 0 };
+        const auto* prefix = running.generation.prompt.sharedPrefix();
         if (prefix && hasCached(prefix->id))
-            work.tokensToPrefill -= std::min(work.tokensToPrefill, work.generation.prompt.sharedTokens());
-        work.tokensToPrefill = std::max<uint32_t>(1, work.tokensToPrefill);
-        unread += work.tokensToPrefill;
-        m_running.push_back(std::move(work));
+            running.tokensToPrefill -= std::min(running.tokensToPrefill, running.generation.prompt.sharedTokens());
+        running.tokensToPrefill = std::max<uint32_t>(1, running.tokensToPrefill);
+        pendingTokens += running.tokensToPrefill;
+        m_running.push_back(std::move(running));
         m_waiting.erase(next);
     }
 }
@@ -51,14 +51,14 @@
 uint32_t SimulatedEngine::prefill()
 {
     uint32_t left = m_traits.chunkTokens;
-    for (auto& work : m_running) {
-        auto piece = std::min(left, work.tokensToPrefill);
+    for (auto& running : m_running) {
+        auto piece = std::min(left, running.tokensToPrefill);
         if (!piece)
             continue;
-        work.tokensToPrefill -= piece;
+        running.tokensToPrefill -= piece;
         left -= piece;
-        if (!work.tokensToPrefill)
-            cachePrefix(work.generation.prompt);
+        if (!running.tokensToPrefill)
+            cachePrefix(running.generation.prompt);
     }
     return m_traits.chunkTokens - left;
 }
@@ -82,15 +82,16 @@
 
 void SimulatedEngine::decode(std::vector<Event>& events)
 {
-    for (auto& work : m_running) {
-        if (work.tokensToPrefill)
+    for (auto& running : m_running) {
+        if (running.tokensToPrefill)
             continue;
-        ++work.decodedTokens;
-        bool isLast = work.decodedTokens >= work.generation.outputTokens;
-        if (isLast || work.decodedTokens % m_traits.tokensPerEvent == 0)
-            events.push_back({ work.generation.number, m_now, isLast });
+        ++running.decodedTokens;
+        bool isLast = running.decodedTokens >= running.generation.outputTokens;
+        if (isLast || running.decodedTokens % m_traits.tokensPerEvent == 0)
+            events.push_back({ running.generation.number, m_now, isLast });
     }
-    std::erase_if(m_running, [](const auto& work) { return work.decodedTokens >= work.generation.outputTokens; });
+    std::erase_if(
+        m_running, [](const auto& running) { return running.decodedTokens >= running.generation.outputTokens; });
 }
 
 std::vector<SimulatedEngine::Event> SimulatedEngine::runUntil(Common::TimePoint until)
--- a/Source/Testing/Harness/Experiment.cpp
+++ b/Source/Testing/Harness/Experiment.cpp
@@ -145,13 +145,13 @@
 
 static void computeEfficiency(const Scenario& scenario, uint64_t tokensInLoad, Outcome& outcome)
 {
-    auto perfect = idealRun(scenario, outcome.history);
+    auto ideal = idealRun(scenario, outcome.history);
     double last = 0;
     for (const auto& record : outcome.history)
         last = std::max(last, record.intendedSeconds + record.totalSeconds);
-    outcome.finish = last > 0 ? std::min(1.0, perfect.finishSeconds / last) : 1;
+    outcome.finish = last > 0 ? std::min(1.0, ideal.finishSeconds / last) : 1;
     double useful = static_cast<double>(tokensInLoad) * (1 - outcome.wastedFraction());
-    outcome.goodput = perfect.tokensInLoad > 0 ? useful / perfect.tokensInLoad : 1;
+    outcome.goodput = ideal.tokensInLoad > 0 ? useful / ideal.tokensInLoad : 1;
 }
 
 static uint64_t generatedTokens(Cluster& cluster)
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -82,7 +82,7 @@
     while (true) {
         auto piece = connection.readBodyChunk();
         if (isError(piece) || valueOf(piece).empty()) {
-            record.refusal = record.refusal.empty() && !record.whole ? "stream_cut" : record.refusal;
+            record.refusal = record.refusal.empty() && !record.isComplete ? "stream_cut" : record.refusal;
             return;
         }
         parser.feed(valueOf(piece));
@@ -92,8 +92,8 @@
                 continue;
             }
             if (event->data == "[DONE]") {
-                record.whole = record.tokens == call.length;
-                record.wrong = record.wrong || !record.whole;
+                record.isComplete = record.tokens == call.length;
+                record.isCorrupt = record.isCorrupt || !record.isComplete;
                 continue;
             }
             auto now = Common::now();
@@ -102,7 +102,7 @@
             else
                 record.longestGapSeconds = std::max(record.longestGapSeconds, Common::toSeconds(now - last));
             last = now;
-            record.wrong = record.wrong || deltaOf(event->data) != expectedToken(call, record.tokens);
+            record.isCorrupt = record.isCorrupt || deltaOf(event->data) != expectedToken(call, record.tokens);
             ++record.tokens;
         }
     }
@@ -112,17 +112,17 @@
 {
     Json json = Common::parseJson(body);
     if (!call.arrivals->servicePath.empty()) {
-        record.whole = member<std::string>(json, "echo", "") == call.nonce;
-        record.wrong = !record.whole;
+        record.isComplete = member<std::string>(json, "echo", "") == call.nonce;
+        record.isCorrupt = !record.isComplete;
         return;
     }
     std::string expected;
     for (uint32_t index = 0; index < call.length; ++index)
         expected += expectedToken(call, index);
     bool hasChoice = json.is_object() && json.contains("choices") && !json["choices"].empty();
-    record.whole = hasChoice && member<std::string>(json["choices"][0]["message"], "content", "") == expected;
-    record.wrong = !record.whole;
-    record.tokens = record.whole ? call.length : 0;
+    record.isComplete = hasChoice && member<std::string>(json["choices"][0]["message"], "content", "") == expected;
+    record.isCorrupt = !record.isComplete;
+    record.tokens = record.isComplete ? call.length : 0;
 }
 
 CallRecord callRouter(const Common::Endpoint& router, const Call& call)
@@ -292,16 +292,16 @@
     for (const auto& record : records) {
         auto& each = report[record.requestClass];
         ++each.requests;
-        each.wrong += record.wrong;
+        each.corrupted += record.isCorrupt;
         if (!record.refusal.empty())
             ++each.refusals[record.refusal];
         if (record.firstSeconds >= 0) {
             each.firstSeconds.push_back(record.firstSeconds);
             each.maxFirstSeconds = std::max(each.maxFirstSeconds, record.firstSeconds);
         }
-        if (!record.whole)
+        if (!record.isComplete)
             continue;
-        ++each.whole;
+        ++each.completed;
         each.usefulTokens += record.tokens;
         each.attained += record.firstSeconds <= targets[record.requestClass];
     }
@@ -314,8 +314,8 @@
 {
     Json json = Json::object();
     for (const auto& [name, each] : report) {
-        json[name] = { { "requests", each.requests }, { "whole", each.whole }, { "attainment", each.attainment() },
-            { "wrong", each.wrong }, { "useful_tokens", each.usefulTokens }, { "refusals", each.refusals },
+        json[name] = { { "requests", each.requests }, { "whole", each.completed }, { "attainment", each.attainment() },
+            { "wrong", each.corrupted }, { "useful_tokens", each.usefulTokens }, { "refusals", each.refusals },
             { "first_p50_s", each.quantile(0.5) }, { "first_p99_s", each.quantile(0.99) },
             { "first_longest_s", each.maxFirstSeconds } };
     }
@@ -329,8 +329,8 @@
     for (const auto& [name, each] : report) {
         char line[256];
         std::snprintf(line, sizeof line, "%-18s %8zu %8zu   %6.2f%% %6zu %9zu   %7.3f %7.3f %7.2f ", name.c_str(),
-            each.requests, each.whole, 100 * each.attainment(), each.wrong, each.usefulTokens, each.quantile(0.5),
-            each.quantile(0.99), each.maxFirstSeconds);
+            each.requests, each.completed, 100 * each.attainment(), each.corrupted, each.usefulTokens,
+            each.quantile(0.5), each.quantile(0.99), each.maxFirstSeconds);
         table += line;
         for (const auto& [kind, count] : each.refusals)
             table += " " + kind + "=" + std::to_string(count);
--- a/Source/Testing/Load/Generator.h
+++ b/Source/Testing/Load/Generator.h
@@ -22,8 +22,8 @@
     uint32_t tokens { 0 };
     uint32_t requestedTokens { 0 }; // Length of the complete response.
     uint32_t tries { 1 };
-    bool whole { false }; // The complete response to this request was received.
-    bool wrong { false }; // Data of another response, a gap, or a truncated response that looked complete.
+    bool isComplete { false }; // The complete response to this request was received.
+    bool isCorrupt { false }; // Data of another response, a gap, or a truncated response that looked complete.
     std::string refusal; // Error kind of the last attempt; empty if there was none.
     std::string ran; // The `ran` field of the last error.
     Common::Milliseconds retryAfter { 0 }; // From the last error.
@@ -48,9 +48,9 @@
 // Results of one class.
 struct ClassReport {
     uint64_t requests { 0 };
-    uint64_t whole { 0 };
+    uint64_t completed { 0 };
     uint64_t attained { 0 };
-    uint64_t wrong { 0 };
+    uint64_t corrupted { 0 };
     uint64_t usefulTokens { 0 };
     std::map<std::string, uint64_t> refusals;
     std::vector<double> firstSeconds; // Sorted.
--- a/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
+++ b/Source/UnitTests/ClassServing/Frontend/CallerContractTest.cpp
@@ -85,8 +85,8 @@
 
 TEST_F(CallerContractTest, WholeAndStreamedResponsesMatchTheRequest)
 {
-    EXPECT_TRUE(goodCall(true, "s1").whole);
-    EXPECT_TRUE(goodCall(false, "w1").whole);
+    EXPECT_TRUE(goodCall(true, "s1").isComplete);
+    EXPECT_TRUE(goodCall(false, "w1").isComplete);
 }
 
 TEST_F(CallerContractTest, BadRequestsGetTheSpecifiedErrorKind)
@@ -136,7 +136,7 @@
         EXPECT_EQ(error["kind"], each.kind) << each.name;
         EXPECT_EQ(error["ran"], "no") << each.name;
     }
-    EXPECT_TRUE(goodCall(true, "after").whole);
+    EXPECT_TRUE(goodCall(true, "after").isComplete);
 }
 
 // Serializing a deeply nested body can overflow a fiber's stack and crash the router or the fake engine.
@@ -149,7 +149,7 @@
             { { "Authorization", std::string("Bearer ") + Testing::Harness::testKey } } });
     ASSERT_FALSE(isError(answer)) << errorOf(answer).message;
     EXPECT_EQ(valueOf(answer).status, 400U);
-    EXPECT_TRUE(goodCall(true, "after-nested").whole);
+    EXPECT_TRUE(goodCall(true, "after-nested").isComplete);
 }
 
 TEST_F(CallerContractTest, MalformedBytesGetAnErrorResponseOrACleanClose)
@@ -178,7 +178,7 @@
         else
             EXPECT_TRUE(answer.empty()) << each.name << ": " << answer;
     }
-    EXPECT_TRUE(goodCall(true, "after-raw").whole);
+    EXPECT_TRUE(goodCall(true, "after-raw").isComplete);
 }
 
 // Guards against a Content-Type header that is forwarded and added again.
--- a/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AnswerTest.cpp
@@ -47,13 +47,13 @@
     auto history = running.get();
     expectCorrectResponses(history);
     for (const auto& record : history) {
-        EXPECT_TRUE(record.whole || !record.refusal.empty())
+        EXPECT_TRUE(record.isComplete || !record.refusal.empty())
             << record.requestClass << " has neither a complete response nor an error";
         EXPECT_NE(record.refusal, "stream_cut") << "a broken stream must end with an explicit error";
         EXPECT_NE(record.refusal, "unreadable_error");
         if (!GetParam().mayLoseStreams) {
-            EXPECT_TRUE(record.whole) << record.requestClass << ": " << record.refusal << "\n"
-                                      << cluster.explain(record.requestId);
+            EXPECT_TRUE(record.isComplete) << record.requestClass << ": " << record.refusal << "\n"
+                                           << cluster.explain(record.requestId);
         }
     }
 }
--- a/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/AtMostOnceTest.cpp
@@ -44,7 +44,7 @@
 size_t wholeByKey(std::span<const CallRecord> history, const std::string& key)
 {
     return std::count_if(
-        history.begin(), history.end(), [&](const auto& record) { return record.key == key && record.whole; });
+        history.begin(), history.end(), [&](const auto& record) { return record.key == key && record.isComplete; });
 }
 
 } // namespace
@@ -69,7 +69,7 @@
         EXPECT_EQ(wholeByKey(history, "before" + std::to_string(key)), 1u)
             << "exactly one caller must receive the response";
     // A new key is served again after recovery.
-    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", Common::randomId()).get().whole; }));
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", Common::randomId()).get().isComplete; }));
 }
 
 static void noRecovery(PromiseCluster&) { }
@@ -135,14 +135,14 @@
     EXPECT_EQ(refused.refusal, "claim_unavailable");
     EXPECT_EQ(refused.ran, "no");
     auto vouched = cluster.callService("router-3", "k2", "vouched", "1").get();
-    EXPECT_TRUE(vouched.whole) << "a vouched first attempt must run without the log: " << vouched.refusal;
+    EXPECT_TRUE(vouched.isComplete) << "a vouched first attempt must run without the log: " << vouched.refusal;
     auto second = cluster.callService("router-2", "k2", "vouched", "2").get();
     EXPECT_EQ(second.refusal, "duplicate_key");
     EXPECT_EQ(second.ran, "maybe");
     auto unkeyed = cluster.runLoad({ PromiseCluster::service("stock", 50) }, 1).get();
     EXPECT_EQ(countWhole(unkeyed, "stock"), unkeyed.size());
     cluster.fault("log", { { "down", false } });
-    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", "k1").get().whole; }))
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-1", "k1").get().isComplete; }))
         << "the key was refused as not run, so it must be free";
     // A later attempt with the vouched key still does not run, although the log has no claim for it.
     EXPECT_EQ(cluster.callService("router-1", "k2", "vouched", "2").get().refusal, "duplicate_key");
@@ -155,7 +155,7 @@
 {
     PromiseCluster cluster({ 1, 1, 2 });
     cluster.publish(PromiseCluster::configuration());
-    EXPECT_TRUE(cluster.callService("router-1", "kept").get().whole);
+    EXPECT_TRUE(cluster.callService("router-1", "kept").get().isComplete);
     cluster.fault("log", { { "retention_ms", 1000 } });
     std::this_thread::sleep_for(1500ms);
     // By now the log has dropped the claim. A new router replaces those that still hold it in memory.
@@ -163,7 +163,7 @@
     cluster.awaitReady();
     cluster.kill("router-1");
     cluster.kill("router-2");
-    EXPECT_FALSE(cluster.callService("router-3", "kept").get().whole);
+    EXPECT_FALSE(cluster.callService("router-3", "kept").get().isComplete);
     EXPECT_LE(cluster.runCounts("by_key")["kept"], 1u);
 }
 
@@ -171,10 +171,10 @@
 {
     PromiseCluster cluster({ 1, 1, 2, {}, { { "/claims/horizon_ms", "3000" } } });
     cluster.publish(PromiseCluster::configuration());
-    EXPECT_TRUE(cluster.callService("router-1", "old").get().whole);
+    EXPECT_TRUE(cluster.callService("router-1", "old").get().isComplete);
     auto again = cluster.callService("router-2", "old").get();
     EXPECT_EQ(again.refusal, "duplicate_key");
-    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-2", "old").get().whole; }));
+    EXPECT_TRUE(cluster.await([&] { return cluster.callService("router-2", "old").get().isComplete; }));
 }
 
 } // namespace Brassladder::ClassServing::Promises
--- a/Source/UnitTests/ClassServing/Promises/LeavingTest.cpp
+++ b/Source/UnitTests/ClassServing/Promises/LeavingTest.cpp
@@ -115,8 +115,8 @@
         2s));
     for (auto& load : loads) {
         for (const auto& record : load.get())
-            EXPECT_TRUE(record.whole) << record.requestClass << " at " << record.intendedSeconds
-                                      << " s: " << record.refusal;
+            EXPECT_TRUE(record.isComplete)
+                << record.requestClass << " at " << record.intendedSeconds << " s: " << record.refusal;
     }
     for (const auto& router : stopped)
         EXPECT_EQ(cluster.node(router).process->wait(30s), 0);
--- a/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
+++ b/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
@@ -97,8 +97,8 @@
 void expectCorrectResponses(std::span<const CallRecord> history)
 {
     for (const auto& record : history)
-        EXPECT_FALSE(record.wrong) << record.requestClass << " " << record.requestId << " after " << record.tokens
-                                   << " tokens";
+        EXPECT_FALSE(record.isCorrupt) << record.requestClass << " " << record.requestId << " after " << record.tokens
+                                       << " tokens";
 }
 
 void expectAccurateRunReports(PromiseCluster& cluster, std::span<const CallRecord> history)
@@ -117,7 +117,7 @@
 size_t countWhole(std::span<const CallRecord> history, const std::string& requestClass)
 {
     return std::count_if(history.begin(), history.end(),
-        [&](const auto& record) { return record.requestClass == requestClass && record.whole; });
+        [&](const auto& record) { return record.requestClass == requestClass && record.isComplete; });
 }
 
 bool isLostConnection(const CallRecord& record)
