--- a/Source/ClassServing/BackingServices/LogService.cpp
+++ b/Source/ClassServing/BackingServices/LogService.cpp
@@ -57,8 +57,8 @@
     if (valueOf(answer).status != 200 || !body.is_object() || !body.contains("records") || !body["records"].is_array())
         return unavailable(Common::Ran::No, "log read: status " + std::to_string(valueOf(answer).status));
     LogPage page;
-    page.first = member<uint64_t>(body, "first", 1);
-    page.next = member<uint64_t>(body, "next", 1);
+    page.firstOffset = member<uint64_t>(body, "first", 1);
+    page.nextOffset = member<uint64_t>(body, "next", 1);
     page.nowMs = member<int64_t>(body, "now_ms", 0);
     page.retentionMs = member<int64_t>(body, "retention_ms", 0);
     for (const auto& record : body["records"])
--- a/Source/ClassServing/BackingServices/LogService.h
+++ b/Source/ClassServing/BackingServices/LogService.h
@@ -22,8 +22,8 @@
 
 struct LogPage {
     std::vector<LogRecord> records;
-    uint64_t first { 1 }; // Oldest retained offset.
-    uint64_t next { 1 }; // Offset of the next record to be appended.
+    uint64_t firstOffset { 1 }; // Oldest retained offset.
+    uint64_t nextOffset { 1 }; // Offset of the next record to be appended.
     int64_t nowMs { 0 }; // Current time of the log's clock.
     int64_t retentionMs { 0 };
 };
--- a/Source/ClassServing/Claims/ClaimRouter.cpp
+++ b/Source/ClassServing/Claims/ClaimRouter.cpp
@@ -127,10 +127,10 @@
     // If the retention is shorter than the horizon, the log may drop a claim that is still valid. If the next offset
     // has decreased, the log has lost records. In both cases no verdict is returned.
     bool retentionTooShort = page.retentionMs && page.retentionMs < m_options.horizon.count();
-    if (retentionTooShort || page.next < partition.nextOffset) {
+    if (retentionTooShort || page.nextOffset < partition.nextOffset) {
         partition.caughtUp = false;
         Common::log(LogLevel::Error, "claims", "log.unfit",
-            { { "partition", partition.number }, { "retention_ms", page.retentionMs }, { "next", page.next },
+            { { "partition", partition.number }, { "retention_ms", page.retentionMs }, { "next", page.nextOffset },
                 { "expected", partition.nextOffset } });
         return;
     }
@@ -143,9 +143,9 @@
         for (const auto& freed : batch.freed)
             partition.freeingRequests.erase(freed.requestId);
     }
-    partition.nextOffset = std::max(partition.nextOffset, page.first);
+    partition.nextOffset = std::max(partition.nextOffset, page.firstOffset);
     partition.fold.expire(page.nowMs);
-    partition.caughtUp = partition.nextOffset >= page.next;
+    partition.caughtUp = partition.nextOffset >= page.nextOffset;
 }
 
 // Appends pending claims and updates once per interval. Claims stay pending, and are appended again, until their
--- a/Source/ClassServing/Config/Store.cpp
+++ b/Source/ClassServing/Config/Store.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-void Store::follow(const std::function<std::vector<std::string>()>& peers)
+void Store::readLoop(const std::function<std::vector<std::string>()>& peers)
 {
     auto timeout = Common::now() + peerTimeout;
     while (!m_ready && Common::now() < timeout) {
@@ -59,10 +59,10 @@
         std::lock_guard lock(m_mutex);
         // Offsets never decrease, so a smaller one means that the log was replaced. The configuration stays in force
         // until an operator intervenes.
-        if (page.next < m_next) {
+        if (page.nextOffset < m_next) {
             if (!std::exchange(m_logReplaced, true))
                 Common::log(LogLevel::Error, "config", "log.replaced",
-                    { { "expected_offset", m_next }, { "next_offset", page.next } });
+                    { { "expected_offset", m_next }, { "next_offset", page.nextOffset } });
             return;
         }
         m_logReplaced = false;
@@ -74,7 +74,7 @@
             auto verdict = m_fold.apply(record.offset, record.timeMs, record.data);
             changed = changed || verdict == FoldVerdict::Accepted || verdict == FoldVerdict::Snapshot;
         }
-        m_next = std::max(m_next, page.first);
+        m_next = std::max(m_next, page.firstOffset);
         if (changed)
             compileLocked();
         m_ready = m_ready || !m_fold.files().empty();
--- a/Source/ClassServing/Config/Store.h
+++ b/Source/ClassServing/Config/Store.h
@@ -23,7 +23,7 @@
 
     // Reads the log until the process ends; must run in a fiber of its own. First requests the files of the peers that
     // `peers` returns, because a log that has lost old records is not sufficient for a new instance.
-    void follow(const std::function<std::vector<std::string>()>& peers);
+    void readLoop(const std::function<std::vector<std::string>()>& peers);
 
     std::shared_ptr<const Table> table() const { return m_table.load(); }
     // Returns true as soon as the router has received a configuration file from the log or a peer.
--- a/Source/ClassServing/Dispatch/GrantClient.cpp
+++ b/Source/ClassServing/Dispatch/GrantClient.cpp
@@ -61,9 +61,9 @@
     ask.set_shard(request.shard.index);
     ask.set_request_class(request.requestClass->policy.name);
     ask.set_workspace(request.workspace);
-    ask.set_prefix(request.prefix);
+    ask.set_prefix(request.prefixHash);
     // A request may have arrived after `now` was read.
-    auto waited = std::max(Common::Milliseconds(0), Common::toMilliseconds(now - request.arrived));
+    auto waited = std::max(Common::Milliseconds(0), Common::toMilliseconds(now - request.arrivedAt));
     ask.set_waited_ms(static_cast<uint32_t>(waited.count()));
     ask.set_avoid(request.avoid);
     ask.set_worker(pending.upstream.empty() ? request.pinned : pending.upstream);
@@ -130,7 +130,7 @@
 Result<Slot> GrantClient::awaitOutcome(uint64_t sequence, const SlotRequest& request, RequestSignal& signal)
 {
     const auto& policy = request.requestClass->policy;
-    auto deadline = std::max(request.arrived + policy.maxWait, Common::now()) + homeReplacementGrace;
+    auto deadline = std::max(request.arrivedAt + policy.maxWait, Common::now()) + homeReplacementGrace;
     auto settled = [&] { return signal.m_outcome.has_value() || signal.m_cancelled; };
     std::unique_lock lock(signal.m_mutex);
     bool urgent = policy.tier == 0;
--- a/Source/ClassServing/Dispatch/GrantClient.h
+++ b/Source/ClassServing/Dispatch/GrantClient.h
@@ -17,8 +17,8 @@
     ShardKey shard;
     std::shared_ptr<const Config::RequestClass> requestClass;
     std::string workspace;
-    uint64_t prefix { 0 };
-    Common::TimePoint arrived;
+    uint64_t prefixHash { 0 };
+    Common::TimePoint arrivedAt;
     std::string pinned;
     std::string avoid;
 };
--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -64,7 +64,7 @@
     fresh->scheduler.setCollectionEnd(Common::now() + collectionTime);
     // The shard is locked before it is inserted, and its upstreams are read after that. If the view changes
     // concurrently, either it is already read here or onViewChanged finds the shard.
-    std::lock_guard filling(fresh->mutex);
+    std::lock_guard shardLock(fresh->mutex);
     {
         std::lock_guard lock(m_mutex);
         auto [place, isNew] = m_shards.try_emplace(key, fresh);
--- a/Source/ClassServing/Frontend/AttemptLoop.cpp
+++ b/Source/ClassServing/Frontend/AttemptLoop.cpp
@@ -36,7 +36,7 @@
     std::string avoid;
     for (uint32_t attempts = 1;;) {
         auto placed = m_placement.place(context, pinned, avoid);
-        if (isError(placed) && !Scheduling::isUpstreamGone(errorOf(placed)))
+        if (isError(placed) && !Scheduling::isUpstreamSpecific(errorOf(placed)))
             return errorOf(placed);
         Error error;
         if (isError(placed)) {
@@ -54,8 +54,8 @@
             avoid = valueOf(placed).upstream.id;
         }
         pinned.clear();
-        if (auto final = checkRetry(context, error, attempts))
-            return *final;
+        if (auto finalError = checkRetry(context, error, attempts))
+            return *finalError;
         ++attempts;
         RequestMetrics::retried(context.policy().name, error.kind);
         context.explanation->step("retry", { { "reason", Common::name(error.kind) }, { "message", error.message } });
@@ -70,10 +70,10 @@
         return error;
     if (budget(context.requestClass->pool).withdraw(Common::now()))
         return std::nullopt;
-    auto spent = Common::makeError(
+    auto budgetError = Common::makeError(
         ErrorKind::RetryBudgetSpent, "the retry budget of the pool is exhausted; last error: " + error.message);
-    spent.ran = error.ran;
-    return spent;
+    budgetError.ran = error.ran;
+    return budgetError;
 }
 
 AttemptResult AttemptLoop::runAttempt(
--- a/Source/ClassServing/Frontend/CallerEndpoint.cpp
+++ b/Source/ClassServing/Frontend/CallerEndpoint.cpp
@@ -55,7 +55,8 @@
 static void recordOutcome(const RequestContext& context, const Common::Status& status)
 {
     Json line = { { "request_id", context.requestId }, { "workspace", context.workspace->name },
-        { "class", context.policy().name }, { "ms", Common::toMilliseconds(Common::now() - context.arrived).count() } };
+        { "class", context.policy().name },
+        { "ms", Common::toMilliseconds(Common::now() - context.arrivedAt).count() } };
     if (!isError(status)) {
         context.explanation->step("answered");
         Common::log(LogLevel::Debug, "router", "request.answered", std::move(line));
--- a/Source/ClassServing/Frontend/ChatHandler.cpp
+++ b/Source/ClassServing/Frontend/ChatHandler.cpp
@@ -27,7 +27,7 @@
         = body.is_object() && body.contains("messages") && body["messages"].is_array() && !body["messages"].empty();
     bool streaming = isValid && Common::member<bool>(body, "stream", false);
     if (isValid) {
-        context.prefix = prefixHash(body["messages"]);
+        context.prefixHash = prefixHash(body["messages"]);
         body["stream"] = true;
     }
     Generation generation(context, isValid ? Common::dumpJson(body) : std::string(), streaming, m_timeouts);
--- a/Source/ClassServing/Frontend/ClassRouterSettings.cpp
+++ b/Source/ClassServing/Frontend/ClassRouterSettings.cpp
@@ -81,7 +81,7 @@
     result.heartbeatTimeout = settings.milliseconds("/membership/silence_ms");
     result.loadInterval = settings.milliseconds("/upstream/load_interval_ms");
     result.upstream.connect = settings.milliseconds("/upstream/connect_ms");
-    result.upstream.answer = settings.milliseconds("/upstream/answer_ms");
+    result.upstream.response = settings.milliseconds("/upstream/answer_ms");
     result.balancerRemovalDelay = settings.milliseconds("/drain/lag_ms");
     result.drainTimeout = settings.milliseconds("/drain/limit_ms");
     result.claimPartitions = static_cast<uint32_t>(settings.integer("/claims/partitions"));
--- a/Source/ClassServing/Frontend/Generation.cpp
+++ b/Source/ClassServing/Frontend/Generation.cpp
@@ -83,7 +83,7 @@
     ++m_tokens;
     if (!m_hasFirstToken) {
         m_hasFirstToken = true;
-        RequestMetrics::answered(*m_context.requestClass, m_lastToken - m_context.arrived);
+        RequestMetrics::answered(*m_context.requestClass, m_lastToken - m_context.arrivedAt);
         m_context.explanation->step("first_token");
         if (m_streaming && !m_context.exchange.beginStream(responseHead("text/event-stream")))
             return false;
--- a/Source/ClassServing/Frontend/PeriodicWork.cpp
+++ b/Source/ClassServing/Frontend/PeriodicWork.cpp
@@ -44,7 +44,7 @@
 
 void PeriodicWork::followConfiguration()
 {
-    m_parts.config.follow([this] {
+    m_parts.config.readLoop([this] {
         std::vector<std::string> ids;
         for (const auto& peer : m_parts.membership.peers())
             ids.push_back(peer.id);
--- a/Source/ClassServing/Frontend/RequestContext.cpp
+++ b/Source/ClassServing/Frontend/RequestContext.cpp
@@ -65,7 +65,7 @@
     context.table = std::move(table);
     context.workspace = workspace;
     context.requestClass = std::move(requestClass);
-    context.arrived = Common::now();
+    context.arrivedAt = Common::now();
     context.signal = std::make_shared<Dispatch::RequestSignal>();
     if (auto status = readIdempotencyKey(context); isError(status))
         return errorOf(status);
--- a/Source/ClassServing/Frontend/RequestContext.h
+++ b/Source/ClassServing/Frontend/RequestContext.h
@@ -18,11 +18,11 @@
     std::shared_ptr<const Config::RequestClass> requestClass;
     std::optional<std::string> claimKey; // SHA-256 of workspace name and Idempotency-Key.
     std::optional<uint32_t> attempt; // From the header Brassladder-Attempt; starts at 1.
-    Common::TimePoint arrived;
+    Common::TimePoint arrivedAt;
     std::optional<Common::TimePoint> claimedAt; // When the claim was won, or skipped for a vouched first attempt.
     std::shared_ptr<Explanation> explanation;
     std::shared_ptr<Dispatch::RequestSignal> signal;
-    uint64_t prefix { 0 };
+    uint64_t prefixHash { 0 };
     bool relayed { false }; // A part of the response was sent to the caller.
 
     const Scheduling::ClassPolicy& policy() const { return requestClass->policy; }
--- a/Source/ClassServing/Frontend/ServiceHandler.cpp
+++ b/Source/ClassServing/Frontend/ServiceHandler.cpp
@@ -58,7 +58,7 @@
         context.exchange.respond(response);
         return status;
     }
-    RequestMetrics::answered(*context.requestClass, Common::now() - context.arrived);
+    RequestMetrics::answered(*context.requestClass, Common::now() - context.arrivedAt);
     RequestMetrics::completed(context.policy().name, 0);
     context.exchange.respond(responseOf(answer, context.requestId));
     return status;
--- a/Source/ClassServing/Frontend/SlotPlacement.cpp
+++ b/Source/ClassServing/Frontend/SlotPlacement.cpp
@@ -24,7 +24,7 @@
         return { pool, 0 };
     if (!pinned.empty())
         return { pool, Dispatch::shardOf(pool, pinned, count) };
-    uint64_t spread = context.prefix ? context.prefix : Common::randomNumber();
+    uint64_t spread = context.prefixHash ? context.prefixHash : Common::randomNumber();
     Dispatch::ShardKey first { pool, static_cast<uint32_t>(spread % count) };
     Dispatch::ShardKey second { pool, static_cast<uint32_t>(Common::randomNumber() % count) };
     return m_grants.outstanding(second) < m_grants.outstanding(first) ? second : first;
@@ -36,8 +36,8 @@
     request.shard = chooseShard(context, pinned);
     request.requestClass = context.requestClass;
     request.workspace = context.workspace->name;
-    request.prefix = context.prefix;
-    request.arrived = context.arrived;
+    request.prefixHash = context.prefixHash;
+    request.arrivedAt = context.arrivedAt;
     request.pinned = pinned;
     request.avoid = avoid;
     auto slot = m_grants.acquire(request, context.signal);
@@ -54,7 +54,7 @@
             pinned.empty() ? ErrorKind::UpstreamRefused : ErrorKind::UpstreamLostState, "the upstream is leaving");
     }
     placed.upstream = *upstream;
-    RequestMetrics::waited(*context.requestClass, Common::now() - context.arrived);
+    RequestMetrics::waited(*context.requestClass, Common::now() - context.arrivedAt);
     context.explanation->step("granted",
         { { "upstream", placed.upstream.id }, { "home", placed.slot.home }, { "guaranteed", placed.slot.guaranteed } });
     return placed;
--- a/Source/ClassServing/Scheduling/RetryRule.h
+++ b/Source/ClassServing/Scheduling/RetryRule.h
@@ -24,7 +24,7 @@
 }
 
 // Returns whether the error concerns only the selected upstream, so another one may serve the request.
-inline bool isUpstreamGone(const Common::Error& error)
+inline bool isUpstreamSpecific(const Common::Error& error)
 {
     return error.kind == Common::ErrorKind::UpstreamLostState || error.kind == Common::ErrorKind::UpstreamRefused;
 }
--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -81,7 +81,7 @@
     if (m_cancelled)
         return Common::makeError(ErrorKind::CallerGone, "the caller disconnected during the connect");
     HttpClientRequest callWithTimeout = call;
-    callWithTimeout.responseTimeout = timeouts.answer;
+    callWithTimeout.responseTimeout = timeouts.response;
     auto answer = m_connection->start(callWithTimeout);
     if (isError(answer))
         return errorOf(answer);
--- a/Source/ClassServing/Upstream/EngineStream.h
+++ b/Source/ClassServing/Upstream/EngineStream.h
@@ -14,7 +14,7 @@
 
 struct UpstreamTimeouts {
     Common::Milliseconds connect { 0 };
-    Common::Milliseconds answer { 0 }; // Until the response begins, and between two reads of its body.
+    Common::Milliseconds response { 0 }; // Until the response begins, and between two reads of its body.
 };
 
 // One event of a generation: its bytes as received, and the content of its data field.
--- a/Source/ClassServing/Upstream/ServiceCall.cpp
+++ b/Source/ClassServing/Upstream/ServiceCall.cpp
@@ -49,7 +49,7 @@
     call.method = std::string(request.method_string().data(), request.method_string().size());
     call.target = target;
     call.body = request.body();
-    call.responseTimeout = timeouts.answer;
+    call.responseTimeout = timeouts.response;
     call.headers = headersForService(request);
     call.headers.push_back({ std::string(requestIdHeader), m_requestId });
 
--- a/Source/Operator/Publisher.cpp
+++ b/Source/Operator/Publisher.cpp
@@ -69,8 +69,8 @@
             fold.apply(record.offset, record.timeMs, record.data);
             next = record.offset + 1;
         }
-        next = std::max(next, valueOf(page).first);
-        if (next >= valueOf(page).next)
+        next = std::max(next, valueOf(page).firstOffset);
+        if (next >= valueOf(page).nextOffset)
             return fold;
     }
 }
--- a/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
+++ b/Source/UnitTests/ClassServing/Dispatch/GrantClientTest.cpp
@@ -25,7 +25,7 @@
         requestClass->policy.maxWait = 20s;
         m_request.requestClass = requestClass;
         m_request.shard = { "language", 0 };
-        m_request.arrived = Common::now();
+        m_request.arrivedAt = Common::now();
         setRouters({ "r1" });
     }
 
@@ -135,7 +135,7 @@
 // A request may arrive after the time that its message is based on. A negative age would wrap to several weeks.
 TEST_F(GrantClientTest, WaitedTimeIsNeverNegative)
 {
-    m_request.arrived = Common::now() + 1h;
+    m_request.arrivedAt = Common::now() + 1h;
     auto slot = acquire();
     awaitSent(1);
     EXPECT_EQ(sent().front().second.ask().waited_ms(), 0u);
--- a/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
+++ b/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
@@ -5,15 +5,15 @@
 
 namespace Brassladder::ClassServing::Promises {
 
-PromiseCluster::PromiseCluster(const PromiseClusterOptions& size)
+PromiseCluster::PromiseCluster(const PromiseClusterOptions& options)
     : Cluster(testRuntime())
 {
-    for (int index = 1; index <= size.engines; ++index)
-        addEngine("engine-" + std::to_string(index), "language", size.engine);
-    for (int index = 1; index <= size.services; ++index)
+    for (int index = 1; index <= options.engines; ++index)
+        addEngine("engine-" + std::to_string(index), "language", options.engine);
+    for (int index = 1; index <= options.services; ++index)
         addService("orders-" + std::to_string(index), "orders", 5);
-    for (int index = 1; index <= size.routers; ++index)
-        addRouter("router-" + std::to_string(index), size.routerSettings);
+    for (int index = 1; index <= options.routers; ++index)
+        addRouter("router-" + std::to_string(index), options.routerSettings);
 }
 
 Operator::FileSet PromiseCluster::configuration(const std::string& requestClass, const Json& members)
--- a/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/RetryRuleTest.cpp
@@ -23,9 +23,9 @@
 
 TEST(RetryRuleTest, LeavingUpstreamIsReplacedByAnother)
 {
-    EXPECT_TRUE(isUpstreamGone(Common::makeError(ErrorKind::UpstreamRefused, "")));
-    EXPECT_TRUE(isUpstreamGone(Common::makeError(ErrorKind::UpstreamLostState, "")));
-    EXPECT_FALSE(isUpstreamGone(Common::makeError(ErrorKind::WaitExpired, "")));
+    EXPECT_TRUE(isUpstreamSpecific(Common::makeError(ErrorKind::UpstreamRefused, "")));
+    EXPECT_TRUE(isUpstreamSpecific(Common::makeError(ErrorKind::UpstreamLostState, "")));
+    EXPECT_FALSE(isUpstreamSpecific(Common::makeError(ErrorKind::WaitExpired, "")));
 }
 
 } // namespace Brassladder::ClassServing::Scheduling
--- a/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
+++ b/Source/UnitTests/ClassServing/Scheduling/ShardSchedulerTest.cpp
@@ -61,7 +61,7 @@
         return std::exchange(m_decisions, {});
     }
 
-    template <typename T> static std::vector<T> only(const std::vector<Decision>& decisions)
+    template <typename T> static std::vector<T> ofType(const std::vector<Decision>& decisions)
     {
         std::vector<T> list;
         for (const auto& decision : decisions) {
@@ -84,13 +84,13 @@
 {
     useUpstreams(1, 1);
     auto first = ask(3);
-    EXPECT_EQ(only<Grant>(decide()).at(0).id, first);
+    EXPECT_EQ(ofType<Grant>(decide()).at(0).id, first);
     ask(3);
     ask(2);
     auto highest = ask(0);
     ask(1);
     release(first);
-    EXPECT_EQ(only<Grant>(decide()).at(0).id, highest);
+    EXPECT_EQ(ofType<Grant>(decide()).at(0).id, highest);
 }
 
 TEST_F(ShardSchedulerTest, LowerTiersGetNoSlotWhileAHigherTierWaits)
@@ -99,11 +99,11 @@
     for (int index = 0; index < 4; ++index)
         ask(0);
     ask(1);
-    auto grants = only<Grant>(decide());
+    auto grants = ofType<Grant>(decide());
     ASSERT_EQ(grants.size(), 2u);
     release(grants[0].id);
     release(grants[1].id);
-    auto next = only<Grant>(decide());
+    auto next = ofType<Grant>(decide());
     ASSERT_EQ(next.size(), 2u);
     EXPECT_EQ(m_shard.waitingCount(0), 0u);
     EXPECT_EQ(m_shard.waitingCount(1), 1u);
@@ -116,13 +116,13 @@
     auto lowest = ask(3);
     decide();
     ask(0);
-    EXPECT_TRUE(only<Preemption>(decide()).empty()) << "a slot may become free without preemption";
-    auto preemptions = only<Preemption>(decide(150ms));
+    EXPECT_TRUE(ofType<Preemption>(decide()).empty()) << "a slot may become free without preemption";
+    auto preemptions = ofType<Preemption>(decide(150ms));
     ASSERT_EQ(preemptions.size(), 1u);
     EXPECT_EQ(preemptions[0].id, lowest);
-    EXPECT_TRUE(only<Preemption>(decide(10ms)).empty()) << "one preemption per waiting request is enough";
+    EXPECT_TRUE(ofType<Preemption>(decide(10ms)).empty()) << "one preemption per waiting request is enough";
     release(lowest, SlotOutcome::Preempted);
-    EXPECT_EQ(only<Grant>(decide()).size(), 1u);
+    EXPECT_EQ(ofType<Grant>(decide()).size(), 1u);
     (void)middle;
 }
 
@@ -134,14 +134,14 @@
     ask(1);
     ask(2);
     ask(3);
-    EXPECT_TRUE(only<Preemption>(decide(5s)).empty());
+    EXPECT_TRUE(ofType<Preemption>(decide(5s)).empty());
 }
 
 TEST_F(ShardSchedulerTest, PausedRequestResumesOnItsUpstream)
 {
     useUpstreams(2, 1);
     auto resumed = ask(3, 1, "w1");
-    auto grants = only<Grant>(decide());
+    auto grants = ofType<Grant>(decide());
     ASSERT_EQ(grants.size(), 1u);
     EXPECT_EQ(grants[0].id, resumed);
     EXPECT_EQ(grants[0].upstream, "w1");
@@ -151,7 +151,7 @@
 {
     useUpstreams(1, 1);
     ask(3, 1, "w9");
-    auto refusals = only<Refusal>(decide());
+    auto refusals = ofType<Refusal>(decide());
     ASSERT_EQ(refusals.size(), 1u);
     EXPECT_EQ(refusals[0].kind, ErrorKind::UpstreamLostState);
 }
@@ -168,7 +168,7 @@
             ask(0);
         for (const auto& id : std::exchange(running, {}))
             release(id);
-        for (const auto& grant : only<Grant>(decide(100ms))) {
+        for (const auto& grant : ofType<Grant>(decide(100ms))) {
             served = served || grant.id == low;
             running.push_back(grant.id);
         }
@@ -186,12 +186,12 @@
     ask(0);
     m_now += 6s;
     release(first);
-    auto grants = only<Grant>(decide());
+    auto grants = ofType<Grant>(decide());
     ASSERT_EQ(grants.size(), 1u);
     EXPECT_EQ(grants[0].id, low);
     EXPECT_TRUE(grants[0].guaranteed);
     ask(0);
-    EXPECT_TRUE(only<Preemption>(decide(1s)).empty());
+    EXPECT_TRUE(ofType<Preemption>(decide(1s)).empty());
 }
 
 TEST_F(ShardSchedulerTest, RequestThatCannotMeetItsDeadlineIsRefusedOnArrival)
@@ -201,13 +201,13 @@
     // The initial estimate is 0.25 s per request, so 40 requests fill the 10 s that tier 1 may wait.
     for (int index = 0; index < 60; ++index)
         ask(1);
-    refusals = only<Refusal>(decide());
+    refusals = ofType<Refusal>(decide());
     ASSERT_FALSE(refusals.empty());
     for (const auto& refusal : refusals) {
         EXPECT_EQ(refusal.kind, ErrorKind::DeadlineUnreachable);
         EXPECT_GT(refusal.retryAfter.count(), 0);
     }
-    EXPECT_TRUE(only<Refusal>(decide(1s)).empty()) << "accepted requests must keep waiting";
+    EXPECT_TRUE(ofType<Refusal>(decide(1s)).empty()) << "accepted requests must keep waiting";
 }
 
 // Guards against the refusal of a request that its guaranteed slot would serve in time, when higher tiers exceed the
@@ -221,11 +221,11 @@
         ask(0);
     decide();
     auto low = ask(2);
-    EXPECT_TRUE(only<Refusal>(decide()).empty());
+    EXPECT_TRUE(ofType<Refusal>(decide()).empty());
     std::vector<Refusal> refusals;
     for (int index = 0; index < 30; ++index)
         ask(2);
-    refusals = only<Refusal>(decide());
+    refusals = ofType<Refusal>(decide());
     ASSERT_FALSE(refusals.empty()) << "the guaranteed slot cannot serve all of them in time";
     for (const auto& refusal : refusals)
         EXPECT_NE(refusal.id, low);
@@ -238,7 +238,7 @@
         ask(1, 1);
     decide();
     ask(1, 2);
-    EXPECT_TRUE(only<Refusal>(decide()).empty());
+    EXPECT_TRUE(ofType<Refusal>(decide()).empty());
 }
 
 TEST_F(ShardSchedulerTest, WorkspacesOfATierShareSlotsFairly)
@@ -252,7 +252,7 @@
     m_now += 1s;
     release(first);
     // The flow with the backlog was charged for its first request, so the other flow is next.
-    EXPECT_EQ(only<Grant>(decide()).at(0).id, light);
+    EXPECT_EQ(ofType<Grant>(decide()).at(0).id, light);
 }
 
 TEST_F(ShardSchedulerTest, FullQueueRefusesTheLowestTierFirst)
@@ -265,7 +265,7 @@
     ask(3);
     ask(2);
     ask(0);
-    auto refusals = only<Refusal>(std::exchange(m_decisions, {}));
+    auto refusals = ofType<Refusal>(std::exchange(m_decisions, {}));
     ASSERT_EQ(refusals.size(), 1u);
     EXPECT_EQ(refusals[0].kind, ErrorKind::QueueFull);
     EXPECT_EQ(m_shard.waitingCount(0), 1u);
@@ -278,8 +278,8 @@
     ask(0);
     decide();
     ask(1);
-    EXPECT_TRUE(only<Refusal>(decide(9s)).empty());
-    auto refusals = only<Refusal>(decide(1s));
+    EXPECT_TRUE(ofType<Refusal>(decide(9s)).empty());
+    auto refusals = ofType<Refusal>(decide(1s));
     ASSERT_EQ(refusals.size(), 1u);
     EXPECT_EQ(refusals[0].kind, ErrorKind::WaitExpired);
 }
@@ -290,7 +290,7 @@
     m_shard.markLeaving("w0");
     for (int index = 0; index < 8; ++index)
         ask(1);
-    auto grants = only<Grant>(decide());
+    auto grants = ofType<Grant>(decide());
     EXPECT_EQ(grants.size(), 4u);
     for (const auto& grant : grants)
         EXPECT_EQ(grant.upstream, "w1");
@@ -302,9 +302,9 @@
     m_shard.setCollectionEnd(m_now + 300ms);
     auto low = ask(2);
     auto high = ask(0);
-    EXPECT_EQ(only<Grant>(decide()).at(0).id, high);
+    EXPECT_EQ(ofType<Grant>(decide()).at(0).id, high);
     EXPECT_EQ(m_shard.waitingCount(2), 1u);
-    EXPECT_EQ(only<Grant>(decide(300ms)).at(0).id, low);
+    EXPECT_EQ(ofType<Grant>(decide(300ms)).at(0).id, low);
 }
 
 TEST_F(ShardSchedulerTest, RestoredRequestsHoldTheirSlots)
@@ -316,9 +316,9 @@
     running.arrived = m_now;
     m_shard.restore(running, "w0", false, m_now);
     ask(1);
-    EXPECT_TRUE(only<Grant>(decide()).empty());
+    EXPECT_TRUE(ofType<Grant>(decide()).empty());
     release(running.id);
-    EXPECT_EQ(only<Grant>(decide()).size(), 1u);
+    EXPECT_EQ(ofType<Grant>(decide()).size(), 1u);
 }
 
 TEST_F(ShardSchedulerTest, RepeatedAskReturnsTheExistingGrant)
@@ -328,7 +328,7 @@
     decide();
     --m_sequence;
     EXPECT_EQ(ask(1), id);
-    auto grants = only<Grant>(std::exchange(m_decisions, {}));
+    auto grants = ofType<Grant>(std::exchange(m_decisions, {}));
     ASSERT_EQ(grants.size(), 1u);
     EXPECT_EQ(m_shard.runningCount(), 1u);
 }
@@ -352,8 +352,8 @@
     release(id, SlotOutcome::ConnectFailed);
     ask(1);
     ask(1);
-    EXPECT_TRUE(only<Grant>(decide()).empty());
-    EXPECT_EQ(only<Grant>(decide(600ms)).size(), 1u);
+    EXPECT_TRUE(ofType<Grant>(decide()).empty());
+    EXPECT_EQ(ofType<Grant>(decide(600ms)).size(), 1u);
 }
 
 TEST_F(ShardSchedulerTest, SlowUpstreamGetsFewerRequests)
@@ -362,13 +362,13 @@
     for (int round = 0; round < 40; ++round) {
         for (int index = 0; index < 6; ++index)
             ask(1);
-        for (const auto& grant : only<Grant>(decide(500ms)))
+        for (const auto& grant : ofType<Grant>(decide(500ms)))
             release(grant.id, SlotOutcome::Completed, grant.upstream == "w0" ? 40ms : 10ms);
     }
     for (int index = 0; index < 12; ++index)
         ask(1);
     size_t onSlow = 0;
-    for (const auto& grant : only<Grant>(decide()))
+    for (const auto& grant : ofType<Grant>(decide()))
         onSlow += grant.upstream == "w0";
     EXPECT_LE(onSlow, 1u);
 }
@@ -379,7 +379,7 @@
     for (int index = 0; index < 100; ++index)
         m_shard.report("w0", { 1000, 1000, false });
     ask(0);
-    EXPECT_EQ(only<Grant>(decide()).size(), 1u);
+    EXPECT_EQ(ofType<Grant>(decide()).size(), 1u);
 }
 
 } // namespace Brassladder::ClassServing::Scheduling
