--- a/Source/ClassServing/Upstream/EngineStream.cpp
+++ b/Source/ClassServing/Upstream/EngineStream.cpp
@@ -107,12 +107,12 @@
             }
             return EngineEvent { Token { std::move(event->raw), std::move(event->data) } };
         }
-        auto piece = m_connection->readBodyChunk();
-        if (isError(piece))
-            return errorOf(piece);
-        if (valueOf(piece).empty() || m_parser.unfinishedBytes() > maxEventBytes)
+        auto chunk = m_connection->readBodyChunk();
+        if (isError(chunk))
+            return errorOf(chunk);
+        if (valueOf(chunk).empty() || m_parser.unfinishedBytes() > maxEventBytes)
             return Common::makeError(ErrorKind::UpstreamBroken, "the stream ended without its end marker");
-        m_parser.feed(valueOf(piece));
+        m_parser.feed(valueOf(chunk));
     }
 }
 
--- a/Source/Common/HttpClient.cpp
+++ b/Source/Common/HttpClient.cpp
@@ -190,12 +190,12 @@
 {
     std::string body;
     while (true) {
-        auto piece = readBodyChunk();
-        if (isError(piece))
-            return errorOf(piece);
-        if (valueOf(piece).empty())
+        auto chunk = readBodyChunk();
+        if (isError(chunk))
+            return errorOf(chunk);
+        if (valueOf(chunk).empty())
             return body;
-        body += valueOf(piece);
+        body += valueOf(chunk);
         if (body.size() > limit) {
             m_broken = true;
             return makeError(ErrorKind::UpstreamBroken, "the response body exceeds the size limit");
--- a/Source/Common/HttpExchange.cpp
+++ b/Source/Common/HttpExchange.cpp
@@ -91,7 +91,7 @@
 
 bool HttpExchange::respond(const HttpResponse& response)
 {
-    m_answered = true;
+    m_handled = true;
     auto head = responseHead(response, m_keepAlive);
     head.content_length(response.body.size());
     return writeAll(headText(head) + response.body);
@@ -99,7 +99,7 @@
 
 bool HttpExchange::beginStream(const HttpResponse& response)
 {
-    m_answered = true;
+    m_handled = true;
     m_streaming = true;
     auto head = responseHead(response, m_keepAlive);
     head.chunked(true);
--- a/Source/Common/HttpExchange.h
+++ b/Source/Common/HttpExchange.h
@@ -74,13 +74,13 @@
     void watchCaller(std::function<void()> onGone);
     bool callerGone() const { return m_watch && m_watch->gone; }
 
-    bool isAnswered() const { return m_answered; }
+    bool isHandled() const { return m_handled; }
     bool mayKeepAlive() const { return m_keepAlive && !m_streaming; }
     void closeAfterResponse() { m_keepAlive = false; }
     // Closes the connection without a response, or without the end of a response that has begun.
     void abandon()
     {
-        m_answered = true;
+        m_handled = true;
         m_keepAlive = false;
     }
 
@@ -100,7 +100,7 @@
     const HttpLimits& m_limits;
     std::shared_ptr<Watch> m_watch;
     std::string m_unsentHead;
-    bool m_answered { false };
+    bool m_handled { false };
     bool m_streaming { false };
     bool m_keepAlive { true };
 };
--- a/Source/Common/HttpServer.cpp
+++ b/Source/Common/HttpServer.cpp
@@ -208,7 +208,7 @@
     if (m_stopping)
         exchange.closeAfterResponse();
     m_handler(exchange);
-    if (!exchange.isAnswered())
+    if (!exchange.isHandled())
         exchange.respond(errorResponse(makeError(ErrorKind::Internal, "the request handler sent no response")));
     return exchange.mayKeepAlive() ? Next::Request : Next::Close;
 }
--- a/Source/Common/KeyedHash.cpp
+++ b/Source/Common/KeyedHash.cpp
@@ -41,7 +41,7 @@
     std::memcpy(m_key.data(), digest.data(), m_key.size());
 }
 
-KeyedHash::Value KeyedHash::of(std::span<const std::string_view> parts) const
+KeyedHash::Value KeyedHash::compute(std::span<const std::string_view> parts) const
 {
     Value value {};
     size_t size = sizeof value;
--- a/Source/Common/KeyedHash.h
+++ b/Source/Common/KeyedHash.h
@@ -18,7 +18,7 @@
     explicit KeyedHash(std::string_view secret);
 
     // Returns the hash of the parts in this order. Their boundaries are part of the input.
-    Value of(std::span<const std::string_view> parts) const;
+    Value compute(std::span<const std::string_view> parts) const;
 
 private:
     std::array<unsigned char, 16> m_key {};
--- a/Source/RouteServing/Routing/RequestIdentity.cpp
+++ b/Source/RouteServing/Routing/RequestIdentity.cpp
@@ -15,13 +15,13 @@
 {
     auto host = request.host.substr(0, request.host.find(':'));
     std::array<std::string_view, 4> parts { request.workspace, request.method, host, request.target };
-    return m_hash.of(parts)[0];
+    return m_hash.compute(parts)[0];
 }
 
 RequestIdentity RequestHasher::identity(const RequestTraits& request) const
 {
     std::array<std::string_view, 1> parts { request.body };
-    return { headHash(request), request.body.size(), m_hash.of(parts) };
+    return { headHash(request), request.body.size(), m_hash.compute(parts) };
 }
 
 // Two 64-bit numbers as hexadecimal digits, and the terminating zero.
--- a/Source/Testing/Load/Generator.cpp
+++ b/Source/Testing/Load/Generator.cpp
@@ -80,12 +80,12 @@
     ClassServing::Upstream::SseParser parser;
     auto last = start;
     while (true) {
-        auto piece = connection.readBodyChunk();
-        if (isError(piece) || valueOf(piece).empty()) {
+        auto chunk = connection.readBodyChunk();
+        if (isError(chunk) || valueOf(chunk).empty()) {
             record.refusal = record.refusal.empty() && !record.isComplete ? "stream_cut" : record.refusal;
             return;
         }
-        parser.feed(valueOf(piece));
+        parser.feed(valueOf(chunk));
         while (auto event = parser.next()) {
             if (event->name == "error") {
                 recordError(record, Common::parseJson(event->data));
