--- a/Source/ClassServing/Dispatch/Home.cpp
+++ b/Source/ClassServing/Dispatch/Home.cpp
@@ -64,7 +64,7 @@
     fresh->scheduler.setCollectionEnd(Common::now() + collectionTime);
     // The shard is locked before it is inserted, and upstreamsOf reads the view after that. If the view changes
     // concurrently, either upstreamsOf reads the new view, or onViewChanged finds the shard and waits for its lock.
-    std::lock_guard filling(fresh->mutex);
+    std::lock_guard shardLock(fresh->mutex);
     {
         std::lock_guard lock(m_mutex);
         auto [place, isNew] = m_shards.try_emplace(key, fresh);
--- a/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
+++ b/Source/UnitTests/ClassServing/Promises/PromiseCluster.cpp
@@ -5,15 +5,15 @@
 
 namespace Brassladder::ClassServing::Promises {
 
-PromiseCluster::PromiseCluster(const PromiseClusterOptions& size)
+PromiseCluster::PromiseCluster(const PromiseClusterOptions& options)
     : Cluster(testRuntime())
 {
-    for (int index = 1; index <= size.engines; ++index)
-        addEngine("engine-" + std::to_string(index), "language", size.engine);
-    for (int index = 1; index <= size.services; ++index)
+    for (int index = 1; index <= options.engines; ++index)
+        addEngine("engine-" + std::to_string(index), "language", options.engine);
+    for (int index = 1; index <= options.services; ++index)
         addService("orders-" + std::to_string(index), "orders", 5);
-    for (int index = 1; index <= size.routers; ++index)
-        addRouter("router-" + std::to_string(index), size.routerSettings);
+    for (int index = 1; index <= options.routers; ++index)
+        addRouter("router-" + std::to_string(index), options.routerSettings);
 }
 
 Operator::FileSet PromiseCluster::configuration(const std::string& requestClass, const Json& members)
@@ -97,8 +97,8 @@
 void expectCorrectResponses(std::span<const CallRecord> history)
 {
     for (const auto& record : history)
-        EXPECT_FALSE(record.wrong) << record.requestClass << " " << record.requestId << " after " << record.tokens
-                                   << " tokens";
+        EXPECT_FALSE(record.isCorrupt) << record.requestClass << " " << record.requestId << " after " << record.tokens
+                                       << " tokens";
 }
 
 void expectAccurateRunReports(PromiseCluster& cluster, std::span<const CallRecord> history)
@@ -117,7 +117,7 @@
 size_t countWhole(std::span<const CallRecord> history, const std::string& requestClass)
 {
     return std::count_if(history.begin(), history.end(),
-        [&](const auto& record) { return record.requestClass == requestClass && record.whole; });
+        [&](const auto& record) { return record.requestClass == requestClass && record.isComplete; });
 }
 
 bool isLostConnection(const CallRecord& record)
